--- a/src/node.rs
+++ b/src/node.rs
@@ -4,13 +4,13 @@
 //! registration); [`NodeHandle::drain`] ends them in order. Requests do not pass through the actors:
 //! they read [`state::NodeState`], which the actors write.
 
-pub(crate) mod changes;
+pub(crate) mod backend_announcements;
 pub(crate) mod configuration;
 pub(crate) mod content;
 pub(crate) mod follower;
 pub(crate) mod freeze;
 pub(crate) mod listeners;
-pub(crate) mod local;
+pub(crate) mod liveness_log;
 pub mod logging;
 pub(crate) mod membership;
 pub(crate) mod operator;
--- a/src/node/configuration/peers.rs
+++ b/src/node/configuration/peers.rs
@@ -4,33 +4,33 @@
 
 use ractor::ActorRef;
 
-use super::{ConfigurationMsg, Origin, State};
+use super::{ConfigurationMsg, ConfigurationOrigin, State};
 use crate::core::member::{Distance, NodeId};
 use crate::core::version::{Stamp, Version};
 use crate::distribution::fetch::Peer;
 
 /// Longest time that a node woken from a freeze refuses work. Peers answer in milliseconds; one
 /// that is cut off serves what it has.
-const REFRESH_MAX_MS: u64 = 2_000;
+const REFRESH_TIMEOUT_MS: u64 = 2_000;
 
 /// Peers whose word ends a refresh, unless the head itself was read.
-const REFRESH_PEERS: usize = 2;
+const REFRESH_QUORUM: usize = 2;
 
 /// A refresh under way.
 #[derive(Debug)]
 pub(super) struct Refresh {
-    until_ms: u64,
+    deadline_ms: u64,
     peers: Vec<NodeId>,
     pub(super) head_read: bool,
 }
 
 impl State {
-    pub(super) fn ask_floor(&mut self, myself: &ActorRef<ConfigurationMsg>) {
+    pub(super) fn query_floor(&mut self, myself: &ActorRef<ConfigurationMsg>) {
         for peer in self.role.neighbours.clone() {
             if peer.distance == Distance::DataCentre {
                 self.floor.asked(peer.node);
             }
-            let Some(mut client) = self.node.control.client(peer.address) else {
+            let Some(mut client) = self.node.control_pool.client(peer.address) else {
                 continue;
             };
             let me = self.node.proxy.me;
@@ -47,7 +47,7 @@
         }
     }
 
-    pub(super) fn floor_answered(
+    pub(super) fn handle_floor_answer(
         &mut self,
         now_ms: u64,
         peer: Peer,
@@ -58,7 +58,7 @@
         self.floor
             .answered(node, distance, reported, enforced.version);
         if enforced.version > Version::NONE {
-            self.announced(now_ms, enforced, Some(peer));
+            self.handle_announced(now_ms, enforced, Some(peer));
         }
         if let Some(refresh) = &mut self.refresh
             && !refresh.peers.contains(&peer.node)
@@ -69,26 +69,26 @@
 
     pub(super) fn begin_refresh(&mut self, myself: &ActorRef<ConfigurationMsg>, now_ms: u64) {
         self.refresh = Some(Refresh {
-            until_ms: now_ms + REFRESH_MAX_MS,
+            deadline_ms: now_ms + REFRESH_TIMEOUT_MS,
             peers: Vec::new(),
             head_read: false,
         });
         self.fetcher.woke(now_ms);
         self.reading_head = false;
         match &self.origin {
-            Origin::Published(_) => self.read_head(myself),
-            Origin::Written(again) => again.notify_one(),
+            ConfigurationOrigin::Published(_) => self.start_head_read(myself),
+            ConfigurationOrigin::Feed(resync) => resync.notify_one(),
         }
-        self.ask_floor(myself);
+        self.query_floor(myself);
     }
 
     /// The refresh ends once what was heard from peers or the platform is in force here, or when
     /// its time is up.
-    pub(super) fn end_refresh(&mut self, now_ms: u64) {
+    pub(super) fn try_end_refresh(&mut self, now_ms: u64) {
         let Some(refresh) = &self.refresh else { return };
-        let heard = refresh.head_read || refresh.peers.len() >= REFRESH_PEERS;
+        let has_quorum = refresh.head_read || refresh.peers.len() >= REFRESH_QUORUM;
         let caught_up = self.holder.stamp().version >= self.fetcher.head().version;
-        if (heard && caught_up) || now_ms >= refresh.until_ms {
+        if (has_quorum && caught_up) || now_ms >= refresh.deadline_ms {
             self.refresh = None;
             self.node.proxy.refreshing.store(false, Ordering::Release);
             log::info!(caught_up; "admits work again");
--- a/src/node/configuration/learning.rs
+++ b/src/node/configuration/version_metrics.rs
@@ -6,7 +6,7 @@
 
 /// Way by which the content of a version comes to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
+pub(crate) enum VersionSource {
     /// Read from the store.
     Store,
     /// From the node of the data centre that reads the store for the others.
@@ -15,7 +15,7 @@
     Peer(Distance),
 }
 
-impl Way {
+impl VersionSource {
     /// Word for logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
@@ -28,7 +28,7 @@
     }
 }
 
-impl From<&Source> for Way {
+impl From<&Source> for VersionSource {
     fn from(source: &Source) -> Self {
         match source {
             Source::Store => Self::Store,
@@ -38,16 +38,16 @@
 }
 
 /// A version was heard of for the first time; `holder` has its content.
-pub(crate) fn heard(version: Version, holder: Option<NodeId>, held: Version) {
+pub(crate) fn log_heard(version: Version, holder: Option<NodeId>, held: Version) {
     let holder = holder.map(|node| node.to_string());
     log::info!(version = version.0, holder:? = holder, held = held.0; "heard of a version");
 }
 
 /// What is known of a version whose content has just come.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Learnt {
+pub(crate) struct LearntVersion {
     pub(crate) version: Version,
-    pub(crate) way: Way,
+    pub(crate) source: VersionSource,
     /// Since it was first heard of here.
     pub(crate) heard_ms: u64,
     /// At most since it was accepted, as far as clocks and answers tell.
@@ -55,8 +55,8 @@
 }
 
 /// The content of a version has come.
-pub(crate) fn learnt(learnt: &Learnt) {
-    let way = learnt.way.as_str();
+pub(crate) fn record_learnt(learnt: &LearntVersion) {
+    let way = learnt.source.as_str();
     log::info!(
         version = learnt.version.0, way, heard_ms = learnt.heard_ms, age_ms = learnt.age_ms;
         "learnt a version"
@@ -65,7 +65,7 @@
 }
 
 /// A version is in force, at most `age_ms` after it was accepted as far as clocks and answers tell.
-pub(crate) fn enforced(stamp: Stamp, age_ms: u64) {
+pub(crate) fn record_enforced(stamp: Stamp, age_ms: u64) {
     log::info!(
         version = stamp.version.0, digest:% = stamp.digest.short(), age_ms;
         "enforced a configuration"
@@ -73,8 +73,8 @@
     metrics::gauge!("dragonflywall_enforced_version").set(stamp.version.0 as f64);
 }
 
-/// Measures the age at which a version came into force; `longest_ms` is the longest of this process.
-pub(crate) fn measure(age_ms: u64, longest_ms: u64) {
+/// Measures the age at which a version came into force; `max_age_ms` is the longest of this process.
+pub(crate) fn record_enforcement_age(age_ms: u64, max_age_ms: u64) {
     metrics::histogram!("dragonflywall_version_age_seconds").record(age_ms as f64 / 1_000.0);
-    metrics::gauge!("dragonflywall_version_age_max_seconds").set(longest_ms as f64 / 1_000.0);
+    metrics::gauge!("dragonflywall_version_age_max_seconds").set(max_age_ms as f64 / 1_000.0);
 }
--- a/src/node/configuration/versions.rs
+++ b/src/node/configuration/versions.rs
@@ -5,7 +5,7 @@
 
 use ractor::ActorRef;
 
-use super::learning::{self, Learnt, Way};
+use super::version_metrics::{self, LearntVersion, VersionSource};
 use super::{ConfigurationMsg, State};
 use crate::core::configuration::Configuration;
 use crate::core::version::Version;
@@ -15,13 +15,13 @@
 
 impl State {
     /// Takes in what the store told. A configuration older than the one held is refused by the holder.
-    pub(super) fn written(
+    pub(super) fn handle_store_read(
         &mut self,
         now_ms: u64,
         configuration: Option<Box<Configuration>>,
-        unwatched_ms: u64,
+        last_read_age_ms: u64,
     ) {
-        self.note_store(true);
+        self.record_store_read(true);
         if let Some(refresh) = &mut self.refresh {
             refresh.head_read = true;
         }
@@ -36,25 +36,30 @@
         }
         match self.holder.prepare_whole(*configuration) {
             Ok(applied) => {
-                self.learnt(now_ms, applied.stamp.version, Way::Store, unwatched_ms);
-                self.announced(now_ms, applied.stamp, None);
-                self.tell(MembershipMsg::Head(applied.stamp));
+                self.record_learnt(
+                    now_ms,
+                    applied.stamp.version,
+                    VersionSource::Store,
+                    last_read_age_ms,
+                );
+                self.handle_announced(now_ms, applied.stamp, None);
+                self.send_to_membership(MembershipMsg::SetHead(applied.stamp));
             }
-            Err(error) => self.refused(version, &error),
+            Err(error) => self.record_refused(version, &error),
         }
     }
 
-    pub(super) fn led(&mut self, now_ms: u64, offer: &Offer, have: Version) {
+    pub(super) fn handle_lead_offer(&mut self, now_ms: u64, offer: &Offer, base_version: Version) {
         let stamp = offer.stamp;
         self.fetcher.source_told(now_ms, stamp.version);
-        if self.prepare(now_ms, offer, have, Way::Lead) {
+        if self.prepare(now_ms, offer, base_version, VersionSource::Lead) {
             self.floor.head_read(stamp.version);
-            self.announced(now_ms, stamp, None);
-            self.tell(MembershipMsg::Head(stamp));
+            self.handle_announced(now_ms, stamp, None);
+            self.send_to_membership(MembershipMsg::SetHead(stamp));
         }
     }
 
-    pub(super) fn fetch(&mut self, myself: &ActorRef<ConfigurationMsg>, now_ms: u64) {
+    pub(super) fn start_fetch(&mut self, myself: &ActorRef<ConfigurationMsg>, now_ms: u64) {
         let held = self.holder.held();
         if let Some(fetch) = self.fetcher.next(now_ms, held.version) {
             let node = Arc::clone(&self.node);
@@ -62,61 +67,75 @@
             let myself = myself.clone();
             tokio::spawn(async move {
                 let found = content::fetch(&node, &origin, held, &fetch).await;
-                let have = held.version;
-                let _ = myself.cast(ConfigurationMsg::Fetched { fetch, have, found });
+                let base_version = held.version;
+                let _ = myself.cast(ConfigurationMsg::Fetched {
+                    fetch,
+                    base_version,
+                    found,
+                });
             });
             return;
         }
         let Some(wake_ms) = self.fetcher.wake_at(held.version) else {
             return;
         };
-        if self.woken_for_ms.is_none_or(|already| wake_ms < already) {
-            self.woken_for_ms = Some(wake_ms);
+        if self
+            .scheduled_fetch_ms
+            .is_none_or(|scheduled_ms| wake_ms < scheduled_ms)
+        {
+            self.scheduled_fetch_ms = Some(wake_ms);
             let pause = Duration::from_millis(wake_ms.saturating_sub(now_ms).max(1));
-            myself.send_after(pause, || ConfigurationMsg::Wake);
+            myself.send_after(pause, || ConfigurationMsg::FetchDue);
         }
     }
 
-    pub(super) fn fetched(
+    pub(super) fn handle_fetched(
         &mut self,
         now_ms: u64,
         fetch: &Fetch,
-        have: Version,
+        base_version: Version,
         found: Option<Offer>,
     ) {
-        let way = Way::from(&fetch.source);
-        let source = way.as_str();
-        let prepared = found.is_some_and(|offer| self.prepare(now_ms, &offer, have, way));
+        let version_source = VersionSource::from(&fetch.source);
+        let source = version_source.as_str();
+        let prepared =
+            found.is_some_and(|offer| self.prepare(now_ms, &offer, base_version, version_source));
         let result = if prepared { "used" } else { "failed" };
         metrics::counter!("dragonflywall_fetches_total", "source" => source, "result" => result)
             .increment(1);
         self.fetcher.done(now_ms, fetch, prepared);
     }
 
-    /// Whether the version is held now. `have` was held when its content was asked for.
-    pub(super) fn prepare(&mut self, now_ms: u64, offer: &Offer, have: Version, way: Way) -> bool {
+    /// Whether the version is held now. `base_version` was held when its content was asked for.
+    pub(super) fn prepare(
+        &mut self,
+        now_ms: u64,
+        offer: &Offer,
+        base_version: Version,
+        version_source: VersionSource,
+    ) -> bool {
         let Offer {
             stamp,
             content,
             age_ms,
         } = offer;
         let bytes = content.len_bytes() as u64;
-        metrics::counter!("dragonflywall_fetched_bytes_total", "source" => way.as_str())
+        metrics::counter!("dragonflywall_fetched_bytes_total", "source" => version_source.as_str())
             .increment(bytes);
         let held = self.holder.held().version;
         if stamp.version <= held {
             // It came another way meanwhile.
             return true;
         }
-        if held != have && !matches!(content, Content::Snapshot(_)) {
+        if held != base_version && !matches!(content, Content::Snapshot(_)) {
             // Differences from what was held then; whoever follows asks again for those from now.
-            log::debug!(version = stamp.version.0, have = have.0, held = held.0; "differences from an older version");
+            log::debug!(version = stamp.version.0, base_version = base_version.0, held = held.0; "differences from an older version");
             return false;
         }
         match self.holder.prepare(*stamp, content) {
-            Ok(_) => self.learnt(now_ms, stamp.version, way, *age_ms),
+            Ok(_) => self.record_learnt(now_ms, stamp.version, version_source, *age_ms),
             Err(error) => {
-                self.refused(stamp.version, &error);
+                self.record_refused(stamp.version, &error);
                 return false;
             }
         }
@@ -124,12 +143,18 @@
     }
 
     /// The content of a version that was accepted `age_ms` ago, or earlier, is held now.
-    pub(super) fn learnt(&mut self, now_ms: u64, version: Version, way: Way, age_ms: u64) {
+    pub(super) fn record_learnt(
+        &mut self,
+        now_ms: u64,
+        version: Version,
+        version_source: VersionSource,
+        age_ms: u64,
+    ) {
         let heard_ms = self.fetcher.heard_at_ms(version).unwrap_or(now_ms);
         self.held_accepted_ms = heard_ms.min(now_ms.saturating_sub(age_ms));
-        learning::learnt(&Learnt {
+        version_metrics::record_learnt(&LearntVersion {
             version,
-            way,
+            source: version_source,
             heard_ms: now_ms.saturating_sub(heard_ms),
             age_ms: self.held_age_ms(now_ms),
         });
@@ -139,9 +164,9 @@
         now_ms.saturating_sub(self.held_accepted_ms)
     }
 
-    /// What a peer that holds `have` gets.
-    pub(super) fn offer(&self, now_ms: u64, have: Version) -> Option<Offer> {
-        let (stamp, content) = self.holder.content_for(have)?;
+    /// What a peer that holds `base_version` gets.
+    pub(super) fn offer_newer_than(&self, now_ms: u64, base_version: Version) -> Option<Offer> {
+        let (stamp, content) = self.holder.content_for(base_version)?;
         let age_ms = self.held_age_ms(now_ms);
         Some(Offer {
             stamp,
@@ -150,7 +175,7 @@
         })
     }
 
-    pub(super) fn refused(&self, version: Version, error: &holder::Error) {
+    pub(super) fn record_refused(&self, version: Version, error: &holder::Error) {
         log::warn!(version = version.0, error:? = error; "refused a configuration");
         metrics::counter!("dragonflywall_refused_content_total").increment(1);
     }
--- a/src/node/content.rs
+++ b/src/node/content.rs
@@ -5,21 +5,23 @@
 use crate::core::member::Distance;
 use crate::core::version::Stamp;
 use crate::distribution::{Fetch, Offer, Source};
-use crate::node::configuration::Origin;
+use crate::node::configuration::ConfigurationOrigin;
 use crate::node::state::NodeState;
 use crate::node::store;
 
 /// Makes a fetch; what was found, if anything.
 pub(crate) async fn fetch(
     node: &NodeState,
-    origin: &Origin,
+    origin: &ConfigurationOrigin,
     held: Stamp,
     fetch: &Fetch,
 ) -> Option<Offer> {
     match fetch.source {
         Source::Store => match origin {
-            Origin::Published(store) => store::offer(store, held, fetch.want).await,
-            Origin::Written(_) => {
+            ConfigurationOrigin::Published(store) => {
+                store::read_offer(store, held, fetch.want).await
+            }
+            ConfigurationOrigin::Feed(_) => {
                 log::error!("a node that follows the store fetches from peers alone");
                 None
             }
@@ -27,16 +29,16 @@
         Source::Peer {
             address, distance, ..
         } => {
-            let mut client = node.control.client(address)?;
-            let found = client.fetch(held.version, fetch.want.version);
+            let mut client = node.control_pool.client(address)?;
+            let response = client.fetch(held.version, fetch.want.version);
             let budget = node.budget();
-            let limit_ms = match distance {
+            let timeout_ms = match distance {
                 Distance::DataCentre | Distance::Region => budget.near_fetch_ms(),
                 Distance::Mesh => budget.far_fetch_ms(),
             };
-            let limit = Duration::from_millis(limit_ms);
-            let found = tokio::time::timeout(limit, found).await;
-            found.ok()?.ok().flatten()
+            let timeout = Duration::from_millis(timeout_ms);
+            let response = tokio::time::timeout(timeout, response).await;
+            response.ok()?.ok().flatten()
         }
     }
 }
--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -29,56 +29,56 @@
 
 /// A position that was reached longer ago is given up for the newest configuration: the store answers with
 /// every version since, a whole configuration each.
-const POSITION_AGE_MAX: Duration = Duration::from_secs(1);
+const MAX_POSITION_AGE: Duration = Duration::from_secs(1);
 
 /// An answer that takes so much longer than it was to wait for news is logged as late.
-const LATE_MS: u64 = 300;
+const LATE_ANSWER_MS: u64 = 300;
 
-/// Follows `feed`, or a lead, until `stop`; `again` asks for the newest version at once.
+/// Follows `feed`, or a lead, until `stop`; `resync` asks for the newest version at once.
 pub(crate) async fn run(
     node: Arc<NodeState>,
     feed: impl Feed,
     configuration: ActorRef<ConfigurationMsg>,
-    again: Arc<Notify>,
+    resync: Arc<Notify>,
     stop: CancellationToken,
 ) {
     let follower = Follower {
         node,
         feed,
         configuration,
-        choice: LeadChoice::default(),
+        lead_choice: LeadChoice::default(),
         position: None,
     };
-    stop.run_until_cancelled(follower.follow(&again)).await;
+    stop.run_until_cancelled(follower.follow(&resync)).await;
 }
 
 struct Follower<F> {
     node: Arc<NodeState>,
     feed: F,
     configuration: ActorRef<ConfigurationMsg>,
-    choice: LeadChoice,
+    lead_choice: LeadChoice,
     /// Up to where the store's history is known, and since when.
     position: Option<(Position, Instant)>,
 }
 
 impl<F: Feed> Follower<F> {
-    async fn follow(mut self, again: &Notify) {
+    async fn follow(mut self, resync: &Notify) {
         loop {
             tokio::select! {
                 () = self.step() => (),
                 // The process was frozen: what is under way may be from before.
-                () = again.notified() => self.position = None,
+                () = resync.notified() => self.position = None,
             }
         }
     }
 
     async fn step(&mut self) {
-        let ask = self.next();
+        let ask = self.next_ask();
         let follows = match &ask {
             Ask::Store => None,
             Ask::Lead { lead, .. } => Some(lead.node),
         };
-        self.node.follows.send_replace(follows);
+        self.node.followed_node.send_replace(follows);
         match ask {
             Ask::Store => self.read_store().await,
             Ask::Lead {
@@ -91,17 +91,18 @@
                     .await;
             }
         }
-        self.node.blind.send_if_modified(|known| {
-            let blind = self.choice.is_blind();
-            std::mem::replace(known, blind) != blind
+        self.node.store_failing.send_if_modified(|stored| {
+            let is_failing = self.lead_choice.is_blind();
+            std::mem::replace(stored, is_failing) != is_failing
         });
     }
 
-    fn next(&mut self) -> Ask {
+    fn next_ask(&mut self) -> Ask {
         let now_ms = self.node.proxy.age_ms();
-        self.choice.set_leads(self.leads());
-        self.choice.note_held(now_ms, *self.node.held.borrow());
-        self.choice.next(now_ms, self.node.budget())
+        self.lead_choice.set_leads(self.leads());
+        self.lead_choice
+            .note_held(now_ms, *self.node.held_version.borrow());
+        self.lead_choice.next(now_ms, self.node.budget())
     }
 
     fn leads(&self) -> Leads {
@@ -116,107 +117,121 @@
         }
     }
 
-    async fn ask_lead(&mut self, lead: Peer, wait: Duration, answer: Duration) {
-        let have = *self.node.held.borrow();
-        let Some(mut client) = self.node.control.client(lead.address) else {
-            return self.choice.lead_silent(self.node.proxy.age_ms(), lead.node);
+    async fn ask_lead(&mut self, lead: Peer, wait: Duration, answer_timeout: Duration) {
+        let base_version = *self.node.held_version.borrow();
+        let Some(mut client) = self.node.control_pool.client(lead.address) else {
+            return self
+                .lead_choice
+                .lead_silent(self.node.proxy.age_ms(), lead.node);
         };
-        let began = Instant::now();
+        let started = Instant::now();
         let mut leads = self.node.leads.subscribe();
         let answer = tokio::select! {
-            answer = client.follow(have, wait, answer) => answer,
+            answer = client.follow(base_version, wait, answer_timeout) => answer,
             // Another one may be better by now.
             _ = leads.changed() => return,
         };
-        let took_ms = clock::since_ms(began);
-        let newer = match answer {
-            Ok(newer) => newer,
+        let took_ms = clock::since_ms(started);
+        let response = match answer {
+            Ok(response) => response,
             Err(error) => {
                 log::info!(lead:% = lead.node, error:%, took_ms; "the lead gives no answer");
-                self.node.control.forget(lead.address);
-                return self.choice.lead_silent(self.node.proxy.age_ms(), lead.node);
+                self.node.control_pool.forget(lead.address);
+                return self
+                    .lead_choice
+                    .lead_silent(self.node.proxy.age_ms(), lead.node);
             }
         };
-        let offered = newer.offer.as_ref();
+        let offered = response.offer.as_ref();
         let len_bytes = offered.map_or(0, |offer| offer.content.len_bytes());
-        log_late("lead", took_ms, wait, len_bytes);
+        log_late_answer("lead", took_ms, wait, len_bytes);
         let (now_ms, budget) = (self.node.proxy.age_ms(), self.node.budget());
-        let state = newer.state;
-        if !self.choice.lead_answered(now_ms, lead.node, state, budget) {
+        let state = response.state;
+        if !self
+            .lead_choice
+            .lead_answered(now_ms, lead.node, state, budget)
+        {
             log::info!(
                 lead:% = lead.node, store_age_ms = state.store_age_ms, blind = state.blind;
                 "the lead hears nothing of the store"
             );
         }
         self.node.proxy.store_was_read(state.store_age_ms);
-        if let Some(offer) = newer.offer {
-            self.tell(ConfigurationMsg::FromLead { offer, have });
+        if let Some(offer) = response.offer {
+            self.send(ConfigurationMsg::LeadOffer {
+                offer,
+                base_version,
+            });
         }
     }
 
     async fn read_store(&mut self) {
-        let unwatched_ms = self.node.proxy.store_age_ms().unwrap_or(0);
+        let last_read_age_ms = self.node.proxy.store_age_ms().unwrap_or(0);
         let budget = self.node.budget();
-        let answer = Duration::from_millis(self.choice.store_answer_ms(budget));
-        let began = Instant::now();
+        let answer_timeout = Duration::from_millis(self.lead_choice.store_answer_ms(budget));
+        let started = Instant::now();
         let recent = self
             .position
-            .filter(|(_, reached)| reached.elapsed() < POSITION_AGE_MAX);
+            .filter(|(_, reached_at)| reached_at.elapsed() < MAX_POSITION_AGE);
         let (wait, read) = match recent {
-            None => (Duration::ZERO, self.feed.newest(answer).await),
+            None => (Duration::ZERO, self.feed.newest(answer_timeout).await),
             Some((position, _)) => {
-                let wait_ms = self.choice.store_wait_ms(self.node.proxy.age_ms(), budget);
+                let wait_ms = self
+                    .lead_choice
+                    .store_wait_ms(self.node.proxy.age_ms(), budget);
                 let wait = Duration::from_millis(wait_ms);
-                (wait, self.feed.after(position, wait, answer).await)
+                (wait, self.feed.after(position, wait, answer_timeout).await)
             }
         };
-        let took_ms = clock::since_ms(began);
+        let took_ms = clock::since_ms(started);
         match read {
-            Ok(told) => {
-                log_late("store", took_ms, wait, told.len_bytes);
-                self.store_told(told, unwatched_ms);
+            Ok(answer) => {
+                log_late_answer("store", took_ms, wait, answer.len_bytes);
+                self.handle_store_answer(answer, last_read_age_ms);
             }
             Err(Error::HistoryGone) => {
                 log::info!("the store has dropped its history; reading the newest version");
                 self.position = None;
             }
-            Err(error) => self.store_failed(&error, took_ms).await,
+            Err(error) => self.handle_store_failure(&error, took_ms).await,
         }
     }
 
-    fn store_told(&mut self, told: Told, unwatched_ms: u64) {
-        self.choice.store_answered();
-        self.position = Some((told.position, Instant::now()));
+    fn handle_store_answer(&mut self, answer: Told, last_read_age_ms: u64) {
+        self.lead_choice.store_answered();
+        self.position = Some((answer.position, Instant::now()));
         self.node.proxy.store_was_read(0);
-        self.tell(ConfigurationMsg::Written {
-            configuration: told.configuration.map(Box::new),
-            unwatched_ms,
+        self.send(ConfigurationMsg::StoreRead {
+            configuration: answer.configuration.map(Box::new),
+            last_read_age_ms,
         });
     }
 
-    async fn store_failed(&mut self, error: &Error, took_ms: u64) {
+    async fn handle_store_failure(&mut self, error: &Error, took_ms: u64) {
         let failure = match error {
             Error::Silent { .. } => StoreFailure::Silent,
             _ => StoreFailure::Refused,
         };
-        let pause_ms = self.choice.store_failed(failure, self.node.budget());
+        let pause_ms = self.lead_choice.store_failed(failure, self.node.budget());
         let pause_ms = jittered_ms(pause_ms, rand::random());
         log::info!(error:%, took_ms, pause_ms; "reading the store failed");
-        self.tell(ConfigurationMsg::NotRead);
-        self.node.blind.send_replace(self.choice.is_blind());
+        self.send(ConfigurationMsg::StoreReadFailed);
+        self.node
+            .store_failing
+            .send_replace(self.lead_choice.is_blind());
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
 
-    fn tell(&self, message: ConfigurationMsg) {
+    fn send(&self, message: ConfigurationMsg) {
         // The actor is gone only while the process ends.
         let _ = self.configuration.cast(message);
     }
 }
 
-/// Logs an answer that took longer than `wait`, for which it may wait for news, and [`LATE_MS`].
-fn log_late(source: &str, took_ms: u64, wait: Duration, len_bytes: usize) {
+/// Logs an answer that took longer than `wait`, for which it may wait for news, and [`LATE_ANSWER_MS`].
+fn log_late_answer(source: &str, took_ms: u64, wait: Duration, len_bytes: usize) {
     let wait_ms = clock::whole_ms(wait);
-    if took_ms >= wait_ms + LATE_MS {
+    if took_ms >= wait_ms + LATE_ANSWER_MS {
         log::warn!(source, took_ms, wait_ms, len_bytes; "an answer came late");
     }
 }
--- a/src/node/freeze.rs
+++ b/src/node/freeze.rs
@@ -17,7 +17,7 @@
 use crate::proxy::state::FREEZE_GAP_MS;
 use crate::util::clock;
 
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 pub(crate) async fn watch(
     node: Arc<NodeState>,
@@ -28,13 +28,14 @@
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            () = tokio::time::sleep(TICK) => (),
+            () = tokio::time::sleep(TICK_INTERVAL) => (),
         }
         let now_ms = clock::since_ms(node.proxy.started);
         let boot_us = clock::boot_us();
-        let steady_gap_ms = now_ms.saturating_sub(node.proxy.last_tick_ms.load(Ordering::Acquire));
+        let monotonic_gap_ms =
+            now_ms.saturating_sub(node.proxy.last_tick_ms.load(Ordering::Acquire));
         let boot_gap_ms = boot_us.saturating_sub(last_boot_us) / 1_000;
-        let gap_ms = steady_gap_ms.max(boot_gap_ms);
+        let gap_ms = monotonic_gap_ms.max(boot_gap_ms);
         last_boot_us = boot_us;
         if gap_ms >= FREEZE_GAP_MS {
             log::warn!(gap_ms; "this process was frozen; it catches up before it admits work");
--- a/src/node/listeners.rs
+++ b/src/node/listeners.rs
@@ -12,7 +12,7 @@
 
 use crate::node::operator::Operator;
 use crate::node::recorder;
-use crate::node::run::{ListenSnafu, Result, Stops};
+use crate::node::run::{ListenSnafu, Result, ShutdownTokens};
 use crate::node::settings::Settings;
 use crate::node::state::NodeState;
 use crate::peer::server::ControlService;
@@ -46,19 +46,19 @@
             caller: listen("callers", settings.caller_listen).await?,
             peer: listen("peers", settings.peer_listen).await?,
             operator: listen("operators", settings.operator_listen).await?,
-            ready: listen_if_asked("readiness", settings.ready_listen).await?,
-            announce: listen_if_asked("announcements", settings.announce_listen).await?,
+            ready: listen_if_configured("readiness", settings.ready_listen).await?,
+            announce: listen_if_configured("announcements", settings.announce_listen).await?,
         })
     }
 
     /// Where they listen.
     pub(crate) fn addresses(&self, settings: &Settings) -> Addresses {
         Addresses {
-            caller: bound(&self.caller, settings.caller_listen),
-            peer: bound(&self.peer, settings.peer_listen),
-            operator: bound(&self.operator, settings.operator_listen),
-            ready: bound_if_asked(self.ready.as_ref(), settings.ready_listen),
-            announce: bound_if_asked(self.announce.as_ref(), settings.announce_listen),
+            caller: local_address(&self.caller, settings.caller_listen),
+            peer: local_address(&self.peer, settings.peer_listen),
+            operator: local_address(&self.operator, settings.operator_listen),
+            ready: local_address_if_configured(self.ready.as_ref(), settings.ready_listen),
+            announce: local_address_if_configured(self.announce.as_ref(), settings.announce_listen),
         }
     }
 
@@ -67,7 +67,7 @@
         self,
         node: &Arc<NodeState>,
         control: ControlService,
-        stops: &Stops,
+        shutdown: &ShutdownTokens,
         tasks: &TaskTracker,
     ) -> (JoinHandle<()>, JoinHandle<()>) {
         let operator = Arc::new(Operator {
@@ -77,47 +77,54 @@
         let callers = tasks.spawn(listener::callers::serve(
             self.caller,
             Arc::clone(&node.proxy),
-            stops.callers.clone(),
-            stops.all.clone(),
+            shutdown.callers.clone(),
+            shutdown.all.clone(),
         ));
         let peers = tasks.spawn(listener::peers::serve(
             self.peer,
             Arc::clone(&node.proxy),
             control,
-            stops.peers.clone(),
-            stops.all.clone(),
+            shutdown.peers.clone(),
+            shutdown.all.clone(),
         ));
         for listener in [self.ready, self.announce].into_iter().flatten() {
             let operator = Arc::clone(&operator);
-            let all = stops.all.clone();
+            let all = shutdown.all.clone();
             tasks.spawn(operators::serve_platform(listener, operator, all));
         }
-        tasks.spawn(operators::serve(self.operator, operator, stops.all.clone()));
+        tasks.spawn(operators::serve(
+            self.operator,
+            operator,
+            shutdown.all.clone(),
+        ));
         (callers, peers)
     }
 }
 
-async fn listen(what: &'static str, address: SocketAddr) -> Result<TcpListener> {
+async fn listen(purpose: &'static str, address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address)
         .await
-        .context(ListenSnafu { what, address })
+        .context(ListenSnafu { purpose, address })
 }
 
-async fn listen_if_asked(
-    what: &'static str,
+async fn listen_if_configured(
+    purpose: &'static str,
     address: Option<SocketAddr>,
 ) -> Result<Option<TcpListener>> {
     match address {
-        Some(address) => listen(what, address).await.map(Some),
+        Some(address) => listen(purpose, address).await.map(Some),
         None => Ok(None),
     }
 }
 
-fn bound_if_asked(listener: Option<&TcpListener>, asked: Option<SocketAddr>) -> Option<SocketAddr> {
-    let (listener, asked) = listener.zip(asked)?;
-    Some(bound(listener, asked))
+fn local_address_if_configured(
+    listener: Option<&TcpListener>,
+    configured: Option<SocketAddr>,
+) -> Option<SocketAddr> {
+    let (listener, configured) = listener.zip(configured)?;
+    Some(local_address(listener, configured))
 }
 
-fn bound(listener: &TcpListener, asked: SocketAddr) -> SocketAddr {
-    listener.local_addr().unwrap_or(asked)
+fn local_address(listener: &TcpListener, configured: SocketAddr) -> SocketAddr {
+    listener.local_addr().unwrap_or(configured)
 }
--- a/src/node/listeners/operators.rs
+++ b/src/node/listeners/operators.rs
@@ -18,8 +18,8 @@
         let operator = Arc::clone(&operator);
         async move {
             // Whoever restarts VMs asks for readiness and holds no secret of the mesh.
-            let is_open = request.uri().path() == "/ready";
-            if !is_open && !may_speak(&operator.node.proxy, &request) {
+            let is_public = request.uri().path() == "/ready";
+            if !is_public && !may_speak(&operator.node.proxy, &request) {
                 return unauthorized();
             }
             operator.handle(request).await.map(body::boxed)
--- a/src/node/changes.rs
+++ b/src/node/liveness_log.rs
@@ -16,7 +16,7 @@
         .map(|member| (member.node, member.liveness))
         .collect();
     for member in &after.members {
-        let (weight, what) = match (known.get(&member.node), member.liveness) {
+        let (weight, event) = match (known.get(&member.node), member.liveness) {
             (Some(before), now) if *before == now => continue,
             (None, _) => (Weight::Routine, "member joined"),
             (Some(_), Liveness::Suspect) => (Weight::Routine, "member is suspect"),
@@ -26,16 +26,16 @@
             (Some(_), Liveness::Left) => (Weight::Notable, "member left"),
         };
         if decisions.may_log(weight) {
-            note(member, what);
+            log_member(member, event);
         }
     }
 }
 
-fn note(member: &Member, what: &str) {
+fn log_member(member: &Member, event: &str) {
     log::info!(
         member:% = member.node,
         data_centre:% = member.place.data_centre,
         incarnation_us = member.incarnation_us;
-        "{what}"
+        "{event}"
     );
 }
--- a/src/node/logging/bounded.rs
+++ b/src/node/logging/bounded.rs
@@ -8,55 +8,55 @@
 use logforth::record::Record;
 use logforth::{Append, Diagnostic, Error};
 
-use super::Queue;
+use super::QueueLimit;
 
 /// In front of the thread: lets in as many lines as there is room for.
 #[derive(Debug)]
-pub(super) struct Entering<A> {
-    queue: Arc<Queue>,
-    to: A,
+pub(super) struct ReservingAppend<A> {
+    queue_limit: Arc<QueueLimit>,
+    inner: A,
 }
 
-impl<A> Entering<A> {
-    pub(super) fn new(queue: Arc<Queue>, to: A) -> Self {
-        Self { queue, to }
+impl<A> ReservingAppend<A> {
+    pub(super) fn new(queue_limit: Arc<QueueLimit>, inner: A) -> Self {
+        Self { queue_limit, inner }
     }
 }
 
-impl<A: Append> Append for Entering<A> {
+impl<A: Append> Append for ReservingAppend<A> {
     fn append(&self, record: &Record<'_>, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        match self.queue.enter() {
-            true => self.to.append(record, diags),
+        match self.queue_limit.try_reserve() {
+            true => self.inner.append(record, diags),
             false => Ok(()),
         }
     }
 
     fn flush(&self) -> Result<(), Error> {
-        self.to.flush()
+        self.inner.flush()
     }
 }
 
 /// On the thread: gives room back once a line is written.
 #[derive(Debug)]
-pub(super) struct Leaving<A> {
-    queue: Arc<Queue>,
-    to: A,
+pub(super) struct ReleasingAppend<A> {
+    queue_limit: Arc<QueueLimit>,
+    inner: A,
 }
 
-impl<A> Leaving<A> {
-    pub(super) fn new(queue: Arc<Queue>, to: A) -> Self {
-        Self { queue, to }
+impl<A> ReleasingAppend<A> {
+    pub(super) fn new(queue_limit: Arc<QueueLimit>, inner: A) -> Self {
+        Self { queue_limit, inner }
     }
 }
 
-impl<A: Append> Append for Leaving<A> {
+impl<A: Append> Append for ReleasingAppend<A> {
     fn append(&self, record: &Record<'_>, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        let written = self.to.append(record, diags);
-        self.queue.leave();
+        let written = self.inner.append(record, diags);
+        self.queue_limit.release();
         written
     }
 
     fn flush(&self) -> Result<(), Error> {
-        self.to.flush()
+        self.inner.flush()
     }
 }
--- a/src/node/membership.rs
+++ b/src/node/membership.rs
@@ -14,38 +14,38 @@
 use crate::distribution::lead_choice::Leads;
 use crate::membership::link::NEWS_PAUSE_MS;
 use crate::membership::{Exchange, Gossip, Membership, Timing};
-use crate::node::changes;
 use crate::node::configuration::{ConfigurationMsg, Role};
+use crate::node::liveness_log;
 use crate::node::state::NodeState;
 use crate::proxy::view::View;
 use crate::util::clock;
 
 /// How often due heartbeats and suspicions are looked for. News does not wait for it.
-const TICK: Duration = Duration::from_millis(250);
+const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Between two copies of the view for requests: a burst of changes, as when a herd restarts, makes
 /// one copy instead of hundreds; a draining server still disappears at once for a person.
-const VIEW_PAUSE_MS: u64 = 50;
+const MIN_VIEW_INTERVAL_MS: u64 = 50;
 
 #[derive(Debug)]
 pub(crate) enum MembershipMsg {
     Tick,
     /// News that was gathered may go out.
-    Wake,
+    SendDeferred,
     /// A peer started an exchange.
     Receive(Gossip, RpcReplyPort<Gossip>),
     /// An exchange of ours was answered.
-    Answered(Exchange, Gossip),
+    ExchangeAnswered(Exchange, Gossip),
     /// An exchange of ours was not answered.
-    Failed(Exchange),
-    Seeds(Vec<SocketAddr>),
+    ExchangeFailed(Exchange),
+    AddSeeds(Vec<SocketAddr>),
     SetBackend(Option<ServiceName>, BackendState),
     /// A version is accepted, as a hint or the head row says.
-    Head(Stamp),
+    SetHead(Stamp),
     /// The content is here and about to be enforced.
     SetHeld(Stamp),
     SetEnforced(Version),
-    Remembered(NodeId, RpcReplyPort<Version>),
+    GetRecordedVersion(NodeId, RpcReplyPort<Version>),
     /// Say goodbye and answer once the neighbours have been told.
     Leave(RpcReplyPort<()>),
 }
@@ -54,7 +54,7 @@
 
 pub(crate) struct Arguments {
     pub(crate) node: Arc<NodeState>,
-    pub(crate) me: Member,
+    pub(crate) local_member: Member,
     pub(crate) configuration: ActorRef<ConfigurationMsg>,
 }
 
@@ -62,9 +62,9 @@
     node: Arc<NodeState>,
     membership: Membership,
     configuration: ActorRef<ConfigurationMsg>,
-    published_generation: u64,
-    published_ms: u64,
-    woken: bool,
+    published_view_generation: u64,
+    view_published_ms: u64,
+    send_scheduled: bool,
     role: Role,
 }
 
@@ -78,15 +78,15 @@
         myself: ActorRef<Self::Msg>,
         arguments: Arguments,
     ) -> Result<State, ActorProcessingErr> {
-        myself.send_interval(TICK, || MembershipMsg::Tick);
+        myself.send_interval(TICK_INTERVAL, || MembershipMsg::Tick);
         let seeds = arguments.node.proxy.settings.peer_seeds.clone();
         Ok(State {
-            membership: Membership::new(arguments.me, seeds, Timing::default()),
+            membership: Membership::new(arguments.local_member, seeds, Timing::default()),
             node: arguments.node,
             configuration: arguments.configuration,
-            published_generation: 0,
-            published_ms: 0,
-            woken: false,
+            published_view_generation: 0,
+            view_published_ms: 0,
+            send_scheduled: false,
             role: Role::default(),
         })
     }
@@ -100,50 +100,52 @@
         let now_ms = clock::since_ms(state.node.proxy.started);
         match message {
             MembershipMsg::Tick => (),
-            MembershipMsg::Wake => state.woken = false,
+            MembershipMsg::SendDeferred => state.send_scheduled = false,
             MembershipMsg::Receive(gossip, reply) => {
                 let answer = state.membership.receive(now_ms, &gossip);
                 // A caller that gave up waiting hears of it again with the next heartbeat.
                 let _ = reply.send(answer);
-                state.announce(&gossip);
+                state.forward_announcement(&gossip);
             }
-            MembershipMsg::Answered(sent, answer) => {
+            MembershipMsg::ExchangeAnswered(sent, answer) => {
                 state.membership.exchange_done(now_ms, &sent, &answer);
-                state.announce(&answer);
+                state.forward_announcement(&answer);
             }
-            MembershipMsg::Failed(sent) => state.membership.exchange_failed(now_ms, &sent),
-            MembershipMsg::Seeds(seeds) => state.membership.add_seeds(seeds),
-            MembershipMsg::SetBackend(service, backend) => {
-                state.membership.set_backend(service, backend);
+            MembershipMsg::ExchangeFailed(sent) => state.membership.exchange_failed(now_ms, &sent),
+            MembershipMsg::AddSeeds(seeds) => state.membership.add_seeds(seeds),
+            MembershipMsg::SetBackend(service, backend_state) => {
+                state.membership.set_backend(service, backend_state);
             }
-            MembershipMsg::Head(stamp) => state.membership.set_head(stamp),
+            MembershipMsg::SetHead(stamp) => state.membership.set_head(stamp),
             MembershipMsg::SetHeld(stamp) => state.membership.set_held(stamp),
             MembershipMsg::SetEnforced(version) => state.membership.set_enforced(version),
-            MembershipMsg::Remembered(node, reply) => {
+            MembershipMsg::GetRecordedVersion(node, reply) => {
                 let _ = reply.send(state.membership.remembered(node));
             }
             MembershipMsg::Leave(reply) => {
                 state.membership.leave();
-                state.say_goodbye(now_ms).await;
+                state.announce_leave(now_ms).await;
                 let _ = reply.send(());
             }
         }
         for exchange in state.membership.tick(now_ms) {
-            state.start(&myself, exchange);
+            state.start_exchange(&myself, exchange);
         }
-        if state.membership.has_deferred(now_ms) && !std::mem::replace(&mut state.woken, true) {
+        if state.membership.has_deferred(now_ms)
+            && !std::mem::replace(&mut state.send_scheduled, true)
+        {
             let pause = Duration::from_millis(NEWS_PAUSE_MS);
-            myself.send_after(pause, || MembershipMsg::Wake);
+            myself.send_after(pause, || MembershipMsg::SendDeferred);
         }
-        state.tell_role();
-        state.publish(now_ms);
+        state.update_role();
+        state.publish_view(now_ms);
         Ok(())
     }
 }
 
 impl State {
-    fn start(&self, myself: &ActorRef<MembershipMsg>, exchange: Exchange) {
-        let Some(mut client) = self.node.control.client(exchange.address) else {
+    fn start_exchange(&self, myself: &ActorRef<MembershipMsg>, exchange: Exchange) {
+        let Some(mut client) = self.node.control_pool.client(exchange.address) else {
             return;
         };
         let myself = myself.clone();
@@ -152,13 +154,13 @@
             let message = match client.exchange(&exchange.gossip).await {
                 Ok(answer) => {
                     count_exchange("answered");
-                    MembershipMsg::Answered(exchange, answer)
+                    MembershipMsg::ExchangeAnswered(exchange, answer)
                 }
                 Err(error) => {
                     count_exchange("failed");
                     log::debug!(peer:% = exchange.address, error:%; "heartbeat failed");
-                    node.control.forget(exchange.address);
-                    MembershipMsg::Failed(exchange)
+                    node.control_pool.forget(exchange.address);
+                    MembershipMsg::ExchangeFailed(exchange)
                 }
             };
             let _ = myself.cast(message);
@@ -166,11 +168,11 @@
     }
 
     /// Passes on what a peer knows of, and whether it holds it.
-    fn announce(&self, gossip: &Gossip) {
+    fn forward_announcement(&self, gossip: &Gossip) {
         // A stamp that this node has confirmed to know is not repeated; its version tells.
         let head = self.membership.head();
-        let known = (head.version == gossip.version).then_some(head);
-        let Some(stamp) = gossip.announce.or(known) else {
+        let shared_head = (head.version == gossip.version).then_some(head);
+        let Some(stamp) = gossip.announce.or(shared_head) else {
             return;
         };
         let holds = stamp.version > Version::NONE && stamp.version <= gossip.version;
@@ -191,25 +193,25 @@
     }
 
     /// Tells the configuration actor what this node's part is, when it changes.
-    fn tell_role(&mut self) {
+    fn update_role(&mut self) {
         let neighbours = self.membership.neighbours();
         let role = Role {
             gateway_rank: self.membership.gateway_rank(),
             watcher_rank: self.membership.watcher_rank(),
             neighbours: neighbours.filter_map(|(node, _)| self.peer(node)).collect(),
-            witnessed: self.membership.witnessed(),
+            witnessed_version: self.membership.witnessed(),
             alone: self.membership.is_alone(),
             last_in_data_centre: self.membership.is_last_in_data_centre(),
         };
         let leads = self.leads();
-        self.node.leads.send_if_modified(|known| {
-            let changed = *known != leads;
-            *known = leads;
+        self.node.leads.send_if_modified(|stored| {
+            let changed = *stored != leads;
+            *stored = leads;
             changed
         });
         if role != self.role {
             self.role = role.clone();
-            let _ = self.configuration.cast(ConfigurationMsg::Role(role));
+            let _ = self.configuration.cast(ConfigurationMsg::SetRole(role));
         }
     }
 
@@ -224,39 +226,41 @@
         }
     }
 
-    async fn say_goodbye(&mut self, now_ms: u64) {
-        let mut goodbyes = tokio::task::JoinSet::new();
+    async fn announce_leave(&mut self, now_ms: u64) {
+        let mut exchanges = tokio::task::JoinSet::new();
         for exchange in self.membership.tick(now_ms) {
-            if let Some(mut client) = self.node.control.client(exchange.address) {
+            if let Some(mut client) = self.node.control_pool.client(exchange.address) {
                 // A neighbour that does not hear it finds out by its own heartbeat.
-                goodbyes.spawn(async move { client.exchange(&exchange.gossip).await });
+                exchanges.spawn(async move { client.exchange(&exchange.gossip).await });
             }
         }
-        goodbyes.join_all().await;
+        exchanges.join_all().await;
     }
 
     /// Gives requests a new copy of the view, if it changed and the last one is not too young;
     /// the next tick makes up for it then.
-    fn publish(&mut self, now_ms: u64) {
+    fn publish_view(&mut self, now_ms: u64) {
         let generation = self.membership.generation();
-        let young = now_ms.saturating_sub(self.published_ms) < VIEW_PAUSE_MS;
-        if generation == self.published_generation || (young && self.published_generation > 0) {
+        let is_recent = now_ms.saturating_sub(self.view_published_ms) < MIN_VIEW_INTERVAL_MS;
+        if generation == self.published_view_generation
+            || (is_recent && self.published_view_generation > 0)
+        {
             return;
         }
-        self.published_generation = generation;
-        self.published_ms = now_ms;
+        self.published_view_generation = generation;
+        self.view_published_ms = now_ms;
         let neighbours = self.membership.neighbours();
-        let mut wanted: BTreeSet<SocketAddr> = neighbours
+        let mut peer_addresses: BTreeSet<SocketAddr> = neighbours
             .filter_map(|(node, _)| self.membership.address_of(node))
             .collect();
-        wanted.extend(self.leads().before.iter().map(|lead| lead.address));
-        self.node.control.retain(&wanted);
-        metrics::gauge!("dragonflywall_neighbours").set(wanted.len() as f64);
+        peer_addresses.extend(self.leads().before.iter().map(|lead| lead.address));
+        self.node.control_pool.retain(&peer_addresses);
+        metrics::gauge!("dragonflywall_neighbours").set(peer_addresses.len() as f64);
         let members = self.membership.members_with_versions();
         let mut view = View::new(members, self.node.proxy.me, &self.node.proxy.settings.place);
         view.data_centres = self.membership.summaries();
         metrics::gauge!("dragonflywall_members_alive").set(view.alive() as f64);
-        changes::log_liveness(
+        liveness_log::log_liveness(
             &self.node.proxy.decisions,
             &self.node.proxy.view.load(),
             &view,
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -22,7 +22,7 @@
 use crate::core::names::is_name;
 use crate::core::status::{Announcement, Status};
 use crate::core::version::Stamp;
-use crate::node::local::Noted;
+use crate::node::backend_announcements::AnnouncementReply;
 use crate::node::membership::MembershipMsg;
 use crate::node::state::NodeState;
 use crate::platform::listeners;
@@ -40,7 +40,7 @@
             (&Method::GET, "/ready") => self.ready(),
             (&Method::GET, "/status") => json(&self.status()),
             (&Method::GET, "/metrics") => text(StatusCode::OK, self.metrics()),
-            (&Method::POST, "/backend-server") => self.announce(request).await,
+            (&Method::POST, "/backend-server") => self.accept_announcement(request).await,
             (&Method::POST, "/drain") => self.drain(),
             _ => text(StatusCode::NOT_FOUND, "no such operator request\n"),
         }
@@ -53,18 +53,18 @@
         };
         metrics::gauge!("dragonflywall_gate_slots_in_use").set(in_use);
         metrics::gauge!("dragonflywall_gate_waiting").set(waiting);
-        let coming = self.node.proxy.bodies_coming.load(Ordering::Acquire);
-        metrics::gauge!("dragonflywall_uploads_coming").set(coming);
+        let incoming_bodies = self.node.proxy.bodies_coming.load(Ordering::Acquire);
+        metrics::gauge!("dragonflywall_uploads_coming").set(incoming_bodies);
         self.metrics.render()
     }
 
     /// Why the node takes no requests, if it takes none.
-    pub(crate) fn why_not_ready(&self) -> Option<&'static str> {
+    pub(crate) fn not_ready_reason(&self) -> Option<&'static str> {
         if self.node.proxy.leaving.is_cancelled() {
             return Some("draining");
         }
-        if let Some(why) = **self.node.waiting.load() {
-            return Some(why);
+        if let Some(reason) = **self.node.blocked_reason.load() {
+            return Some(reason);
         }
         if !self.node.proxy.is_fresh() {
             return Some("the process was frozen and catches up");
@@ -76,9 +76,9 @@
     }
 
     fn ready(&self) -> Response<Full<Bytes>> {
-        match self.why_not_ready() {
+        match self.not_ready_reason() {
             None => text(StatusCode::OK, "ready\n"),
-            Some(why) => text(StatusCode::SERVICE_UNAVAILABLE, format!("{why}\n")),
+            Some(reason) => text(StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n")),
         }
     }
 
@@ -97,9 +97,9 @@
         Status {
             node: self.node.proxy.me,
             enforced: stamp.unwrap_or(Stamp::NONE),
-            ready: self.why_not_ready().is_none(),
+            ready: self.not_ready_reason().is_none(),
             lacking,
-            follows: *self.node.follows.borrow(),
+            follows: *self.node.followed_node.borrow(),
             members: view.members.clone(),
             data_centres: view.data_centres.clone(),
         }
@@ -108,13 +108,13 @@
     /// Drains the backend server and leaves the node up as an entry for callers. May be asked again
     /// to see how much is left.
     fn drain(&self) -> Response<Full<Bytes>> {
-        if !self.node.drained.swap(true, Ordering::AcqRel) {
+        if !self.node.drained_by_operator.swap(true, Ordering::AcqRel) {
             log::info!("draining the backend server by command");
             let backend = self.node.proxy.backend.load();
             let service = backend.as_ref().map(|backend| backend.service.clone());
             self.node.proxy.close_gate();
             self.node
-                .tell_membership(MembershipMsg::SetBackend(service, BackendState::Draining));
+                .send_to_membership(MembershipMsg::SetBackend(service, BackendState::Draining));
         }
         let in_flight = self.node.proxy.admission().in_use();
         json(&serde_json::json!({ "draining": true, "in_flight": in_flight }))
@@ -139,7 +139,7 @@
         match listeners::announcement(&parts.method, path, &body.to_bytes(), local) {
             Ok(announcement) => {
                 // Whether or not its "ready" is taken, it has been heard.
-                self.node.hear(&announcement);
+                self.node.handle_announcement(&announcement);
                 text(StatusCode::OK, "noted\n")
             }
             Err(error) => {
@@ -149,7 +149,7 @@
         }
     }
 
-    async fn announce(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+    async fn accept_announcement(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let body = Limited::new(request.into_body(), ANNOUNCEMENT_MAX_BYTES);
         let Ok(body) = body.collect().await else {
             return text(StatusCode::BAD_REQUEST, "the announcement is too long\n");
@@ -161,9 +161,9 @@
         if !is_name(announcement.service.as_str()) {
             return text(StatusCode::BAD_REQUEST, "the service is not a name\n");
         }
-        match self.node.hear(&announcement) {
-            Noted::Yes => text(StatusCode::OK, "noted\n"),
-            Noted::Draining => text(StatusCode::CONFLICT, "the node is draining\n"),
+        match self.node.handle_announcement(&announcement) {
+            AnnouncementReply::Accepted => text(StatusCode::OK, "noted\n"),
+            AnnouncementReply::Draining => text(StatusCode::CONFLICT, "the node is draining\n"),
         }
     }
 }
--- a/src/node/recorder.rs
+++ b/src/node/recorder.rs
@@ -13,7 +13,7 @@
 ];
 
 /// How often new samples are put into their buckets; until then each takes memory of its own.
-const UPKEEP: Duration = Duration::from_secs(5);
+const UPKEEP_INTERVAL: Duration = Duration::from_secs(5);
 
 /// The process's recorder, installed when first asked for.
 pub(crate) fn handle() -> PrometheusHandle {
@@ -35,11 +35,11 @@
 }
 
 /// Keeps the memory of samples bounded until `stop`.
-pub(crate) async fn keep_up(stop: CancellationToken) {
+pub(crate) async fn run_maintenance(stop: CancellationToken) {
     loop {
         tokio::select! {
             () = stop.cancelled() => return,
-            () = tokio::time::sleep(UPKEEP) => handle().run_upkeep(),
+            () = tokio::time::sleep(UPKEEP_INTERVAL) => handle().run_upkeep(),
         }
     }
 }
--- a/src/node/registration.rs
+++ b/src/node/registration.rs
@@ -29,50 +29,51 @@
 use crate::util::clock;
 
 /// Between renewals. 520 nodes renew about once in two seconds together.
-const RENEWAL: Duration = Duration::from_secs(1_200);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(1_200);
 /// Reads of the watchers after the start: those who started at the same time register meanwhile.
-const FURTHER_READS: [Duration; 3] = [
+const FOLLOW_UP_READ_DELAYS: [Duration; 3] = [
     Duration::from_secs(2),
     Duration::from_secs(4),
     Duration::from_secs(15),
 ];
 /// A row that was not renewed for three renewals is of a VM that is gone.
-const ROW_AGE_MAX_MS: u64 = 3 * 1_200_000;
+const MAX_ROW_AGE_MS: u64 = 3 * 1_200_000;
 /// Until the first tries have worked.
-const RETRY: Backoff = Backoff::new(400, RETRY_LONGEST_MS);
-const RETRY_LONGEST_MS: u64 = 10_000;
+const RETRY_BACKOFF: Backoff = Backoff::new(400, RETRY_MAX_MS);
+const RETRY_MAX_MS: u64 = 10_000;
 /// Registrations read at a time: enough to find a live one, a fraction of the mesh.
 const PAGE_ROWS: u32 = 16;
 /// And while the node has found nobody, since those may all be of VMs that are gone.
-const LONG_PAGE_ROWS: u32 = 128;
+const LARGE_PAGE_ROWS: u32 = 128;
 /// The first page is read within as long a span as the read of the own row took: a store that answers at
 /// once has room for more, and one that a herd of 520 asks at the same moment makes it wait. This is the
 /// longest such span, and that of a node whose first read failed: 520 reads in it, and as many first looks
 /// at the head, are half of the table's ceiling.
-const FIRST_READ_SPREAD_MAX: Duration = Duration::from_millis(1_000);
+const MAX_FIRST_PAGE_SPREAD: Duration = Duration::from_millis(1_000);
 /// Span of the writes of a herd per row found. A full page means a large mesh.
 const WRITE_SPREAD_PER_ROW: Duration = Duration::from_millis(120);
 
 pub(crate) async fn run(
     node: Arc<NodeState>,
-    me: Member,
-    platform: NodeStore,
+    local_member: Member,
+    store: NodeStore,
     membership: ActorRef<MembershipMsg>,
     stop: CancellationToken,
 ) {
     let registration = Registration {
         node,
-        me,
-        platform,
+        local_member,
+        store,
         membership,
     };
-    stop.run_until_cancelled(registration.keep()).await;
+    stop.run_until_cancelled(registration.run_until_stopped())
+        .await;
 }
 
 struct Registration {
     node: Arc<NodeState>,
-    me: Member,
-    platform: NodeStore,
+    local_member: Member,
+    store: NodeStore,
     membership: ActorRef<MembershipMsg>,
 }
 
@@ -80,14 +81,14 @@
     /// Reads the own row and takes up the backend server that the process before this one knew, so that it is of use
     /// before its next announcement. A row that is out of date does no harm: each request names the instance that it
     /// is meant for, any other turns it away, and the next announcement sets it right.
-    async fn recall(&self) -> Result<()> {
-        let Some(row) = self.platform.row(&node_key(self.me.node)).await? else {
+    async fn read_own_row(&self) -> Result<()> {
+        let Some(row) = self.store.row(&node_key(self.local_member.node)).await? else {
             return Ok(());
         };
         match serde_json::from_str::<NodeRow>(&row.value) {
             Ok(row) => {
                 if let Some(announcement) = row.backend {
-                    self.node.recall(&announcement);
+                    self.node.restore_backend(&announcement);
                 }
             }
             Err(error) => log::warn!(error:%; "the own row cannot be read"),
@@ -95,61 +96,61 @@
         Ok(())
     }
 
-    async fn keep(&self) {
-        self.join().await;
-        tokio::join!(self.read_further(), self.keep_row());
+    async fn run_until_stopped(&self) {
+        self.join_mesh().await;
+        tokio::join!(self.discover_late_nodes(), self.renew_row());
     }
 
     /// Reads and writes until the node is registered and has found somebody.
-    async fn join(&self) {
-        let began = Instant::now();
-        let spread = match self.recall().await {
-            Ok(()) => began.elapsed().min(FIRST_READ_SPREAD_MAX),
+    async fn join_mesh(&self) {
+        let started = Instant::now();
+        let spread = match self.read_own_row().await {
+            Ok(()) => started.elapsed().min(MAX_FIRST_PAGE_SPREAD),
             Err(error) => {
                 log::info!(error:%; "the own row was not read");
-                FIRST_READ_SPREAD_MAX
+                MAX_FIRST_PAGE_SPREAD
             }
         };
-        sleep_within(spread).await;
+        sleep_random(spread).await;
         let mut failures = 0;
         let mut page_rows = PAGE_ROWS;
         loop {
-            let found = self.bootstrap(page_rows).await;
-            let rows = found.as_ref().map_or(PAGE_ROWS, |rows| *rows);
-            sleep_within(WRITE_SPREAD_PER_ROW * rows.min(PAGE_ROWS)).await;
-            let done = self.register().await;
+            let row_count = self.read_seeds(page_rows).await;
+            let rows = row_count.as_ref().map_or(PAGE_ROWS, |rows| *rows);
+            sleep_random(WRITE_SPREAD_PER_ROW * rows.min(PAGE_ROWS)).await;
+            let registered = self.register().await;
             let alone = self.is_alone();
-            if done.is_ok() && found.is_ok() && !alone {
+            if registered.is_ok() && row_count.is_ok() && !alone {
                 return;
             }
-            page_rows = if alone { LONG_PAGE_ROWS } else { PAGE_ROWS };
-            sleep_about(Duration::from_millis(RETRY.pause_ms(failures))).await;
+            page_rows = if alone { LARGE_PAGE_ROWS } else { PAGE_ROWS };
+            sleep_jittered(Duration::from_millis(RETRY_BACKOFF.pause_ms(failures))).await;
             failures += 1;
         }
     }
 
-    async fn read_further(&self) {
-        for pause in FURTHER_READS {
-            sleep_about(pause).await;
+    async fn discover_late_nodes(&self) {
+        for pause in FOLLOW_UP_READ_DELAYS {
+            sleep_jittered(pause).await;
             self.read_as_watcher().await;
         }
         loop {
-            sleep_about(RENEWAL).await;
+            sleep_jittered(RENEWAL_INTERVAL).await;
             self.read_as_watcher().await;
         }
     }
 
     /// Writes the row again now and then, and when it no longer says what is beside the node.
-    async fn keep_row(&self) {
+    async fn renew_row(&self) {
         loop {
             tokio::select! {
-                () = sleep_about(RENEWAL) => (),
-                () = self.node.backend_news.notified() => (),
+                () = sleep_jittered(RENEWAL_INTERVAL) => (),
+                () = self.node.backend_changed.notified() => (),
             }
             let mut failures = 0;
             while let Err(error) = self.register().await {
                 log::debug!(error:%; "the own row was not written");
-                sleep_about(Duration::from_millis(RETRY.pause_ms(failures))).await;
+                sleep_jittered(Duration::from_millis(RETRY_BACKOFF.pause_ms(failures))).await;
                 failures += 1;
             }
         }
@@ -161,75 +162,75 @@
 
     async fn read_as_watcher(&self) {
         let view = self.node.proxy.view.load_full();
-        let watchers = neighbours::watchers(&self.me, view.members.iter());
+        let watchers = neighbours::watchers(&self.local_member, view.members.iter());
         let alone = self.is_alone();
-        if alone || watchers.contains(&self.me.node) {
-            let rows = if alone { LONG_PAGE_ROWS } else { PAGE_ROWS };
+        if alone || watchers.contains(&self.local_member.node) {
+            let rows = if alone { LARGE_PAGE_ROWS } else { PAGE_ROWS };
             // A failure is made up for with the next read.
-            let _ = self.bootstrap(rows).await;
+            let _ = self.read_seeds(rows).await;
         }
     }
 
     async fn register(&self) -> Result<()> {
         let row = NodeRow {
-            node: self.me.node,
-            external: self.me.external,
-            place: self.me.place.clone(),
+            node: self.local_member.node,
+            external: self.local_member.external,
+            place: self.local_member.place.clone(),
             renewed_ms: clock::wall_ms(),
             backend: self.node.announcements().serving().cloned(),
         };
         let value = serde_json::to_string(&row).expect("rows always encode");
         let transaction = Transaction {
             conditions: Vec::new(),
-            puts: [(node_key(self.me.node), value)].into(),
+            puts: [(node_key(self.local_member.node), value)].into(),
         };
-        self.platform.transact(&transaction).await.map(drop)
+        self.store.transact(&transaction).await.map(drop)
     }
 
     /// Reads a page of registrations behind the own one, or the first page at the end of the list.
     /// Returns how many rows there were.
-    async fn bootstrap(&self, page_rows: u32) -> Result<u32> {
-        let own_key = node_key(self.me.node);
-        let mut rows = self.platform.rows(NODE_PREFIX, &own_key, page_rows).await?;
+    async fn read_seeds(&self, page_rows: u32) -> Result<u32> {
+        let own_key = node_key(self.local_member.node);
+        let mut rows = self.store.rows(NODE_PREFIX, &own_key, page_rows).await?;
         if rows.len() < page_rows as usize / 2 {
-            rows.extend(self.platform.rows(NODE_PREFIX, "", page_rows).await?);
+            rows.extend(self.store.rows(NODE_PREFIX, "", page_rows).await?);
         }
-        let seeds = seeds(&rows, &self.me);
-        let _ = self.membership.cast(MembershipMsg::Seeds(seeds));
+        let seeds = seeds(&rows, &self.local_member);
+        let _ = self.membership.cast(MembershipMsg::AddSeeds(seeds));
         Ok(u32::try_from(rows.len()).unwrap_or(u32::MAX))
     }
 }
 
 /// Half to whole of the pause, so that nodes that started together drift apart.
-async fn sleep_about(pause: Duration) {
+async fn sleep_jittered(pause: Duration) {
     let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
     let jittered_ms = pacing::jittered_ms(pause_ms, rand::random());
     tokio::time::sleep(Duration::from_millis(jittered_ms)).await;
 }
 
-async fn sleep_within(span: Duration) {
+async fn sleep_random(span: Duration) {
     let share = rand::rng().random_range(0.0..1.0);
     tokio::time::sleep(span.mul_f64(share)).await;
 }
 
 /// Addresses to greet, nearest first: an answer with the whole view need not cross the link.
-fn seeds(rows: &BTreeMap<String, Row>, me: &Member) -> Vec<SocketAddr> {
+fn seeds(rows: &BTreeMap<String, Row>, local_member: &Member) -> Vec<SocketAddr> {
     let now_ms = clock::wall_ms();
-    let mut found: Vec<NodeRow> = rows
+    let mut seed_rows: Vec<NodeRow> = rows
         .values()
         .filter_map(|row| serde_json::from_str::<NodeRow>(&row.value).ok())
-        .filter(|row| row.node != me.node)
-        .filter(|row| now_ms.saturating_sub(row.renewed_ms) < ROW_AGE_MAX_MS)
+        .filter(|row| row.node != local_member.node)
+        .filter(|row| now_ms.saturating_sub(row.renewed_ms) < MAX_ROW_AGE_MS)
         .collect();
     // Nodes that read the same page must not all greet the same few.
-    let salt = me.node.to_string();
-    found.sort_by_cached_key(|row| {
-        let distance = me.place.distance_to(&row.place);
+    let salt = local_member.node.to_string();
+    seed_rows.sort_by_cached_key(|row| {
+        let distance = local_member.place.distance_to(&row.place);
         (distance, neighbours::weight(row.node, &salt))
     });
-    let address = |row: &NodeRow| match row.place == me.place {
+    let address = |row: &NodeRow| match row.place == local_member.place {
         true => row.node.0,
         false => row.external,
     };
-    found.iter().map(address).collect()
+    seed_rows.iter().map(address).collect()
 }
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -15,35 +15,35 @@
 
 /// How often the file is looked at. A change without a signal is in force about as soon as a
 /// configuration is.
-const LOOK: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Looks after the file that `node`'s settings came from; without one a signal changes nothing.
 pub(crate) async fn run(node: Arc<NodeState>, stop: CancellationToken) {
-    let hangups = match signal(SignalKind::hangup()) {
-        Ok(hangups) => hangups,
+    let sighups = match signal(SignalKind::hangup()) {
+        Ok(sighups) => sighups,
         Err(error) => {
             log::error!(error:%; "SIGHUP cannot be handled; a changed file is still noticed");
             return;
         }
     };
     let path = node.proxy.settings.config_file.clone();
-    let watch = Watch {
-        seen: path.as_deref().and_then(Seen::of),
+    let watcher = FileWatcher {
+        last_version: path.as_deref().and_then(FileVersion::read),
         path,
         node,
     };
-    stop.run_until_cancelled(watch.watch(hangups)).await;
+    stop.run_until_cancelled(watcher.watch(sighups)).await;
 }
 
 /// What tells one writing of a file from the next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Seen {
+struct FileVersion {
     modified: SystemTime,
     len_bytes: u64,
 }
 
-impl Seen {
-    fn of(path: &Path) -> Option<Self> {
+impl FileVersion {
+    fn read(path: &Path) -> Option<Self> {
         let metadata = std::fs::metadata(path).ok()?;
         Some(Self {
             modified: metadata.modified().ok()?,
@@ -52,28 +52,28 @@
     }
 }
 
-struct Watch {
+struct FileWatcher {
     node: Arc<NodeState>,
     path: Option<PathBuf>,
-    seen: Option<Seen>,
+    last_version: Option<FileVersion>,
 }
 
-impl Watch {
-    async fn watch(mut self, mut hangups: Signal) {
+impl FileWatcher {
+    async fn watch(mut self, mut sighups: Signal) {
         loop {
-            let told = tokio::select! {
-                _ = hangups.recv() => true,
-                () = tokio::time::sleep(LOOK) => false,
+            let signalled = tokio::select! {
+                _ = sighups.recv() => true,
+                () = tokio::time::sleep(POLL_INTERVAL) => false,
             };
             let Some(path) = &self.path else {
-                if told {
+                if signalled {
                     log::info!("SIGHUP: the settings are flags and variables, nothing to reload");
                 }
                 continue;
             };
-            let seen = Seen::of(path);
-            if told || (seen.is_some() && seen != self.seen) {
-                self.seen = seen;
+            let version = FileVersion::read(path);
+            if signalled || (version.is_some() && version != self.last_version) {
+                self.last_version = version;
                 reload(&self.node, path);
             }
         }
@@ -81,7 +81,7 @@
 }
 
 fn reload(node: &NodeState, path: &Path) {
-    let read = match file::read(path, &node.proxy.settings.given) {
+    let read = match file::read(path, &node.proxy.settings.explicit_values) {
         Ok(read) => read,
         Err(error) => {
             let problems = error.problems.join("; ");
@@ -90,17 +90,17 @@
         }
     };
     let before = node.proxy.tunable.load();
-    let now = read.tunable();
+    let now = read.reloadable();
     let changed = **before != now;
-    let waiting = needs_restart(&node.proxy.settings, &read).join(", ");
+    let pending_restart = needs_restart(&node.proxy.settings, &read).join(", ");
     node.proxy.tunable.store(Arc::new(now));
     node.proxy.refresh_retries();
-    log::info!(changed, needs_restart = waiting; "read the settings file again");
+    log::info!(changed, needs_restart = pending_restart; "read the settings file again");
 }
 
 /// Settings that differ and are only looked at when a node starts.
 fn needs_restart(running: &Settings, read: &Settings) -> Vec<&'static str> {
-    let fixed = [
+    let startup_settings = [
         ("caller-listen", running.caller_listen != read.caller_listen),
         ("peer-listen", running.peer_listen != read.peer_listen),
         ("ready-listen", running.ready_listen != read.ready_listen),
@@ -115,6 +115,6 @@
             running.backend_server != read.backend_server,
         ),
     ];
-    let differing = fixed.into_iter().filter(|(_, differs)| *differs);
+    let differing = startup_settings.into_iter().filter(|(_, differs)| *differs);
     differing.map(|(name, _)| name).collect()
 }
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -14,7 +14,7 @@
 use crate::core::dialect::Dialect;
 use crate::core::member::{BackendState, Liveness, Member, NodeId};
 use crate::core::version::Version;
-use crate::node::configuration::{ConfigurationActor, ConfigurationMsg, Origin};
+use crate::node::configuration::{ConfigurationActor, ConfigurationMsg, ConfigurationOrigin};
 use crate::node::listeners::Listeners;
 use crate::node::membership::{self, MembershipActor, MembershipMsg};
 use crate::node::registration;
@@ -31,30 +31,30 @@
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// Longest wait for neighbours to hear the goodbye.
-const GOODBYE_TIMEOUT_MS: u64 = 2_000;
+const LEAVE_TIMEOUT_MS: u64 = 2_000;
 
 /// Longest wait for other nodes to take the last bytes of answers.
-const FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
+const RESPONSE_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a node could not start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// An address cannot be listened on.
-    #[snafu(display("cannot listen on {address} for {what}"))]
+    #[snafu(display("cannot listen on {address} for {purpose}"))]
     Listen {
         /// Which listener.
-        what: &'static str,
+        purpose: &'static str,
         /// The address.
         address: SocketAddr,
         /// From the system.
         source: io::Error,
     },
     /// A control actor did not start.
-    #[snafu(display("cannot start the {what} actor"))]
+    #[snafu(display("cannot start the {actor} actor"))]
     Spawn {
         /// Which actor.
-        what: &'static str,
+        actor: &'static str,
         /// From the actor library.
         source: ractor::SpawnErr,
     },
@@ -76,15 +76,15 @@
     node: Arc<NodeState>,
     membership: ActorRef<MembershipMsg>,
     configuration: ActorRef<ConfigurationMsg>,
-    stops: Stops,
-    callers: JoinHandle<()>,
-    peers: JoinHandle<()>,
+    shutdown: ShutdownTokens,
+    callers_task: JoinHandle<()>,
+    peers_task: JoinHandle<()>,
     tasks: TaskTracker,
 }
 
 /// What ends the parts of a node, in the order in which they end.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Stops {
+pub(crate) struct ShutdownTokens {
     pub(crate) callers: CancellationToken,
     pub(crate) peers: CancellationToken,
     pub(crate) all: CancellationToken,
@@ -107,50 +107,50 @@
 pub async fn start(settings: Settings) -> Result<NodeHandle> {
     let listeners = Listeners::bind(&settings).await?;
     let addresses = listeners.addresses(&settings);
-    let me = own_statement(&settings, addresses.peer);
-    let node = NodeState::new(settings, me.node);
-    let origin = origin(&node.proxy.settings);
-    let (configuration, membership) = actors(&node, &me, origin.clone()).await?;
+    let local_member = initial_member(&settings, addresses.peer);
+    let node = NodeState::new(settings, local_member.node);
+    let origin = configuration_origin(&node.proxy.settings);
+    let (configuration, membership) = start_actors(&node, &local_member, origin.clone()).await?;
     node.set_membership(membership.clone());
 
-    let stops = Stops::default();
+    let shutdown = ShutdownTokens::default();
     let tasks = TaskTracker::new();
-    if let Origin::Written(again) = origin {
+    if let ConfigurationOrigin::Feed(resync) = origin {
         let feed = Client::new(
             &node.proxy.settings.platform_url,
             node.proxy.settings.dial_from,
         );
-        let all = stops.all.clone();
+        let all = shutdown.all.clone();
         let configuration = configuration.clone();
         let node = Arc::clone(&node);
-        tasks.spawn(follower::run(node, feed, configuration, again, all));
+        tasks.spawn(follower::run(node, feed, configuration, resync, all));
     }
     let control = ControlService {
         membership: membership.clone(),
         configuration: configuration.clone(),
         node: Arc::clone(&node),
     };
-    let (callers, peers) = listeners.serve(&node, control, &stops, &tasks);
+    let (callers_task, peers_task) = listeners.serve(&node, control, &shutdown, &tasks);
     tasks.spawn(registration::run(
         Arc::clone(&node),
-        me.clone(),
-        store_of(&node.proxy.settings),
+        local_member.clone(),
+        node_store(&node.proxy.settings),
         membership.clone(),
-        stops.all.clone(),
+        shutdown.all.clone(),
     ));
-    tasks.spawn(recorder::keep_up(stops.all.clone()));
-    tasks.spawn(reload::run(Arc::clone(&node), stops.all.clone()));
+    tasks.spawn(recorder::run_maintenance(shutdown.all.clone()));
+    tasks.spawn(reload::run(Arc::clone(&node), shutdown.all.clone()));
     tasks.spawn(freeze::watch(
         Arc::clone(&node),
         configuration.clone(),
-        stops.all.clone(),
+        shutdown.all.clone(),
     ));
-    let without = node.proxy.without();
-    if !without.is_empty() {
-        log::warn!(without:%; "mechanisms are switched off");
+    let disabled_mechanisms = node.proxy.without();
+    if !disabled_mechanisms.is_empty() {
+        log::warn!(disabled_mechanisms:%; "mechanisms are switched off");
     }
     log::info!(
-        node:% = me.node,
+        node:% = local_member.node,
         caller:% = addresses.caller,
         operator:% = addresses.operator;
         "listening"
@@ -164,14 +164,14 @@
         node,
         membership,
         configuration,
-        stops,
-        callers,
-        peers,
+        shutdown,
+        callers_task,
+        peers_task,
         tasks,
     })
 }
 
-fn store_of(settings: &Settings) -> NodeStore {
+fn node_store(settings: &Settings) -> NodeStore {
     let url = &settings.platform_url;
     match settings.dialect {
         Dialect::Own => NodeStore::Own(HttpStore::new(url, settings.dial_from)),
@@ -179,36 +179,38 @@
     }
 }
 
-fn origin(settings: &Settings) -> Origin {
+fn configuration_origin(settings: &Settings) -> ConfigurationOrigin {
     match settings.dialect {
         Dialect::Own => {
             let store = HttpStore::new(&settings.platform_url, settings.dial_from);
-            Origin::Published(store)
+            ConfigurationOrigin::Published(store)
         }
-        Dialect::Platform => Origin::Written(Arc::default()),
+        Dialect::Platform => ConfigurationOrigin::Feed(Arc::default()),
     }
 }
 
-async fn actors(
+async fn start_actors(
     node: &Arc<NodeState>,
-    me: &Member,
-    origin: Origin,
+    local_member: &Member,
+    origin: ConfigurationOrigin,
 ) -> Result<(ActorRef<ConfigurationMsg>, ActorRef<MembershipMsg>)> {
     let arguments = (Arc::clone(node), origin);
     let (configuration, _) = Actor::spawn(None, ConfigurationActor, arguments)
         .await
         .context(SpawnSnafu {
-            what: "configuration",
+            actor: "configuration",
         })?;
     let arguments = membership::Arguments {
         node: Arc::clone(node),
-        me: me.clone(),
+        local_member: local_member.clone(),
         configuration: configuration.clone(),
     };
     let (membership, _) = Actor::spawn(None, MembershipActor, arguments)
         .await
-        .context(SpawnSnafu { what: "membership" })?;
-    let _ = configuration.cast(ConfigurationMsg::Membership(membership.clone()));
+        .context(SpawnSnafu {
+            actor: "membership",
+        })?;
+    let _ = configuration.cast(ConfigurationMsg::SetMembership(membership.clone()));
     Ok((configuration, membership))
 }
 
@@ -246,15 +248,18 @@
             .membership
             .cast(MembershipMsg::SetBackend(service, BackendState::Draining));
         let drain_timeout_ms = self.node.proxy.tunable.load().drain_timeout_ms;
-        let limit = Duration::from_millis(drain_timeout_ms);
-        if tokio::time::timeout(limit, self.finish()).await.is_err() {
+        let drain_timeout = Duration::from_millis(drain_timeout_ms);
+        if tokio::time::timeout(drain_timeout, self.wait_for_requests())
+            .await
+            .is_err()
+        {
             log::warn!(drain_timeout_ms; "requests in flight were cut");
         }
-        let _ = ractor::call_t!(self.membership, MembershipMsg::Leave, GOODBYE_TIMEOUT_MS);
-        self.stops.peers.cancel();
+        let _ = ractor::call_t!(self.membership, MembershipMsg::Leave, LEAVE_TIMEOUT_MS);
+        self.shutdown.peers.cancel();
         // Answers that were read whole may still be on their way out.
-        let _ = tokio::time::timeout(FLUSH_TIMEOUT, &mut self.peers).await;
-        self.stops.all.cancel();
+        let _ = tokio::time::timeout(RESPONSE_FLUSH_TIMEOUT, &mut self.peers_task).await;
+        self.shutdown.all.cancel();
         self.tasks.close();
         self.tasks.wait().await;
         self.membership.stop(None);
@@ -262,21 +267,24 @@
         log::info!("stopped");
     }
 
-    async fn finish(&mut self) {
+    async fn wait_for_requests(&mut self) {
         // Callers' connections that have been idle so long are closed; until then an answer says that
         // it is the last on its connection. A caller that sends while its idle connection is being
         // closed cannot know whether its request was read, so few are to be closed that way.
-        let least = Duration::from_millis(self.node.proxy.tunable.load().stop_least_ms);
+        let min_serving_time = Duration::from_millis(self.node.proxy.tunable.load().stop_least_ms);
         // Whatever the gate is asked from now on it refuses at once, so a request that comes
         // after the last one has ended cannot be lost by not being waited for.
         self.node.proxy.in_gate.close();
-        tokio::join!(self.node.proxy.in_gate.wait(), tokio::time::sleep(least));
-        self.stops.callers.cancel();
-        let _ = (&mut self.callers).await;
+        tokio::join!(
+            self.node.proxy.in_gate.wait(),
+            tokio::time::sleep(min_serving_time)
+        );
+        self.shutdown.callers.cancel();
+        let _ = (&mut self.callers_task).await;
     }
 }
 
-fn own_statement(settings: &Settings, peer_address: SocketAddr) -> Member {
+fn initial_member(settings: &Settings, peer_address: SocketAddr) -> Member {
     let node = settings.peer_advertise.unwrap_or(peer_address);
     let service = settings.backend_server.as_ref().map(|b| b.service.clone());
     // One that announces itself is sent nothing before it has; whoever is sent there until then finds no
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -16,7 +16,7 @@
 use lexopt::ValueExt;
 use snafu::Snafu;
 
-use self::specs::default_of;
+use self::specs::default_value;
 pub use self::specs::{SPECS, Spec};
 use crate::core::dialect::Dialect;
 use crate::core::mechanism::Without;
@@ -39,7 +39,7 @@
 }
 
 /// The HTTP library's smallest read buffer, which the head has to fit in.
-const CALLER_HEADER_LEAST_BYTES: usize = 8_192;
+const MIN_CALLER_HEADER_BYTES: usize = 8_192;
 
 /// How log lines are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -101,32 +101,32 @@
     #[builder(default)]
     pub backend_server_announces: bool,
     /// Longest head of a caller's request.
-    #[builder(default = default_of("caller-header-max-bytes"))]
+    #[builder(default = default_value("caller-header-max-bytes"))]
     pub caller_header_max_bytes: usize,
     /// Longest wait for the head of a caller's next request, in milliseconds.
-    #[builder(default = default_of("caller-header-timeout-ms"))]
+    #[builder(default = default_value("caller-header-timeout-ms"))]
     pub caller_header_timeout_ms: u64,
     /// Longest time without progress of a caller's body, either way, in milliseconds.
-    #[builder(default = default_of("caller-idle-timeout-ms"))]
+    #[builder(default = default_value("caller-idle-timeout-ms"))]
     pub caller_idle_timeout_ms: u64,
     /// Most connections of one caller's address.
-    #[builder(default = default_of("caller-connections-max"))]
+    #[builder(default = default_value("caller-connections-max"))]
     pub caller_connections_max: u32,
     /// Descriptors that the process may open, if it is told otherwise than by the system.
     pub descriptors_max: Option<u32>,
     /// Memory that the process may use, in megabytes, if it is limited.
     pub memory_mb: Option<u32>,
     /// Longest wait for requests in flight when stopping, in milliseconds.
-    #[builder(default = default_of("drain-timeout-ms"))]
+    #[builder(default = default_value("drain-timeout-ms"))]
     pub drain_timeout_ms: u64,
     /// Shortest time for which callers are still served when stopping, in milliseconds.
-    #[builder(default = default_of("stop-least-ms"))]
+    #[builder(default = default_value("stop-least-ms"))]
     pub stop_least_ms: u64,
     /// Time within which an accepted version is to be in force everywhere, in milliseconds.
-    #[builder(default = default_of("apply-within-ms"))]
+    #[builder(default = default_value("apply-within-ms"))]
     pub apply_within_ms: u64,
     /// Retries of a service's requests, in percent of the first attempts of an entry.
-    #[builder(default = default_of("retry-percent"))]
+    #[builder(default = default_value("retry-percent"))]
     pub retry_percent: u32,
     /// Retries of a service's requests beyond that share, all entries of the mesh together; if left
     /// out, ten for each entry.
@@ -135,25 +135,25 @@
     pub link_kbit_per_s: Option<u32>,
     /// Mechanisms that are switched off.
     #[builder(default)]
-    pub without: Without,
+    pub disabled_mechanisms: Without,
     /// How log lines are written.
-    #[builder(default = default_of("log-format"))]
+    #[builder(default = default_value("log-format"))]
     pub log_format: LogFormat,
     /// Least severe level that is logged.
-    #[builder(default = default_of("log-level"))]
+    #[builder(default = default_value("log-level"))]
     pub log_level: log::LevelFilter,
     /// The file that they were read from, if any.
     pub config_file: Option<PathBuf>,
     /// What flags and variables said.
     #[builder(default)]
-    pub given: Given,
+    pub explicit_values: ExplicitValues,
 }
 
 /// Settings as flags and variables gave them, by flag.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Given(BTreeMap<&'static str, String>);
+pub struct ExplicitValues(BTreeMap<&'static str, String>);
 
-impl Given {
+impl ExplicitValues {
     fn has(&self, flag: &str) -> bool {
         self.0.contains_key(flag)
     }
@@ -174,7 +174,7 @@
 
 /// Settings that may change under a running node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Tunable {
+pub(crate) struct ReloadableSettings {
     pub(crate) apply_within_ms: u64,
     pub(crate) drain_timeout_ms: u64,
     pub(crate) stop_least_ms: u64,
@@ -184,8 +184,8 @@
 
 impl Settings {
     /// What of it may change under a running node.
-    pub(crate) fn tunable(&self) -> Tunable {
-        Tunable {
+    pub(crate) fn reloadable(&self) -> ReloadableSettings {
+        ReloadableSettings {
             apply_within_ms: self.apply_within_ms,
             drain_timeout_ms: self.drain_timeout_ms,
             stop_least_ms: self.stop_least_ms,
@@ -213,7 +213,7 @@
 pub fn help() -> String {
     let mut text = String::new();
     for spec in SPECS {
-        let flag = format!("--{} {}", spec.flag, spec.value);
+        let flag = format!("--{} {}", spec.flag, spec.value_name);
         let _ = writeln!(text, "  {flag:<28}{}", spec.help);
         let default = match spec.default {
             "" => String::new(),
@@ -229,25 +229,25 @@
     arguments: impl IntoIterator<Item = OsString>,
     variable: impl Fn(&str) -> Option<String>,
 ) -> Result<Settings> {
-    let mut reader = Reader {
-        given: Given::default(),
+    let mut reader = SettingsReader {
+        explicit_values: ExplicitValues::default(),
         problems: Vec::new(),
     };
     reader.read_variables(variable);
     reader.read_flags(arguments);
-    reader.settings()
+    reader.into_settings()
 }
 
-struct Reader {
-    given: Given,
+struct SettingsReader {
+    explicit_values: ExplicitValues,
     problems: Vec<String>,
 }
 
-impl Reader {
+impl SettingsReader {
     fn read_variables(&mut self, variable: impl Fn(&str) -> Option<String>) {
         for spec in SPECS {
             if let Some(value) = variable(&spec.variable()) {
-                self.given.0.insert(spec.flag, value);
+                self.explicit_values.0.insert(spec.flag, value);
             }
         }
     }
@@ -272,7 +272,7 @@
             let value = parser.value().map(|value| value.string());
             match (spec, value) {
                 (Some(spec), Ok(Ok(value))) => {
-                    self.given.0.insert(spec.flag, value);
+                    self.explicit_values.0.insert(spec.flag, value);
                 }
                 (Some(spec), _) => self
                     .problems
@@ -282,19 +282,19 @@
         }
     }
 
-    fn settings(mut self) -> Result<Settings> {
-        if let Some(path) = self.text("config") {
-            return file::read(Path::new(&path), &self.given);
+    fn into_settings(mut self) -> Result<Settings> {
+        if let Some(path) = self.value("config") {
+            return file::read(Path::new(&path), &self.explicit_values);
         }
         let caller_listen = self.required("caller-listen");
         let peer_listen = self.required("peer-listen");
         let operator_listen = self.required("operator-listen");
         let peer_advertise = self.optional("peer-advertise");
         let peer_external = self.optional("peer-external");
-        let region = self.name("region");
-        let data_centre = self.name("data-centre");
-        let platform_url = self.url("platform");
-        let peer_seeds = self.list("peer-seeds");
+        let region = self.required_name("region");
+        let data_centre = self.required_name("data-centre");
+        let platform_url = self.required_url("platform");
+        let peer_seeds = self.address_list("peer-seeds");
         let dial_from = self.optional("dial-from");
         let mesh_token: MeshToken = self.optional("mesh-token").unwrap_or_default();
         self.require_token_beyond_loopback(&mesh_token, [peer_listen, operator_listen]);
@@ -310,7 +310,7 @@
         let apply_within_ms = self.required("apply-within-ms");
         let retry_percent = self.required("retry-percent");
         let link_kbit_per_s = self.optional("link-kbit-per-s");
-        let without = self.optional("without").unwrap_or_default();
+        let disabled_mechanisms = self.optional("without").unwrap_or_default();
         let log_format = self.required("log-format");
         let log_level = self.required("log-level");
         if !self.problems.is_empty() {
@@ -329,7 +329,7 @@
             apply_within_ms: apply_within_ms.expect(checked),
             retry_percent: retry_percent.expect(checked),
             link_kbit_per_s,
-            without,
+            disabled_mechanisms,
             caller_listen: caller_listen.expect(checked),
             peer_listen: peer_listen.expect(checked),
             operator_listen: operator_listen.expect(checked),
@@ -354,7 +354,7 @@
             log_format: log_format.expect(checked),
             log_level: log_level.expect(checked),
             config_file: None,
-            given: self.given,
+            explicit_values: self.explicit_values,
         })
     }
 
@@ -364,23 +364,23 @@
         token: &MeshToken,
         listeners: [Option<SocketAddr>; 2],
     ) {
-        let mut beyond = listeners.iter().flatten();
-        if token.is_empty() && beyond.any(|address| !address.ip().is_loopback()) {
-            self.problem(
+        let mut addresses = listeners.iter().flatten();
+        if token.is_empty() && addresses.any(|address| !address.ip().is_loopback()) {
+            self.add_problem(
                 "mesh-token",
                 "is required when --peer-listen or --operator-listen is not a loopback address",
             );
         }
     }
 
-    fn text(&self, flag: &str) -> Option<String> {
-        let given = self.given.0.get(flag).map(String::as_str);
-        let text = given.unwrap_or(Spec::of(flag).default);
+    fn value(&self, flag: &str) -> Option<String> {
+        let explicit = self.explicit_values.0.get(flag).map(String::as_str);
+        let text = explicit.unwrap_or(Spec::for_flag(flag).default);
         (!text.is_empty()).then(|| text.to_owned())
     }
 
-    fn problem(&mut self, flag: &str, what: &str) {
-        let variable = Spec::of(flag).variable();
+    fn add_problem(&mut self, flag: &str, what: &str) {
+        let variable = Spec::for_flag(flag).variable();
         self.problems.push(format!("--{flag} ({variable}): {what}"));
     }
 
@@ -388,11 +388,11 @@
     where
         T::Err: std::fmt::Display,
     {
-        let text = self.text(flag)?;
+        let text = self.value(flag)?;
         match text.parse() {
             Ok(value) => Some(value),
             Err(error) => {
-                self.problem(flag, &format!("`{text}` is refused: {error}"));
+                self.add_problem(flag, &format!("`{text}` is refused: {error}"));
                 None
             }
         }
@@ -402,8 +402,8 @@
     where
         T::Err: std::fmt::Display,
     {
-        if self.text(flag).is_none() {
-            self.problem(flag, "is required");
+        if self.value(flag).is_none() {
+            self.add_problem(flag, "is required");
             return None;
         }
         self.optional(flag)
@@ -412,40 +412,40 @@
     fn header_max_bytes(&mut self) -> Option<usize> {
         let flag = "caller-header-max-bytes";
         let bytes = self.required(flag)?;
-        if bytes >= CALLER_HEADER_LEAST_BYTES {
+        if bytes >= MIN_CALLER_HEADER_BYTES {
             return Some(bytes);
         }
-        let what = format!("{bytes} is below {CALLER_HEADER_LEAST_BYTES}");
-        self.problem(flag, &what);
+        let what = format!("{bytes} is below {MIN_CALLER_HEADER_BYTES}");
+        self.add_problem(flag, &what);
         None
     }
 
-    fn name(&mut self, flag: &str) -> Option<String> {
+    fn required_name(&mut self, flag: &str) -> Option<String> {
         let name: String = self.required(flag)?;
         if is_name(&name) {
             return Some(name);
         }
-        self.problem(flag, &format!("`{name}` is not a name"));
+        self.add_problem(flag, &format!("`{name}` is not a name"));
         None
     }
 
-    fn url(&mut self, flag: &str) -> Option<String> {
+    fn required_url(&mut self, flag: &str) -> Option<String> {
         let url: String = self.required(flag)?;
         let host = url.strip_prefix("http://");
         if host.is_some_and(|host| !host.is_empty()) {
             return Some(url);
         }
-        self.problem(flag, &format!("`{url}` does not start with http://"));
+        self.add_problem(flag, &format!("`{url}` does not start with http://"));
         None
     }
 
-    fn list(&mut self, flag: &str) -> Vec<SocketAddr> {
-        let text = self.text(flag).unwrap_or_default();
+    fn address_list(&mut self, flag: &str) -> Vec<SocketAddr> {
+        let text = self.value(flag).unwrap_or_default();
         let mut addresses = Vec::new();
         for part in text.split(',').filter(|part| !part.is_empty()) {
             match part.trim().parse() {
                 Ok(address) => addresses.push(address),
-                Err(error) => self.problem(flag, &format!("`{part}` is refused: {error}")),
+                Err(error) => self.add_problem(flag, &format!("`{part}` is refused: {error}")),
             }
         }
         addresses
@@ -453,18 +453,21 @@
 
     fn backend_server(&mut self) -> Option<BackendServer> {
         let address = self.optional("backend-server");
-        let service = self.text("service").is_some().then(|| self.name("service"));
+        let service = self
+            .value("service")
+            .is_some()
+            .then(|| self.required_name("service"));
         match (service.flatten(), address) {
             (Some(service), Some(address)) => Some(BackendServer {
                 service: ServiceName::new(service),
                 address,
             }),
-            (Some(_), None) if self.text("backend-server").is_none() => {
-                self.problem("service", "needs --backend-server as well");
+            (Some(_), None) if self.value("backend-server").is_none() => {
+                self.add_problem("service", "needs --backend-server as well");
                 None
             }
-            (None, Some(_)) if self.text("service").is_none() => {
-                self.problem("backend-server", "needs --service as well");
+            (None, Some(_)) if self.value("service").is_none() => {
+                self.add_problem("backend-server", "needs --service as well");
                 None
             }
             _ => None,
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -27,29 +27,29 @@
     pub(crate) proxy: Arc<ProxyState>,
     announcements: Mutex<Announcements>,
     /// The backend server has said something new.
-    pub(crate) backend_news: Notify,
+    pub(crate) backend_changed: Notify,
     membership: OnceLock<ActorRef<MembershipMsg>>,
     /// The operator has drained the backend server; an announcement does not undo that.
-    pub(crate) drained: AtomicBool,
+    pub(crate) drained_by_operator: AtomicBool,
     /// Connections for control traffic.
-    pub(crate) control: PeerPool,
+    pub(crate) control_pool: PeerPool,
     /// Why nothing is enforced, or not enough.
-    pub(crate) waiting: ArcSwap<Option<&'static str>>,
+    pub(crate) blocked_reason: ArcSwap<Option<&'static str>>,
     /// Newest version whose content is here; peers that follow this node wait on it.
-    pub(crate) held: watch::Sender<Version>,
+    pub(crate) held_version: watch::Sender<Version>,
     /// The nodes of this data centre that read the store for the others.
     pub(crate) leads: watch::Sender<Leads>,
     /// The node that this one hears of new versions from; none while it reads the store itself.
-    pub(crate) follows: watch::Sender<Option<NodeId>>,
+    pub(crate) followed_node: watch::Sender<Option<NodeId>>,
     /// Reads of the store fail here.
-    pub(crate) blind: watch::Sender<bool>,
+    pub(crate) store_failing: watch::Sender<bool>,
 }
 
 impl NodeState {
-    pub(crate) fn new(settings: Settings, me: NodeId) -> Arc<Self> {
-        let control = PeerPool::new(settings.dial_options());
+    pub(crate) fn new(settings: Settings, local_node: NodeId) -> Arc<Self> {
+        let control_pool = PeerPool::new(settings.dial_options());
         let vocabulary = vocabulary_of(settings.dialect);
-        let proxy = Arc::new(ProxyState::new(settings, vocabulary, me));
+        let proxy = Arc::new(ProxyState::new(settings, vocabulary, local_node));
         let announcements = match proxy.vocabulary.instance {
             Some(_) => Announcements::doubtful(),
             None => Announcements::default(),
@@ -57,15 +57,15 @@
         Arc::new(Self {
             proxy,
             announcements: Mutex::new(announcements),
-            backend_news: Notify::new(),
+            backend_changed: Notify::new(),
             membership: OnceLock::new(),
-            drained: AtomicBool::new(false),
-            control,
-            waiting: ArcSwap::default(),
-            held: watch::Sender::new(Version::NONE),
+            drained_by_operator: AtomicBool::new(false),
+            control_pool,
+            blocked_reason: ArcSwap::default(),
+            held_version: watch::Sender::new(Version::NONE),
             leads: watch::Sender::new(Leads::default()),
-            follows: watch::Sender::new(None),
-            blind: watch::Sender::new(false),
+            followed_node: watch::Sender::new(None),
+            store_failing: watch::Sender::new(false),
         })
     }
 
@@ -74,19 +74,20 @@
         Budget::new(self.proxy.tunable.load().apply_within_ms)
     }
 
-    /// Lets [`Self::tell_membership`] and the request path reach the actor.
+    /// Lets [`Self::send_to_membership`] and the request path reach the actor.
     pub(crate) fn set_membership(&self, membership: ActorRef<MembershipMsg>) {
-        let lost = membership.clone();
+        let loss_receiver = membership.clone();
         self.proxy.backend_lost.set(move |service| {
             // The actor is gone only while the process ends.
-            let _ = lost.cast(MembershipMsg::SetBackend(Some(service), BackendState::Gone));
+            let _ =
+                loss_receiver.cast(MembershipMsg::SetBackend(Some(service), BackendState::Gone));
         });
         // Set once, when the node starts.
         let _ = self.membership.set(membership);
     }
 
     /// Sends the membership actor a message; without it the process is starting or ending.
-    pub(crate) fn tell_membership(&self, message: MembershipMsg) {
+    pub(crate) fn send_to_membership(&self, message: MembershipMsg) {
         if let Some(membership) = self.membership.get() {
             let _ = membership.cast(message);
         }
@@ -94,7 +95,7 @@
 
     /// Whether the backend server gets no new work by an operator's or the system's will.
     pub(crate) fn is_stopping(&self) -> bool {
-        self.drained.load(Ordering::Acquire) || self.proxy.leaving.is_cancelled()
+        self.drained_by_operator.load(Ordering::Acquire) || self.proxy.leaving.is_cancelled()
     }
 
     pub(crate) fn announcements(&self) -> MutexGuard<'_, Announcements> {
--- a/src/node/store.rs
+++ b/src/node/store.rs
@@ -10,32 +10,32 @@
 use crate::util::clock;
 
 /// Longest chain of deltas read from the store instead of the snapshot: publications in a burst.
-const CHAIN_MAX: usize = 4;
+const MAX_DELTA_CHAIN: usize = 4;
 
 /// The accepted stamp, if the platform told it, and how long that took in milliseconds.
-pub(crate) async fn head(platform: &HttpStore) -> (Option<Stamp>, u64) {
-    let begin = Instant::now();
-    let head = accepted::head(platform).await;
+pub(crate) async fn read_head(store: &HttpStore) -> (Option<Stamp>, u64) {
+    let started = Instant::now();
+    let head = accepted::head(store).await;
     if let Err(error) = &head {
         log::debug!(error:%; "reading the head failed");
     }
     let result = if head.is_ok() { "read" } else { "failed" };
     metrics::counter!("dragonflywall_head_reads_total", "result" => result).increment(1);
-    (head.ok().map(|head| head.stamp), clock::since_ms(begin))
+    (head.ok().map(|head| head.stamp), clock::since_ms(started))
 }
 
 /// The content of `want`: the deltas from `held` where they are few, else the snapshot. Its age is not
 /// known here.
-pub(crate) async fn offer(platform: &HttpStore, held: Stamp, want: Stamp) -> Option<Offer> {
-    let newest = accepted::version_row(platform, want.version).await.ok()?;
+pub(crate) async fn read_offer(store: &HttpStore, held: Stamp, want: Stamp) -> Option<Offer> {
+    let newest = accepted::version_row(store, want.version).await.ok()?;
     let stamp = newest.stamp;
     let snapshot = newest.snapshot_object;
-    let steps = match rows_since(platform, held, newest).await {
-        Some(rows) => deltas(platform, &rows).await?,
+    let steps = match rows_since(store, held, newest).await {
+        Some(rows) => read_deltas(store, &rows).await?,
         None => Vec::new(),
     };
     let content = match steps.len() {
-        0 => Content::Snapshot(accepted::object(platform, &snapshot).await.ok()?),
+        0 => Content::Snapshot(accepted::object(store, &snapshot).await.ok()?),
         1 => Content::Delta(steps.into_iter().next()?.delta),
         _ => Content::Chain(steps),
     };
@@ -47,13 +47,9 @@
 }
 
 /// The rows from the one after `held` to `newest`, oldest first, if they are few.
-async fn rows_since(
-    platform: &HttpStore,
-    held: Stamp,
-    newest: VersionRow,
-) -> Option<Vec<VersionRow>> {
+async fn rows_since(store: &HttpStore, held: Stamp, newest: VersionRow) -> Option<Vec<VersionRow>> {
     let behind = newest.stamp.version.0.checked_sub(held.version.0)?;
-    if held.version == Version::NONE || behind > CHAIN_MAX as u64 {
+    if held.version == Version::NONE || behind > MAX_DELTA_CHAIN as u64 {
         return None;
     }
     let mut rows = vec![newest];
@@ -64,16 +60,16 @@
         if parent <= held.version {
             return None;
         }
-        rows.push(accepted::version_row(platform, parent).await.ok()?);
+        rows.push(accepted::version_row(store, parent).await.ok()?);
     }
     rows.reverse();
     Some(rows)
 }
 
-async fn deltas(platform: &HttpStore, rows: &[VersionRow]) -> Option<Vec<Step>> {
+async fn read_deltas(store: &HttpStore, rows: &[VersionRow]) -> Option<Vec<Step>> {
     let mut steps = Vec::with_capacity(rows.len());
     for row in rows {
-        let delta = accepted::object(platform, &row.delta_object).await.ok()?;
+        let delta = accepted::object(store, &row.delta_object).await.ok()?;
         let stamp = row.stamp;
         steps.push(Step { stamp, delta });
     }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -32,7 +32,7 @@
     async fn offer(&self, have: Version) -> Result<Option<Offer>, Status> {
         let offer = ractor::call_t!(
             self.configuration,
-            ConfigurationMsg::Offer,
+            ConfigurationMsg::GetOffer,
             ACTOR_TIMEOUT_MS,
             have
         );
@@ -73,8 +73,8 @@
         let request = request.get_ref();
         let have = Version(request.have_version);
         let wait = Duration::from_millis(u64::from(request.wait_ms)).min(FOLLOW_WAIT_MAX);
-        let mut held = self.node.held.subscribe();
-        let mut blind = self.node.blind.subscribe();
+        let mut held = self.node.held_version.subscribe();
+        let mut blind = self.node.store_failing.subscribe();
         let is_newer = tokio::select! {
             newer = held.wait_for(|held| *held > have) => newer.is_ok(),
             _ = blind.wait_for(|blind| *blind) => false,
@@ -89,7 +89,7 @@
         Ok(Response::new(wire::FollowReply {
             newer: Some(convert::offer_to_wire(offer)),
             store_age_ms,
-            blind: *self.node.blind.borrow(),
+            blind: *self.node.store_failing.borrow(),
         }))
     }
 
@@ -100,14 +100,14 @@
         let head = request.get_ref().head.as_ref();
         let head = convert::stamp_from_wire(head).map_err(|e| invalid(&e))?;
         // The actors are gone only while the process ends.
-        let _ = self.membership.cast(MembershipMsg::Head(head));
+        let _ = self.membership.cast(MembershipMsg::SetHead(head));
         let _ = self.configuration.cast(ConfigurationMsg::Announced {
             stamp: head,
             holder: None,
         });
         let enforced = ractor::call_t!(
             self.configuration,
-            ConfigurationMsg::Enforced,
+            ConfigurationMsg::GetEnforced,
             ACTOR_TIMEOUT_MS
         );
         let enforced = enforced.map_err(|_| stopping())?;
@@ -123,14 +123,14 @@
         let node = convert::address(&request.get_ref().node).map_err(|e| invalid(&e))?;
         let remembered = ractor::call_t!(
             self.membership,
-            MembershipMsg::Remembered,
+            MembershipMsg::GetRecordedVersion,
             ACTOR_TIMEOUT_MS,
             NodeId(node)
         );
         let remembered = remembered.map_err(|_| stopping())?;
         let enforced = ractor::call_t!(
             self.configuration,
-            ConfigurationMsg::Enforced,
+            ConfigurationMsg::GetEnforced,
             ACTOR_TIMEOUT_MS
         );
         let enforced = enforced.map_err(|_| stopping())?;
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -30,7 +30,7 @@
 use crate::decide::placement::{Balancer, LoadReport};
 use crate::decide::retry::{RetryPolicy, ServiceTokens};
 use crate::distribution::Applied;
-use crate::node::settings::{Settings, Tunable};
+use crate::node::settings::{ReloadableSettings, Settings};
 use crate::util::clock;
 
 /// A gap between two ticks from which the process counts as frozen.
@@ -41,7 +41,7 @@
 pub(crate) struct ProxyState {
     pub(crate) settings: Settings,
     /// What of the settings may change meanwhile, as it stands now.
-    pub(crate) tunable: ArcSwap<Tunable>,
+    pub(crate) tunable: ArcSwap<ReloadableSettings>,
     pub(crate) vocabulary: &'static Vocabulary,
     pub(crate) me: NodeId,
     pub(crate) started: Instant,
@@ -112,7 +112,7 @@
         let known = known.filter(|_| !settings.backend_server_announces);
         let backend = known.map(|known| Arc::new(LocalBackend::from(known)));
         let link_share = LinkShare::of_link(settings.link_kbit_per_s);
-        let without = settings.without;
+        let without = settings.disabled_mechanisms;
         Self {
             link_share,
             intake: Mutex::new(Intake::new(link_share)),
@@ -120,7 +120,7 @@
             bodies_coming: AtomicU32::new(0),
             granted: Granted::default(),
             vocabulary,
-            tunable: ArcSwap::from_pointee(settings.tunable()),
+            tunable: ArcSwap::from_pointee(settings.reloadable()),
             peers: PeerConnections::new(settings.dial_options()),
             me,
             started: Instant::now(),
@@ -145,7 +145,7 @@
 
     /// Mechanisms that are switched off.
     pub(crate) fn without(&self) -> Without {
-        self.settings.without
+        self.settings.disabled_mechanisms
     }
 
     /// Milliseconds since the process was started.
--- a/tests/testsuite/logs.rs
+++ b/tests/testsuite/logs.rs
@@ -22,7 +22,7 @@
 /// the morning the operator finds the death in its neighbours' logs, and the outage with its
 /// beginning and its end in that of the node that looked for the platform most.
 #[tokio::test(flavor = "multi_thread")]
-async fn outage_and_death_are_in_the_log() {
+async fn platform_outage_and_member_death_are_logged() {
     const VICTIM: usize = 1;
     let (sender, mut lines) = mpsc::unbounded_channel();
     let mut deployment = small(&["tablon"], 2);
@@ -35,23 +35,23 @@
     let mut victim = mesh.vms[VICTIM].node.take().expect("it runs");
     victim.signal(Signal::Kill);
     victim.ended().await.expect("it ends");
-    wait_for(&mut lines, |line| line.text.contains("member is dead")).await;
+    wait_for_line(&mut lines, |line| line.text.contains("member is dead")).await;
     mesh.start_node(VICTIM).await.expect("it starts");
     // Others look too, but some of them seldom; a node that starts looks about every second.
-    let of_victim = |text: &'static str| {
+    let line_of_victim = |text: &'static str| {
         move |line: &LogLine| line.position == VICTIM && line.text.contains(text)
     };
-    let begin = of_victim("the platform does not answer; what is enforced stays");
-    wait_for(&mut lines, begin).await;
+    let outage_begins = line_of_victim("the platform does not answer; what is enforced stays");
+    wait_for_line(&mut lines, outage_begins).await;
     mesh.platform.set_faults(Faults::default());
-    wait_for(&mut lines, of_victim("the platform answers again")).await;
+    wait_for_line(&mut lines, line_of_victim("the platform answers again")).await;
 }
 
 /// A payment is refused in the night: every endpoint of its service was being drained. The dealer
 /// complains with the id of the payment, and the operator finds under it, at the node that took it,
 /// where it was placed, what became of each attempt, and how it ended.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_log_tells_by_its_id_why_a_payment_was_refused() {
+async fn refused_request_is_logged_with_its_id_and_reason() {
     let (sender, mut lines) = mpsc::unbounded_channel();
     let mut deployment = small(&["tablon", "cobros"], 1);
     deployment.log_lines = Some(sender);
@@ -64,9 +64,9 @@
     }
     let reply = ask(entry, Method::POST, "cobros", "/payments/1", "complaint").await;
     assert_eq!(reply.expect("the node answers").status, 503);
-    let ended = wait_for(&mut lines, |line| {
+    let ended = wait_for_line(&mut lines, |line| {
         let fields = fields(line);
-        fields["request_id"] == "complaint" && fields["took_ms"].is_u64() && is_entry(line)
+        fields["request_id"] == "complaint" && fields["took_ms"].is_u64() && is_entry_log(line)
     });
     let fields = fields(&ended.await);
     assert_eq!(fields["verdict"], "not-run", "{fields}");
@@ -77,27 +77,27 @@
 
 /// From one node's log and metrics an operator sees by which way a version came and how old it was.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_log_tells_by_which_way_a_version_came() {
+async fn source_of_each_version_is_logged() {
     let (sender, mut lines) = mpsc::unbounded_channel();
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
     plan.log_lines = Some(sender);
     let mesh = start_users_serving(plan).await;
-    let mut ways = BTreeSet::new();
+    let mut sources = BTreeSet::new();
     // A node that has just started reads the store itself until it knows its lead.
     for version in 2.. {
         write_routes(&mesh, version, &users_routes(), &SERVICES);
         mesh.wait_enforced(version).await;
         for _ in &mesh.vms {
-            let learnt = |line: &LogLine| {
+            let is_learnt = |line: &LogLine| {
                 line.text.contains("learnt a version") && fields(line)["version"] == version
             };
-            let fields = fields(&wait_for(&mut lines, learnt).await);
+            let fields = fields(&wait_for_line(&mut lines, is_learnt).await);
             assert!(fields["age_ms"].is_u64(), "{fields}");
             assert!(fields["heard_ms"].is_u64(), "{fields}");
-            ways.extend(fields["way"].as_str().map(str::to_owned));
+            sources.extend(fields["way"].as_str().map(str::to_owned));
         }
-        if ways.contains("lead") && ways.contains("store") {
+        if sources.contains("lead") && sources.contains("store") {
             break;
         }
     }
@@ -114,15 +114,15 @@
 
 /// A lead that the store refuses says so in its log, with how long each read took.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_log_tells_of_each_failed_read_of_the_store() {
+async fn failed_store_reads_are_logged() {
     let (sender, mut lines) = mpsc::unbounded_channel();
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
     plan.log_lines = Some(sender);
     let mesh = start_users_serving(plan).await;
     mesh.store.set_trouble(Trouble::Reset);
-    let failed = |line: &LogLine| line.text.contains("reading the store failed");
-    let fields = fields(&wait_for(&mut lines, failed).await);
+    let is_failed_read = |line: &LogLine| line.text.contains("reading the store failed");
+    let fields = fields(&wait_for_line(&mut lines, is_failed_read).await);
     assert!(fields["took_ms"].is_u64(), "{fields}");
     assert!(fields["error"].is_string(), "{fields}");
 }
@@ -130,9 +130,9 @@
 /// Whoever collects a node's log stops reading. The pipe fills, and were a line written by whoever
 /// logs it, the next request that is refused would wait for ever, and all behind it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_log_that_nobody_reads_blocks_no_request() {
+async fn unread_log_output_blocks_no_request() {
     const REQUESTS: usize = 3_000;
-    let (_unread, node) = start_unread();
+    let (_process, node) = start_node_with_unread_output();
     let mut answered = 0;
     for number in 0..REQUESTS {
         let reply = ask(node.caller, Method::GET, "tablon", "/prices/copper", "x").await;
@@ -149,9 +149,9 @@
 }
 
 /// Killed when dropped, as its output is not read.
-struct Unread(Child);
+struct UnreadProcess(Child);
 
-impl Drop for Unread {
+impl Drop for UnreadProcess {
     fn drop(&mut self) {
         self.0.kill().expect("it is our child");
         self.0.wait().expect("it is our child");
@@ -159,7 +159,7 @@
 }
 
 /// A node without a platform, which refuses everything. Its output is read up to its addresses.
-fn start_unread() -> (Unread, Addresses) {
+fn start_node_with_unread_output() -> (UnreadProcess, Addresses) {
     let arguments = [
         "node",
         "--caller-listen=127.0.0.1:0",
@@ -175,7 +175,7 @@
         .args(arguments)
         .stdout(Stdio::piped())
         .spawn();
-    let mut child = Unread(child.expect("the program starts"));
+    let mut child = UnreadProcess(child.expect("the program starts"));
     let stdout = child.0.stdout.as_mut().expect("it is piped");
     let mut lines = BufReader::with_capacity(1, stdout).lines();
     let addresses = lines.find_map(|line| {
@@ -190,11 +190,11 @@
     line["kvs"].clone()
 }
 
-fn is_entry(line: &LogLine) -> bool {
+fn is_entry_log(line: &LogLine) -> bool {
     line.text.contains("dragonflywall::proxy::entry")
 }
 
-async fn wait_for(
+async fn wait_for_line(
     lines: &mut mpsc::UnboundedReceiver<LogLine>,
     is_wanted: impl Fn(&LogLine) -> bool,
 ) -> LogLine {
--- a/tests/testsuite/token.rs
+++ b/tests/testsuite/token.rs
@@ -38,20 +38,20 @@
 /// change the backend server. Without the check of the token both take effect. Either secret of a
 /// rotation is accepted, and readiness is open to whoever replaces VMs.
 #[tokio::test]
-async fn stranger_is_refused_at_peer_and_operator_listeners() {
+async fn requests_without_the_mesh_token_are_refused() {
     let platform = Platform::start(any_port()).await.expect("it starts");
     let backend = Backend::start(any_port(), "cobros-0", Behaviour::default()).await;
     let backend = backend.expect("it starts");
     let node = start_node(&platform, &backend).await;
     let operator = node.addresses.operator;
 
-    let forged = [
+    let forged_headers = [
         ("x-dragonflywall-data", "1"),
         ("x-dragonflywall-service", "cobros"),
     ];
     let peer = node.addresses.peer;
-    let stranger = Http2::connect(peer).await.expect("it listens");
-    let reply = stranger.request_with(Method::POST, "cobros", "/payments", &forged);
+    let client = Http2::connect(peer).await.expect("it listens");
+    let reply = client.request_with(Method::POST, "cobros", "/payments", &forged_headers);
     let reply = reply.await.expect("an answer");
     assert_eq!(reply.status, 401);
     assert_eq!(reply.header(VERDICT), "not-run");
@@ -61,8 +61,8 @@
         let reply = request(operator, Method::GET, "node", path, &[], "").await;
         assert_eq!(reply.expect("an answer").status, 401, "{path}");
     }
-    let wrong = [("x-dragonflywall-token", "wrong-horse-battery")];
-    let reply = request(operator, Method::GET, "node", "/status", &wrong, "").await;
+    let wrong_token = [("x-dragonflywall-token", "wrong-horse-battery")];
+    let reply = request(operator, Method::GET, "node", "/status", &wrong_token, "").await;
     assert_eq!(reply.expect("an answer").status, 401);
     for secret in [SECRET, OLD_SECRET] {
         let headers = [("x-dragonflywall-token", secret)];
@@ -79,7 +79,7 @@
 
 /// An operator forgets the token on a VM whose listeners face the network: the node does not start.
 #[tokio::test]
-async fn listeners_beyond_loopback_need_a_token() {
+async fn non_loopback_listeners_require_a_token() {
     let arguments = [
         "node",
         "--platform=http://127.0.0.1:1",
--- a/tests/testsuite/users_configuration.rs
+++ b/tests/testsuite/users_configuration.rs
@@ -23,7 +23,7 @@
 /// A service team moves a route, adds one and drops one. Once the version is in force everywhere, every
 /// node sends requests where it says, and answers 404 for what it no longer has.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_version_is_enforced_whole_by_every_node() {
+async fn every_node_enforces_all_changes_of_a_version() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let mut routes = users_routes();
     routes[0].to = vec![(SERVICES[1].to_owned(), 100)];
@@ -55,19 +55,22 @@
     write_routes(&mesh, 1, &routes, &SERVICES);
     mesh.wait_enforced(1).await;
     mesh.wait_serving().await;
-    let ran_by = async |path: &str, id: &str| {
+    let service_that_ran = async |path: &str, id: &str| {
         let reply = mesh.ask(0, &Asked::get(path, id)).await;
         assert_eq!(reply.expect("it is answered").status, 200);
         mesh.vms[users_runs(&mesh, id)[0]].service.clone()
     };
-    assert_eq!(ran_by("/stock/salt/1", "long").await, SERVICES[1]);
-    assert_eq!(ran_by("/stock/salt", "short").await, SERVICES[0]);
-    assert_eq!(ran_by("/stock/salt/fine/1", "host").await, SERVICES[1]);
+    assert_eq!(service_that_ran("/stock/salt/1", "long").await, SERVICES[1]);
+    assert_eq!(service_that_ran("/stock/salt", "short").await, SERVICES[0]);
+    assert_eq!(
+        service_that_ran("/stock/salt/fine/1", "host").await,
+        SERVICES[1]
+    );
 }
 
 /// A canary gets a tenth of a route's requests, from each node.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_split_route_is_divided_by_its_weights() {
+async fn split_route_follows_its_weights() {
     const REQUESTS: usize = 60;
     let mesh = start_users(Plan::new(&SERVICES)).await;
     let mut route = Route::new("/stock/", Kind::Idempotent, SERVICES[0]);
@@ -89,18 +92,18 @@
 /// The store serves some nodes and turns others away, in each of its ways, the lead of a data centre
 /// among them. A version that is written meanwhile still comes to all of them.
 #[tokio::test(flavor = "multi_thread")]
-async fn nodes_that_the_store_turns_away_hear_of_a_version() {
+async fn nodes_refused_by_the_store_receive_new_versions() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
-    let ways = [
+    let troubles = [
         Trouble::Busy,
         Trouble::Many,
         Trouble::Reset,
         Trouble::Silent,
     ];
-    for (number, way) in ways.into_iter().enumerate() {
+    for (number, trouble) in troubles.into_iter().enumerate() {
         // One of the two VMs of each data centre; each of the two in turn.
         for vm in mesh.vms.iter().skip(number % 2).step_by(2) {
-            mesh.store.set_trouble_for(vm.ip, way);
+            mesh.store.set_trouble_for(vm.ip, trouble);
         }
         let version = number as u64 + 2;
         write_routes(&mesh, version, &users_routes(), &SERVICES);
@@ -113,7 +116,7 @@
 
 /// Guards against a node that waits anew with each version that it hears of and enforces none.
 #[tokio::test(flavor = "multi_thread")]
-async fn versions_that_keep_coming_reach_a_data_centre_that_the_store_refuses() {
+async fn frequent_versions_reach_a_data_centre_refused_by_the_store() {
     const GAP: Duration = Duration::from_millis(100);
     const LAST: u64 = 10;
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -124,7 +127,7 @@
         mesh.store
             .set_trouble_for(mesh.vms[*position].ip, Trouble::Busy);
     }
-    let began = Instant::now();
+    let started = Instant::now();
     for version in 2.. {
         write_routes(&mesh, version, &users_routes(), &SERVICES);
         let mut behind = 0;
@@ -135,7 +138,7 @@
             break;
         }
         assert!(
-            began.elapsed() < LIMIT,
+            started.elapsed() < LIMIT,
             "{behind} nodes are below version {LAST}"
         );
         tokio::time::sleep(GAP).await;
@@ -144,7 +147,7 @@
 
 /// Guards against a data centre whose nodes all read the store because its lead cannot.
 #[tokio::test(flavor = "multi_thread")]
-async fn one_node_reads_the_store_in_place_of_a_lead_that_it_refuses() {
+async fn one_node_replaces_a_lead_refused_by_the_store() {
     const LAST: u64 = 12;
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
@@ -181,7 +184,7 @@
 
 /// Guards against a node that, turning from its lead to the store, is sent every version since its last read.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_turns_to_the_store_reads_the_newest_version_alone() {
+async fn node_switching_to_the_store_reads_only_the_newest_version() {
     const LAST: u64 = 30;
     const LEAST_ROWS_OF_HISTORY: usize = 10;
     let mut plan = Plan::new(&SERVICES);
@@ -207,7 +210,7 @@
 
 /// The store forgets its history between two versions; nobody misses the second one.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_forgets_its_history_loses_no_version() {
+async fn dropped_store_history_loses_no_version() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
     mesh.store.drop_history();
     write_routes(&mesh, 2, &users_routes(), &SERVICES);
@@ -221,15 +224,15 @@
 /// Somebody writes rows that are no configuration: cut short, with a service that is not there, with a
 /// negative time. What is in force stays in force, and the next whole one comes through.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_configuration_changes_nothing() {
+async fn invalid_configuration_is_not_enforced() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
-    let whole = testkit::users::configuration::text(2, &users_routes(), &SERVICES);
-    let broken = [
-        whole[..whole.len() / 2].to_owned(),
-        whole.replace(SERVICES[1], "nobody"),
-        whole.replace("\"5000ms\"", "\"-5000ms\""),
+    let valid_text = testkit::users::configuration::text(2, &users_routes(), &SERVICES);
+    let invalid_texts = [
+        valid_text[..valid_text.len() / 2].to_owned(),
+        valid_text.replace(SERVICES[1], "nobody"),
+        valid_text.replace("\"5000ms\"", "\"-5000ms\""),
     ];
-    for text in broken {
+    for text in invalid_texts {
         mesh.store.operator_writes("config", text.as_bytes());
     }
     write_routes(&mesh, 3, &users_routes(), &SERVICES);
@@ -243,7 +246,7 @@
 /// Versions come many a second. No node is ever seen with an older one than before, and all end with the
 /// last.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_node_goes_back_in_a_storm_of_versions() {
+async fn enforced_version_never_decreases_under_frequent_updates() {
     const LAST: u64 = 40;
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let mut seen = vec![1; mesh.vms.len()];
@@ -261,12 +264,12 @@
 /// The store is away when a node is started again. Its neighbours hand it the configuration, and not an
 /// older one than it had; once the store is back it follows that.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_starts_while_the_store_is_away_is_served_by_others() {
+async fn node_started_during_a_store_outage_gets_configuration_from_peers() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     write_routes(&mesh, 2, &users_routes(), &SERVICES);
     mesh.wait_enforced(2).await;
-    for way in [Trouble::Busy, Trouble::Silent] {
-        mesh.store.set_trouble(way);
+    for trouble in [Trouble::Busy, Trouble::Silent] {
+        mesh.store.set_trouble(trouble);
         mesh.kill_node(0).await.expect("it ends");
         mesh.start_node(0).await.expect("it starts");
         wait_until("the node serves again", LIMIT, || async {
@@ -285,7 +288,7 @@
 /// expects it, and it knows nobody itself: there are no seeds, and the rows by which nodes find each
 /// other lie in the store. The others look for it, and it serves again with what they enforce.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_was_stopped_while_the_store_is_away_is_found_by_others() {
+async fn node_restarted_during_a_store_outage_is_rediscovered_by_peers() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     mesh.store.set_trouble(Trouble::Silent);
     mesh.vms[0].node().signal(Signal::Terminate);
@@ -300,7 +303,7 @@
 
 /// A node without any configuration must not say that a route does not exist: 503, and come again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_node_that_knows_no_configuration_answers_503() {
+async fn node_without_configuration_answers_503() {
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
     let mesh = start_users(plan).await;
@@ -332,7 +335,7 @@
 /// Operators let connections be idle for longer. A caller that has been idle since before knows of the
 /// new time and uses its connection again after the old one: it is still there.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_longer_idle_time_holds_for_connections_that_are_idle_already() {
+async fn longer_idle_timeout_applies_to_idle_connections() {
     const OLD_MS: u32 = 3_000;
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let write = |version, idle_ms| {
--- a/tests/testsuite/users_settings.rs
+++ b/tests/testsuite/users_settings.rs
@@ -8,7 +8,7 @@
 
 use crate::support::{LIMIT, SERVICES, command, start_users_serving};
 
-fn small() -> Plan {
+fn single_data_centre_plan() -> Plan {
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
     plan
@@ -17,16 +17,16 @@
 /// A settings file that was written by hand has three faults. The node names all of them at once and ends
 /// with 2, before it listens anywhere.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_settings_file_is_refused_with_all_its_faults() {
-    let mesh = start_users_serving(small()).await;
+async fn invalid_settings_file_is_refused_with_all_problems() {
+    let mesh = start_users_serving(single_data_centre_plan()).await;
     let text = mesh.settings_text(0);
-    let broken = text
+    let invalid_text = text
         .replace("zone = ", "zon = ")
         .replace("form = \"table\"", "form = \"table\"\naddress2 = 5")
         .replace("ip = \"", "ip = \"x");
     let directory = tempfile::TempDir::new().expect("there is room for files");
     let path = directory.path().join("settings.toml");
-    std::fs::write(&path, broken).expect("the file is written");
+    std::fs::write(&path, invalid_text).expect("the file is written");
     let output = command(&["node", "--config", path.to_str().expect("UTF-8")]).await;
     assert_eq!(output.status.code(), Some(2));
     let error = String::from_utf8_lossy(&output.stderr);
@@ -52,8 +52,8 @@
 
 /// Guards against a file that undoes what an operator has set beside it.
 #[tokio::test(flavor = "multi_thread")]
-async fn what_is_given_goes_before_the_file() {
-    let mesh = start_users_serving(small()).await;
+async fn flags_and_variables_override_the_file() {
+    let mesh = start_users_serving(single_data_centre_plan()).await;
     let path = mesh.settings_path(0).to_str().expect("UTF-8");
     let arguments = ["--config", path, "--retry-percent=5", "--memory-mb=64"];
     let arguments = arguments.iter().map(|flag| (*flag).into());
@@ -70,15 +70,15 @@
 
 /// Guards against defaults that differ between a node's own settings and the platform's file.
 #[tokio::test(flavor = "multi_thread")]
-async fn both_ways_of_starting_have_the_same_defaults() {
-    let mesh = start_users_serving(small()).await;
+async fn file_and_flags_have_the_same_defaults() {
+    let mesh = start_users_serving(single_data_centre_plan()).await;
     let settings = |flags: &[&str]| {
         let arguments = flags.iter().map(|flag| (*flag).into());
         node::settings::parse(arguments, |_| None).expect("they are right")
     };
     let path = mesh.settings_path(0).to_str().expect("UTF-8");
     let from_file = settings(&["--config", path]);
-    let own = settings(&[
+    let from_flags = settings(&[
         "--region=norte",
         "--data-centre=gijon",
         "--platform=http://x",
@@ -92,7 +92,7 @@
             settings.log_level,
         )
     };
-    assert_eq!(defaults(&from_file), defaults(&own));
+    assert_eq!(defaults(&from_file), defaults(&from_flags));
 }
 
 async fn wait_for_line(lines: &mut mpsc::UnboundedReceiver<LogLine>, text: &str) -> String {
@@ -117,9 +117,9 @@
 /// The platform changes a settings file, with a signal or without. What may change does; a file that is
 /// only half there changes nothing and says so in one line, and the node serves on.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_settings_file_is_read_again() {
+async fn changed_settings_file_is_reloaded() {
     let (sender, mut lines) = mpsc::unbounded_channel();
-    let mut plan = small();
+    let mut plan = single_data_centre_plan();
     plan.log_lines = Some(sender);
     let mesh = start_users_serving(plan).await;
     let text = mesh.settings_text(0);
--- a/tests/testsuite/users_stops.rs
+++ b/tests/testsuite/users_stops.rs
@@ -14,13 +14,13 @@
 
 /// Asks through every node but one of them, one request after the other, until told to stop; returns the
 /// ids that were not answered with 200.
-async fn keep_asking(mesh: &Mesh, but: usize, stop: &AtomicBool) -> Vec<String> {
+async fn send_until_stopped(mesh: &Mesh, excluded: usize, stop: &AtomicBool) -> Vec<String> {
     let mut failed = Vec::new();
     let mut number = 0;
     while !stop.load(Ordering::Acquire) {
         let position = number % mesh.vms.len();
         number += 1;
-        if position == but {
+        if position == excluded {
             continue;
         }
         let id = format!("steady-{number}");
@@ -37,50 +37,52 @@
 /// A backend server says that it will leave, and its node acknowledges that. From then on it is sent
 /// nothing, whoever asks, although bookings come all the time; none of them fails for it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_draining_backend_server_gets_nothing_after_the_acknowledgement() {
+async fn draining_backend_server_gets_no_requests_after_acknowledgement() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     let stop = AtomicBool::new(false);
-    let (failed, acknowledged_at) = tokio::join!(keep_asking(&mesh, usize::MAX, &stop), async {
-        let vm = &mesh.vms[leaving];
-        wait_until("it has work", LIMIT, || async {
-            vm.backend().record().last_reached.is_some()
-        })
-        .await;
-        vm.set_announced(Announced::Draining);
-        let acknowledged = vm
-            .backend()
-            .announce(vm.control(), Announced::Draining)
+    let (failed, acknowledged_at) =
+        tokio::join!(send_until_stopped(&mesh, usize::MAX, &stop), async {
+            let vm = &mesh.vms[leaving];
+            wait_until("it has work", LIMIT, || async {
+                vm.backend().record().last_reached.is_some()
+            })
             .await;
-        assert!(acknowledged);
-        let acknowledged_at = Instant::now();
-        wait_until("others have work", LIMIT, || async {
-            let others = mesh.vms_of(SERVICES[1]).into_iter().skip(1);
-            let mut reached = others.map(|other| mesh.vms[other].backend().record().last_reached);
-            let after = |at: Option<Instant>| at.is_some_and(|at| at > acknowledged_at);
-            reached.all(after)
-        })
-        .await;
-        stop.store(true, Ordering::Release);
-        acknowledged_at
-    });
+            vm.set_announced(Announced::Draining);
+            let acknowledged = vm
+                .backend()
+                .announce(vm.control(), Announced::Draining)
+                .await;
+            assert!(acknowledged);
+            let acknowledged_at = Instant::now();
+            wait_until("others have work", LIMIT, || async {
+                let others = mesh.vms_of(SERVICES[1]).into_iter().skip(1);
+                let mut reached =
+                    others.map(|other| mesh.vms[other].backend().record().last_reached);
+                let after = |at: Option<Instant>| at.is_some_and(|at| at > acknowledged_at);
+                reached.all(after)
+            })
+            .await;
+            stop.store(true, Ordering::Release);
+            acknowledged_at
+        });
     assert_eq!(failed, Vec::<String>::new());
     let last = mesh.vms[leaving].backend().record().last_reached;
     // What was admitted before the acknowledgement may still be on its way over the loopback.
-    let slack = Duration::from_millis(100);
-    assert!(last.is_some_and(|last| last < acknowledged_at + slack));
+    let loopback_delay = Duration::from_millis(100);
+    assert!(last.is_some_and(|last| last < acknowledged_at + loopback_delay));
 }
 
 /// Another backend server leaves without a word before: it says only that it is gone, and serves on for a
 /// while. It is sent nothing any more either, and what it runs is answered.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_backend_server_that_only_says_goodbye_finishes_its_work() {
+async fn backend_server_that_leaves_without_draining_finishes_its_requests() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     mesh.mute_backend(leaving);
     let mesh = mesh;
     let booking = Asked::post("/book/1?work_ms=500", "before");
-    let booked = mesh.ask(leaving, &booking);
+    let pending_booking = mesh.ask(leaving, &booking);
     let leaves = async {
         wait_until("it runs", LIMIT, || async {
             !users_runs(&mesh, "before").is_empty()
@@ -94,26 +96,26 @@
         assert_eq!(reply.expect("it is answered").status, 200);
         assert_ne!(users_runs(&mesh, id)[0], at);
     };
-    let (reply, ()) = tokio::join!(booked, leaves);
+    let (reply, ()) = tokio::join!(pending_booking, leaves);
     assert_eq!(reply.expect("it is answered").status, 200);
 }
 
 /// An announcement was held up in a cut: "ready" from before the backend server said that it leaves. It
 /// does not open the gate again.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_old_announcement_revives_nothing() {
+async fn delayed_ready_announcement_does_not_reopen_admission() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     mesh.mute_backend(leaving);
     let vm = &mesh.vms[leaving];
-    let held_up = vm.backend().next_announcement(Announced::Ready);
+    let delayed = vm.backend().next_announcement(Announced::Ready);
     assert!(
         vm.backend()
             .announce(vm.control(), Announced::Draining)
             .await
     );
-    let late = vm.backend().send_announcement(vm.control(), held_up).await;
-    assert!(late.expect("it is answered").status.is_success());
+    let late_reply = vm.backend().send_announcement(vm.control(), delayed).await;
+    assert!(late_reply.expect("it is answered").status.is_success());
     for number in 0..20 {
         let id = format!("after-{number}");
         let reply = mesh.ask(leaving, &Asked::post("/book/1", &id)).await;
@@ -125,18 +127,18 @@
 /// Bytes that are no announcement, or one of another service, reach the address where backend servers
 /// announce themselves. They name nothing to use, and the real one is served on.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_forged_announcement_changes_nothing() {
+async fn invalid_announcement_is_rejected() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let vm = &mesh.vms[0];
-    let whole = vm.backend().next_announcement(Announced::Ready);
-    let forged = [
+    let valid = vm.backend().next_announcement(Announced::Ready);
+    let invalid = [
         "\u{0}\u{1}".to_owned(),
-        whole.replace("\"ready\"", "\"asleep\""),
-        whole.replace("\"seq\":", "\"sequence\":"),
-        whole.replace("\"slots\":8", "\"slots\":\"8\""),
+        valid.replace("\"ready\"", "\"asleep\""),
+        valid.replace("\"seq\":", "\"sequence\":"),
+        valid.replace("\"slots\":8", "\"slots\":\"8\""),
         "[]".to_owned(),
     ];
-    for text in forged {
+    for text in invalid {
         let reply = vm.backend().send_announcement(vm.control(), text).await;
         assert!(!reply.expect("it is answered").status.is_success());
     }
@@ -147,18 +149,18 @@
 /// A node is stopped as planned while its VM's callers and others ask. Every booking that it has read is
 /// answered; the process ends by itself; others are not disturbed.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_no_request() {
+async fn graceful_stop_answers_all_requests() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let stopped = mesh.vms_of(SERVICES[1])[0];
     let mut node = mesh.vms[stopped].node.take().expect("it runs");
     let caller = node.addresses.caller;
     let mesh = Arc::new(mesh);
     let stop = AtomicBool::new(false);
-    let (failed, own) = tokio::join!(keep_asking(&mesh, stopped, &stop), async {
+    let (failed, local_bookings) = tokio::join!(send_until_stopped(&mesh, stopped, &stop), async {
         // The callers of the VM itself, whose requests are under way when it is stopped.
-        let mut own = tokio::task::JoinSet::new();
+        let mut local_bookings = tokio::task::JoinSet::new();
         for number in 0..6 {
-            own.spawn(async move {
+            local_bookings.spawn(async move {
                 let id = format!("own-{number}");
                 let headers = [
                     ("x-dfw-attempt-id", id.as_str()),
@@ -176,19 +178,19 @@
         })
         .await;
         node.signal(Signal::Terminate);
-        let own = own.join_all().await;
+        let local_bookings = local_bookings.join_all().await;
         node.ended().await.expect("it ends");
         stop.store(true, Ordering::Release);
-        own
+        local_bookings
     });
-    assert_eq!(own, vec![Ok(200); 6]);
+    assert_eq!(local_bookings, vec![Ok(200); 6]);
     assert_eq!(failed, Vec::<String>::new());
 }
 
 /// All nodes are killed at one moment, and their VMs start them again with nothing but the store. Every
 /// node serves again, under the newest configuration.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_herd_that_was_killed_serves_again() {
+async fn all_nodes_serve_again_after_a_simultaneous_kill() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     for position in 0..mesh.vms.len() {
         mesh.kill_node(position).await.expect("it ends");
@@ -221,7 +223,7 @@
 /// not hear that it serves: whoever is sent there is refused, and leaves the endpoint alone for seconds
 /// although it could serve.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restarted_node_serves_only_once_its_backend_server_has_announced_itself() {
+async fn restarted_node_reports_serving_only_after_an_announcement() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let position = mesh.vms_of(SERVICES[0])[0];
     let other = mesh.vms_of(SERVICES[0])[1];
@@ -257,7 +259,7 @@
 /// themselves only every few seconds. Callers are served before that: each node has left in its row what
 /// stood beside it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_herd_serves_before_backend_servers_announce_themselves_again() {
+async fn restarted_nodes_serve_from_stored_rows_before_announcements() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let all = 0..mesh.vms.len();
     wait_until("every row names a backend server", LIMIT, || async {
@@ -289,7 +291,7 @@
 /// A backend server says that it leaves, and its node is killed right after. The next process must not
 /// take it up again: it has been promised that nothing comes any more.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_restarted_node_does_not_take_up_a_backend_server_that_was_leaving() {
+async fn restarted_node_does_not_restore_a_draining_backend_server() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     wait_until("its row names the backend server", LIMIT, || async {
@@ -327,7 +329,7 @@
 /// the store is away. An announcement from before was held up and reaches the new process, which knows
 /// nothing of the leaving. It must not send anything there.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_old_announcement_does_not_open_a_restarted_gate() {
+async fn delayed_ready_announcement_does_not_open_admission_after_restart() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     mesh.mute_backend(leaving);
