--- a/src/bin/dragonflywall/commands/status.rs
+++ b/src/bin/dragonflywall/commands/status.rs
@@ -52,8 +52,12 @@
         "node {} enforces {} and is {ready}",
         status.node, status.enforced
     );
-    if !status.lacking.is_empty() {
-        let mut names: Vec<_> = status.lacking.iter().map(|name| name.as_str()).collect();
+    if !status.unreachable_services.is_empty() {
+        let mut names: Vec<_> = status
+            .unreachable_services
+            .iter()
+            .map(|name| name.as_str())
+            .collect();
         names.sort_unstable();
         println!("it reaches no endpoint of: {}", names.join(", "));
     }
--- a/src/core/configuration.rs
+++ b/src/core/configuration.rs
@@ -38,19 +38,19 @@
     },
     /// The content is not what its stamp says.
     #[snafu(display("content has the stamp {found}, expected {expected}"))]
-    WrongStamp {
+    StampMismatch {
         /// Announced.
         expected: Stamp,
         /// Computed.
         found: Stamp,
     },
     /// A delta for another parent.
-    #[snafu(display("delta is for parent version {needed}, this node holds {held}"))]
-    WrongParent {
+    #[snafu(display("delta is for parent version {delta_parent}, this node holds {current}"))]
+    ParentMismatch {
         /// The delta's parent.
-        needed: Version,
+        delta_parent: Version,
         /// The version at hand.
-        held: Version,
+        current: Version,
     },
 }
 
@@ -123,7 +123,7 @@
 
 /// One part of the requests of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct WeightedTarget {
     /// Where this part goes.
     pub target: Target,
     /// Its size, relative to the weights of the other parts.
@@ -144,7 +144,7 @@
     pub target: Target,
     /// Where parts of the matching requests go instead; empty if all go to `target`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub split: Vec<Share>,
+    pub split: Vec<WeightedTarget>,
 }
 
 /// What callers of the mesh may send, and how long they may take for it.
@@ -225,7 +225,7 @@
     pub fn from_snapshot(bytes: &[u8], expected: Stamp) -> Result<Self> {
         let canonical = decompress(bytes)?;
         let configuration: Self = serde_json::from_slice(&canonical).context(DecodeSnafu)?;
-        configuration.verified(expected)
+        configuration.verify(expected)
     }
 
     /// All services of all teams.
@@ -243,9 +243,9 @@
         self.teams.values().find_map(|team| team.caller_limits)
     }
 
-    fn verified(self, expected: Stamp) -> Result<Self> {
+    fn verify(self, expected: Stamp) -> Result<Self> {
         let found = self.stamp();
-        ensure!(found == expected, WrongStampSnafu { expected, found });
+        ensure!(found == expected, StampMismatchSnafu { expected, found });
         Ok(self)
     }
 }
@@ -300,9 +300,9 @@
     pub fn apply(self, parent: &Configuration, expected: Stamp) -> Result<Configuration> {
         ensure!(
             self.parent == parent.version,
-            WrongParentSnafu {
-                needed: self.parent,
-                held: parent.version
+            ParentMismatchSnafu {
+                delta_parent: self.parent,
+                current: parent.version
             }
         );
         let mut child = parent.clone();
@@ -313,7 +313,7 @@
                 None => child.teams.remove(&name),
             };
         }
-        child.verified(expected)
+        child.verify(expected)
     }
 }
 
--- a/src/core/dialect.rs
+++ b/src/core/dialect.rs
@@ -5,7 +5,7 @@
 pub enum Dialect {
     /// The product's own interface.
     #[default]
-    Own,
+    Native,
     /// The users' platform, as [`crate::platform`] translates it.
     Platform,
 }
--- a/src/core/difference.rs
+++ b/src/core/difference.rs
@@ -67,13 +67,13 @@
     let names: BTreeSet<_> = before.teams.keys().chain(after.teams.keys()).collect();
     let differences = names.into_iter().filter_map(|team| {
         let (before, after) = (before.teams.get(team), after.teams.get(team));
-        of_team(team, before, after)
+        between_records(team, before, after)
     });
     differences.collect()
 }
 
 /// The difference in one team's record, if there is one.
-pub fn of_team(
+pub fn between_records(
     team: &TeamName,
     before: Option<&TeamRecord>,
     after: Option<&TeamRecord>,
@@ -148,24 +148,25 @@
     fields
 }
 
-fn flatten_service(fields: &mut Fields, at: &str, service: &ServiceRecord) {
-    let mut set = |key: &str, value: u32| fields.insert(format!("{at}.{key}"), value.to_string());
+fn flatten_service(fields: &mut Fields, prefix: &str, service: &ServiceRecord) {
+    let mut set =
+        |key: &str, value: u32| fields.insert(format!("{prefix}.{key}"), value.to_string());
     set("slots_per_endpoint", service.slots_per_endpoint);
     set("connections_per_endpoint", service.connections_per_endpoint);
     set("queue_len", service.queue_len);
     if let Some(path) = &service.health_path {
-        fields.insert(format!("{at}.health_path"), path.clone());
+        fields.insert(format!("{prefix}.health_path"), path.clone());
     }
     for (name, treatment) in &service.resources {
-        flatten_treatment(fields, &format!("{at}.resource.{name}"), treatment);
+        flatten_treatment(fields, &format!("{prefix}.resource.{name}"), treatment);
     }
     for route in &service.routes {
-        let key = format!("{at}.route {}", route_key(route));
+        let key = format!("{prefix}.route {}", route_key(route));
         fields.insert(key, targets_text(route));
     }
 }
 
-fn flatten_treatment(fields: &mut Fields, at: &str, treatment: &Treatment) {
+fn flatten_treatment(fields: &mut Fields, prefix: &str, treatment: &Treatment) {
     let class = match treatment.class {
         Class::Interactive => "interactive",
         Class::Bulk => "bulk",
@@ -175,7 +176,7 @@
         Spill::Region => "region",
         Spill::Mesh => "mesh",
     };
-    let mut set = |key: &str, value: String| fields.insert(format!("{at}.{key}"), value);
+    let mut set = |key: &str, value: String| fields.insert(format!("{prefix}.{key}"), value);
     set("class", class.to_owned());
     set("idempotent", treatment.idempotent.to_string());
     set("timeout_ms", treatment.timeout_ms.to_string());
@@ -194,11 +195,11 @@
     if route.split.is_empty() {
         return text(&route.target);
     }
-    let shares = route.split.iter();
-    let shares: Vec<_> = shares
-        .map(|share| format!("{} of {}", share.weight, text(&share.target)))
+    let targets = route.split.iter();
+    let targets: Vec<_> = targets
+        .map(|weighted| format!("{} of {}", weighted.weight, text(&weighted.target)))
         .collect();
-    shares.join(", ")
+    targets.join(", ")
 }
 
 fn route_key(route: &RouteRecord) -> String {
--- a/src/core/mechanism.rs
+++ b/src/core/mechanism.rs
@@ -24,15 +24,15 @@
 #[repr(u32)]
 pub enum Mechanism {
     /// A request asks some endpoints for a slot that is free at once before it waits at one.
-    FreeSlotLooks,
+    FreeSlotProbes,
     /// Among requests that are as urgent the one that is due first goes first; else the first that came.
-    DueOrder,
+    DeadlineOrder,
     /// More urgent ranks go first at a gate.
-    Ranks,
+    PriorityOrder,
     /// Calls of running requests go before callers' requests at a gate.
-    CallsFirst,
+    NestedCallsFirst,
     /// A request waits for a slot for a part of its target latency at most; else until its deadline.
-    PatienceCut,
+    QueueWaitLimit,
     /// Slots that are kept free of bulk work.
     BulkReserve,
     /// An entry uses some endpoints of a service and distance; else all.
@@ -40,79 +40,79 @@
     /// Endpoints that fail are left out for a while.
     Ejection,
     /// The cost of an endpoint counts requests that wait there.
-    CostWait,
+    CostQueued,
     /// The cost of an endpoint counts slots in use.
-    CostBusy,
+    CostSlotsInUse,
     /// The cost of an endpoint counts its failures.
-    CostFailing,
+    CostFailures,
     /// The cost of an endpoint counts requests outstanding where nothing is known.
-    CostAsked,
+    CostOutstanding,
     /// The cost of an endpoint counts bytes that leave the data centre.
-    CostCrossing,
+    CostCrossZone,
     /// A gate refuses what was held up on its way.
-    TransitCheck,
+    TransitDelayCheck,
     /// Pipelined requests are started before those ahead of them are answered.
-    EarlyStart,
+    PipelinedStart,
     /// Large bodies come in by turns, before their request has its slot.
-    UploadTurns,
+    UploadScheduling,
     /// Retries of a service are limited in proportion to its requests.
-    RetryTokens,
+    RetryBudget,
     /// Retries may be saved up for a bad moment.
-    RetryReserve,
+    RetryBurst,
     /// A backend connection that has rested is not used again.
-    ShortRests,
+    IdleConnectionLimit,
     /// One node of a data centre reads the store for the others.
-    Leads,
+    StoreReader,
 }
 
 impl Mechanism {
     /// Every mechanism.
     pub const ALL: [Self; 20] = [
-        Self::FreeSlotLooks,
-        Self::DueOrder,
-        Self::Ranks,
-        Self::CallsFirst,
-        Self::PatienceCut,
+        Self::FreeSlotProbes,
+        Self::DeadlineOrder,
+        Self::PriorityOrder,
+        Self::NestedCallsFirst,
+        Self::QueueWaitLimit,
         Self::BulkReserve,
         Self::Subset,
         Self::Ejection,
-        Self::CostWait,
-        Self::CostBusy,
-        Self::CostFailing,
-        Self::CostAsked,
-        Self::CostCrossing,
-        Self::TransitCheck,
-        Self::EarlyStart,
-        Self::UploadTurns,
-        Self::RetryTokens,
-        Self::RetryReserve,
-        Self::ShortRests,
-        Self::Leads,
+        Self::CostQueued,
+        Self::CostSlotsInUse,
+        Self::CostFailures,
+        Self::CostOutstanding,
+        Self::CostCrossZone,
+        Self::TransitDelayCheck,
+        Self::PipelinedStart,
+        Self::UploadScheduling,
+        Self::RetryBudget,
+        Self::RetryBurst,
+        Self::IdleConnectionLimit,
+        Self::StoreReader,
     ];
 
     /// Its name, as an operator gives it.
     pub fn name(self) -> &'static str {
         match self {
-            Self::FreeSlotLooks => "free-slot-looks",
-            Self::DueOrder => "due-order",
-            Self::Ranks => "ranks",
-            Self::CallsFirst => "calls-first",
-            Self::PatienceCut => "patience-cut",
+            Self::FreeSlotProbes => "free-slot-looks",
+            Self::DeadlineOrder => "due-order",
+            Self::PriorityOrder => "ranks",
+            Self::NestedCallsFirst => "calls-first",
+            Self::QueueWaitLimit => "patience-cut",
             Self::BulkReserve => "bulk-reserve",
             Self::Subset => "subset",
             Self::Ejection => "ejection",
-            Self::CostWait => "cost-wait",
-            Self::CostBusy => "cost-busy",
-            Self::CostFailing => "cost-failing",
-            Self::CostAsked => "cost-asked",
-            Self::CostCrossing => "cost-crossing",
-            Self::TransitCheck => "transit-check",
-            Self::EarlyStart => "early-start",
-            Self::UploadTurns => "upload-turns",
-            Self::RetryTokens => "retry-tokens",
-            Self::RetryReserve => "retry-reserve",
-            Self::ShortRests => "short-rests",
-            Self::Leads => "leads",
+            Self::CostQueued => "cost-wait",
+            Self::CostSlotsInUse => "cost-busy",
+            Self::CostFailures => "cost-failing",
+            Self::CostOutstanding => "cost-asked",
+            Self::CostCrossZone => "cost-crossing",
+            Self::TransitDelayCheck => "transit-check",
+            Self::PipelinedStart => "early-start",
+            Self::UploadScheduling => "upload-turns",
+            Self::RetryBudget => "retry-tokens",
+            Self::RetryBurst => "retry-reserve",
+            Self::IdleConnectionLimit => "short-rests",
+            Self::StoreReader => "leads",
         }
     }
 
@@ -138,16 +138,16 @@
 
 /// The mechanisms that are switched off; none by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Without(u32);
+pub struct DisabledMechanisms(u32);
 
-impl Without {
+impl DisabledMechanisms {
     /// This one alone.
     pub fn only(mechanism: Mechanism) -> Self {
         Self(mechanism.bit())
     }
 
     /// Whether `mechanism` works.
-    pub fn has(self, mechanism: Mechanism) -> bool {
+    pub fn is_enabled(self, mechanism: Mechanism) -> bool {
         self.0 & mechanism.bit() == 0
     }
 
@@ -157,25 +157,25 @@
     }
 }
 
-impl FromStr for Without {
+impl FromStr for DisabledMechanisms {
     type Err = UnknownMechanism;
 
     /// Names with commas between them.
     fn from_str(names: &str) -> Result<Self> {
         let names = names.split(',').map(str::trim);
-        let mut without = Self::default();
+        let mut disabled = Self::default();
         for name in names.filter(|name| !name.is_empty()) {
-            without.0 |= name.parse::<Mechanism>()?.bit();
+            disabled.0 |= name.parse::<Mechanism>()?.bit();
         }
-        Ok(without)
+        Ok(disabled)
     }
 }
 
-impl fmt::Display for Without {
+impl fmt::Display for DisabledMechanisms {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let off = Mechanism::ALL.into_iter();
-        let off = off.filter(|mechanism| !self.has(*mechanism));
-        let names: Vec<&str> = off.map(Mechanism::name).collect();
+        let disabled = Mechanism::ALL.into_iter();
+        let disabled = disabled.filter(|mechanism| !self.is_enabled(*mechanism));
+        let names: Vec<&str> = disabled.map(Mechanism::name).collect();
         f.write_str(&names.join(","))
     }
 }
--- a/src/core/member.rs
+++ b/src/core/member.rs
@@ -108,12 +108,12 @@
     /// Order of statements about one node: a later one replaces an earlier one. At the same
     /// incarnation and sequence, worse news wins, so that a suspicion spreads until the node
     /// itself raises its sequence.
-    pub fn rank(&self) -> (u64, u64, Liveness) {
+    pub fn precedence(&self) -> (u64, u64, Liveness) {
         (self.incarnation_us, self.sequence, self.liveness)
     }
 
     /// Whether the node's backend server takes new requests.
-    pub fn takes_work(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         self.service.is_some()
             && self.backend == BackendState::Serving
             && matches!(self.liveness, Liveness::Alive | Liveness::Suspect)
--- a/src/core/routing.rs
+++ b/src/core/routing.rs
@@ -40,7 +40,7 @@
     },
     /// Two teams offer one service.
     #[snafu(display("service `{service}` is offered by both `{first}` and `{second}`"))]
-    OfferedTwice {
+    DuplicateService {
         /// The service.
         service: ServiceName,
         /// One team.
@@ -52,7 +52,7 @@
     #[snafu(display(
         "team `{team}` has a route for {host}{path}, which another route matches too"
     ))]
-    SameRoute {
+    DuplicateRoute {
         /// Team of the second route.
         team: TeamName,
         /// What callers name.
@@ -62,7 +62,7 @@
     },
     /// Two teams set limits on callers.
     #[snafu(display("limits on callers are set by both `{first}` and `{second}`"))]
-    LimitsTwice {
+    DuplicateCallerLimits {
         /// One team.
         first: TeamName,
         /// The other.
@@ -76,21 +76,21 @@
     /// As published.
     pub record: RouteRecord,
     /// Where its requests go, each with its part of them; never empty.
-    pub branches: Vec<Branch>,
+    pub targets: Vec<ResolvedTarget>,
     /// Requests so far, from a random number on so that nodes are not in step.
-    turns: AtomicU32,
+    request_counter: AtomicU32,
 }
 
 impl Route {
     /// The number of one more request, for [`crate::decide::split`].
-    pub fn next_turn(&self) -> u32 {
-        self.turns.fetch_add(1, Ordering::Relaxed)
+    pub fn next_request_number(&self) -> u32 {
+        self.request_counter.fetch_add(1, Ordering::Relaxed)
     }
 }
 
 /// Where a part of a route's requests goes.
 #[derive(Clone, Debug)]
-pub struct Branch {
+pub struct ResolvedTarget {
     /// The service that runs it.
     pub service: ServiceName,
     /// What it asks for there.
@@ -110,20 +110,20 @@
 impl RouteTable {
     /// Compiles `configuration`, or says which reference does not close.
     pub fn compile(configuration: &Configuration) -> Result<Self> {
-        check_single_owner(configuration)?;
-        check_single_limits(configuration)?;
+        check_duplicate_services(configuration)?;
+        check_duplicate_caller_limits(configuration)?;
         check_calls(configuration)?;
-        check_same_routes(configuration)?;
+        check_duplicate_routes(configuration)?;
         let mut by_host: HashMap<String, Vec<Route>> = HashMap::new();
         for (team, record) in &configuration.teams {
-            for (service, offered) in &record.services {
+            for (service, service_record) in &record.services {
                 // A service without routes is known all the same: "no route" is not "no service".
                 by_host.entry(service.as_str().to_owned()).or_default();
-                for route in &offered.routes {
+                for route in &service_record.routes {
                     let compiled = Route {
                         record: route.clone(),
-                        branches: branches(configuration, team, route)?,
-                        turns: AtomicU32::new(rand::random()),
+                        targets: resolve_targets(configuration, team, route)?,
+                        request_counter: AtomicU32::new(rand::random()),
                     };
                     let host = host_of(service, route);
                     by_host.entry(host.to_owned()).or_default().push(compiled);
@@ -168,25 +168,25 @@
     }
 }
 
-fn branches(
+fn resolve_targets(
     configuration: &Configuration,
     team: &TeamName,
     route: &RouteRecord,
-) -> Result<Vec<Branch>> {
-    let branch = |target: &Target, weight| {
-        Ok(Branch {
+) -> Result<Vec<ResolvedTarget>> {
+    let resolved_target = |target: &Target, weight| {
+        Ok(ResolvedTarget {
             service: target.service.clone(),
             resource: target.resource.clone(),
             weight,
-            treatment: resolve(configuration, team, target)?.clone(),
+            treatment: find_treatment(configuration, team, target)?.clone(),
         })
     };
     if route.split.is_empty() {
-        return Ok(vec![branch(&route.target, 1)?]);
+        return Ok(vec![resolved_target(&route.target, 1)?]);
     }
-    let shares = route.split.iter();
-    shares
-        .map(|share| branch(&share.target, share.weight))
+    let weighted_targets = route.split.iter();
+    weighted_targets
+        .map(|weighted| resolved_target(&weighted.target, weighted.weight))
         .collect()
 }
 
@@ -202,12 +202,12 @@
     rest.is_empty() || rest.starts_with('/') || prefix.ends_with('/')
 }
 
-fn check_single_owner(configuration: &Configuration) -> Result<()> {
-    let mut owner: HashMap<&ServiceName, &TeamName> = HashMap::new();
+fn check_duplicate_services(configuration: &Configuration) -> Result<()> {
+    let mut owners: HashMap<&ServiceName, &TeamName> = HashMap::new();
     for (team, record) in &configuration.teams {
         for service in record.services.keys() {
-            if let Some(first) = owner.insert(service, team) {
-                return OfferedTwiceSnafu {
+            if let Some(first) = owners.insert(service, team) {
+                return DuplicateServiceSnafu {
                     service: service.clone(),
                     first: first.clone(),
                     second: team.clone(),
@@ -219,13 +219,15 @@
     Ok(())
 }
 
-fn check_single_limits(configuration: &Configuration) -> Result<()> {
+fn check_duplicate_caller_limits(configuration: &Configuration) -> Result<()> {
     let teams = configuration.teams.iter();
-    let mut setting = teams.filter(|(_, record)| record.caller_limits.is_some());
-    let (Some((first, _)), Some((second, _))) = (setting.next(), setting.next()) else {
+    let mut teams_with_limits = teams.filter(|(_, record)| record.caller_limits.is_some());
+    let (Some((first, _)), Some((second, _))) =
+        (teams_with_limits.next(), teams_with_limits.next())
+    else {
         return Ok(());
     };
-    LimitsTwiceSnafu {
+    DuplicateCallerLimitsSnafu {
         first: first.clone(),
         second: second.clone(),
     }
@@ -235,17 +237,20 @@
 /// Two routes that match the same request: which one wins would depend on the order of teams, and
 /// the treatment of a payment must not. Routes that differ in their methods are compared inside
 /// one file, where the order of methods is known.
-fn check_same_routes(configuration: &Configuration) -> Result<()> {
-    let mut known: HashSet<(&str, &str)> = HashSet::new();
+fn check_duplicate_routes(configuration: &Configuration) -> Result<()> {
+    let mut seen: HashSet<(&str, &str)> = HashSet::new();
     for (team, record) in &configuration.teams {
-        for (service, offered) in &record.services {
-            let hosted = offered.routes.iter().filter(|route| route.host.is_some());
-            for route in hosted.filter(|route| route.methods.is_empty()) {
+        for (service, service_record) in &record.services {
+            let routes_with_host = service_record
+                .routes
+                .iter()
+                .filter(|route| route.host.is_some());
+            for route in routes_with_host.filter(|route| route.methods.is_empty()) {
                 let host = host_of(service, route);
-                let is_new = known.insert((host, &route.path));
+                let is_new = seen.insert((host, &route.path));
                 ensure!(
                     is_new,
-                    SameRouteSnafu {
+                    DuplicateRouteSnafu {
                         team: team.clone(),
                         host,
                         path: &route.path,
@@ -265,14 +270,14 @@
                     service: service.clone(),
                     resource: resource.clone(),
                 };
-                resolve(configuration, team, &target)?;
+                find_treatment(configuration, team, &target)?;
             }
         }
     }
     Ok(())
 }
 
-fn resolve<'a>(
+fn find_treatment<'a>(
     configuration: &'a Configuration,
     team: &TeamName,
     target: &Target,
--- a/src/core/status.rs
+++ b/src/core/status.rs
@@ -19,8 +19,8 @@
     /// Whether it takes new work.
     pub ready: bool,
     /// Services of the enforced configuration without an endpoint that this node can reach.
-    #[serde(default)]
-    pub lacking: Vec<ServiceName>,
+    #[serde(default, rename = "lacking")]
+    pub unreachable_services: Vec<ServiceName>,
     /// The node that it hears of new versions from; none if it reads the store itself.
     #[serde(default)]
     pub follows: Option<NodeId>,
--- a/src/core/team_file.rs
+++ b/src/core/team_file.rs
@@ -31,9 +31,9 @@
 /// Largest weight of one part of a split: a tenth of a percent can be named.
 pub const WEIGHT_MAX: u32 = 1_000;
 /// Shortest head that callers may be limited to, in bytes: the HTTP library's smallest buffer.
-pub const HEADER_LEAST_BYTES: u32 = 8_192;
+pub const HEADER_MIN_BYTES: u32 = 8_192;
 /// Longest head that callers may be allowed, in bytes. Each connection may hold as much.
-pub const HEADER_MOST_BYTES: u32 = 1 << 20;
+pub const HEADER_MAX_BYTES: u32 = 1 << 20;
 
 /// Longest timeout of interactive work. Nobody waits at the yard gate for more than a minute; a
 /// longer one is bulk work that would take the places of people who do wait.
@@ -58,7 +58,7 @@
 
 /// Where a file says what, for findings about several files together.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Lines {
+pub struct SourceLines {
     /// Line of the team's name.
     pub team: usize,
     /// Line of each offered service.
@@ -75,17 +75,17 @@
 }
 
 /// Parses and checks one team file, and says where it says what.
-pub fn parse_with_lines(text: &str) -> Result<(TeamRecord, Lines)> {
+pub fn parse_with_lines(text: &str) -> Result<(TeamRecord, SourceLines)> {
     let raw: RawTeam = toml::from_str(text).map_err(|error| vec![syntax_finding(text, &error)])?;
     let mut checker = Checker {
         text,
         findings: Vec::new(),
-        shared: &raw.treatment,
+        shared_treatments: &raw.treatment,
     };
     let record = checker.team(&raw);
     let mut findings = checker.findings;
     if findings.is_empty() {
-        return Ok((record, lines(text, &raw)));
+        return Ok((record, source_lines(text, &raw)));
     }
     // A shared treatment is looked at once for itself and once for each resource that extends it.
     findings.sort_by(|a, b| (a.line, &a.problem).cmp(&(b.line, &b.problem)));
@@ -93,28 +93,30 @@
     Err(findings)
 }
 
-fn lines(text: &str, raw: &RawTeam) -> Lines {
-    let mut lines = Lines {
-        team: line_of(text, raw.team.span().start),
-        ..Lines::default()
+fn source_lines(text: &str, raw: &RawTeam) -> SourceLines {
+    let mut source_lines = SourceLines {
+        team: line_at(text, raw.team.span().start),
+        ..SourceLines::default()
     };
     for (name, service) in &raw.service {
         let name = ServiceName::new(name);
         let routes = &service.get_ref().route;
-        let route_lines = routes.iter().map(|r| line_of(text, r.span().start));
-        lines.routes.insert(name.clone(), route_lines.collect());
-        lines
+        let route_lines = routes.iter().map(|r| line_at(text, r.span().start));
+        source_lines
+            .routes
+            .insert(name.clone(), route_lines.collect());
+        source_lines
             .services
-            .insert(name, line_of(text, service.span().start));
+            .insert(name, line_at(text, service.span().start));
     }
     for (name, resources) in &raw.calls {
-        let line = line_of(text, resources.span().start);
-        lines.calls.insert(ServiceName::new(name), line);
+        let line = line_at(text, resources.span().start);
+        source_lines.calls.insert(ServiceName::new(name), line);
     }
-    lines
+    source_lines
 }
 
-fn line_of(text: &str, offset: usize) -> usize {
+fn line_at(text: &str, offset: usize) -> usize {
     let end = offset.min(text.len());
     text.as_bytes()[..end]
         .iter()
--- a/src/core/team_file/checker.rs
+++ b/src/core/team_file/checker.rs
@@ -8,7 +8,7 @@
 use toml::Spanned;
 
 use super::raw::{RawCallerLimits, RawService, RawTeam, RawTreatment};
-use super::{Finding, HEADER_LEAST_BYTES, HEADER_MOST_BYTES, SLOTS_MAX, TIMEOUT_MAX_MS, line_of};
+use super::{Finding, HEADER_MAX_BYTES, HEADER_MIN_BYTES, SLOTS_MAX, TIMEOUT_MAX_MS, line_at};
 use crate::core::configuration::{CallerLimits, ServiceRecord, TeamRecord};
 use crate::core::names::{ResourceName, ServiceName, TeamName, is_name};
 
@@ -16,21 +16,26 @@
 pub(super) struct Checker<'a> {
     pub(super) text: &'a str,
     pub(super) findings: Vec<Finding>,
-    pub(super) shared: &'a BTreeMap<String, Spanned<RawTreatment>>,
+    pub(super) shared_treatments: &'a BTreeMap<String, Spanned<RawTreatment>>,
 }
 
 impl Checker<'_> {
-    fn add(&mut self, offset: usize, problem: impl Into<String>, remedy: impl Into<String>) {
+    fn add_finding(
+        &mut self,
+        offset: usize,
+        problem: impl Into<String>,
+        remedy: impl Into<String>,
+    ) {
         self.findings.push(Finding {
-            line: line_of(self.text, offset),
+            line: line_at(self.text, offset),
             problem: problem.into(),
             remedy: remedy.into(),
         });
     }
 
-    fn name(&mut self, what: &str, name: &str, offset: usize) {
+    fn check_name(&mut self, what: &str, name: &str, offset: usize) {
         if !is_name(name) {
-            self.add(
+            self.add_finding(
                 offset,
                 format!("{what} `{name}` is not a name"),
                 "use lower-case letters, digits and dashes, a letter first, 63 at most",
@@ -38,10 +43,10 @@
         }
     }
 
-    fn range(&mut self, key: &str, value: &Spanned<u32>, min: u32, max: u32) -> u32 {
+    fn check_range(&mut self, key: &str, value: &Spanned<u32>, min: u32, max: u32) -> u32 {
         let number = *value.get_ref();
         if !(min..=max).contains(&number) {
-            self.add(
+            self.add_finding(
                 value.span().start,
                 format!("{key} = {number} is out of range"),
                 format!("use a whole number from {min} to {max}"),
@@ -52,16 +57,16 @@
 
     /// The record; worth nothing if there are findings.
     pub(super) fn team(&mut self, raw: &RawTeam) -> TeamRecord {
-        self.name("team", raw.team.get_ref(), raw.team.span().start);
+        self.check_name("team", raw.team.get_ref(), raw.team.span().start);
         if raw.service.is_empty() && raw.calls.is_empty() {
-            self.add(
+            self.add_finding(
                 raw.team.span().start,
                 "the file offers no service and calls none",
                 "add a [service.NAME] table or a [calls] entry",
             );
         }
         for (name, treatment) in &raw.treatment {
-            self.name("treatment", name, treatment.span().start);
+            self.check_name("treatment", name, treatment.span().start);
             self.inherit(treatment.get_ref().clone());
         }
         let mut services = BTreeMap::new();
@@ -71,7 +76,7 @@
         }
         let mut calls = BTreeMap::new();
         for (name, resources) in &raw.calls {
-            self.name("called service", name, resources.span().start);
+            self.check_name("called service", name, resources.span().start);
             let set: BTreeSet<_> = resources.get_ref().iter().map(ResourceName::new).collect();
             calls.insert(ServiceName::new(name), set);
         }
@@ -89,7 +94,7 @@
     fn caller_limits(&mut self, raw: &RawCallerLimits) -> CallerLimits {
         let body_max_bytes = *raw.body_max_bytes.get_ref();
         if body_max_bytes == 0 {
-            self.add(
+            self.add_finding(
                 raw.body_max_bytes.span().start,
                 "body_max_bytes = 0 allows no request with a body",
                 "use a whole number of bytes from 1",
@@ -97,50 +102,55 @@
         }
         let header = &raw.header_max_bytes;
         CallerLimits {
-            header_max_bytes: self.range(
+            header_max_bytes: self.check_range(
                 "header_max_bytes",
                 header,
-                HEADER_LEAST_BYTES,
-                HEADER_MOST_BYTES,
+                HEADER_MIN_BYTES,
+                HEADER_MAX_BYTES,
             ),
             body_max_bytes,
-            header_timeout_ms: self.range(
+            header_timeout_ms: self.check_range(
                 "header_timeout_ms",
                 &raw.header_timeout_ms,
                 1,
                 TIMEOUT_MAX_MS,
             ),
-            idle_timeout_ms: self.range("idle_timeout_ms", &raw.idle_timeout_ms, 1, TIMEOUT_MAX_MS),
+            idle_timeout_ms: self.check_range(
+                "idle_timeout_ms",
+                &raw.idle_timeout_ms,
+                1,
+                TIMEOUT_MAX_MS,
+            ),
         }
     }
 
     fn service(&mut self, name: &str, raw: &Spanned<RawService>) -> ServiceRecord {
-        let at = raw.span().start;
+        let offset = raw.span().start;
         let raw = raw.get_ref();
-        self.name("service", name, at);
-        let slots = self.range("slots_per_endpoint", &raw.slots_per_endpoint, 1, SLOTS_MAX);
-        let connections = self.range(
+        self.check_name("service", name, offset);
+        let slots = self.check_range("slots_per_endpoint", &raw.slots_per_endpoint, 1, SLOTS_MAX);
+        let connections = self.check_range(
             "connections_per_endpoint",
             &raw.connections_per_endpoint,
             1,
             SLOTS_MAX,
         );
         if connections < slots {
-            self.add(
+            self.add_finding(
                 raw.connections_per_endpoint.span().start,
                 format!("{connections} connections cannot fill {slots} slots"),
                 "set connections_per_endpoint to at least slots_per_endpoint",
             );
         }
         let queue_len = match &raw.queue_len {
-            Some(value) => self.range("queue_len", value, 0, SLOTS_MAX),
+            Some(value) => self.check_range("queue_len", value, 0, SLOTS_MAX),
             None => slots,
         };
         let mut resources = BTreeMap::new();
         for (resource, treatment) in &raw.resource {
-            self.name("resource", resource, treatment.span().start);
+            self.check_name("resource", resource, treatment.span().start);
             let resolved = self.treatment(resource, treatment);
-            self.contradictions(resource, treatment.span().start, &resolved, queue_len);
+            self.check_contradictions(resource, treatment.span().start, &resolved, queue_len);
             resources.insert(ResourceName::new(resource), resolved);
         }
         let routes = raw
@@ -148,9 +158,9 @@
             .iter()
             .map(|route| self.route(name, raw, route))
             .collect();
-        self.same_routes(&raw.route);
+        self.check_duplicate_routes(&raw.route);
         let health_path = raw.health_path.as_ref().map(|path| {
-            self.path(path);
+            self.check_path(path);
             path.get_ref().clone()
         });
         ServiceRecord {
--- a/src/core/team_file/checker/routes.rs
+++ b/src/core/team_file/checker/routes.rs
@@ -2,10 +2,10 @@
 
 use toml::Spanned;
 
-use super::super::raw::{RawRoute, RawService, RawShare};
-use super::super::{WEIGHT_MAX, line_of};
+use super::super::raw::{RawRoute, RawService, RawWeightedTarget};
+use super::super::{WEIGHT_MAX, line_at};
 use super::Checker;
-use crate::core::configuration::{RouteRecord, Share, Target};
+use crate::core::configuration::{RouteRecord, Target, WeightedTarget};
 use crate::core::names::{HostName, ResourceName, ServiceName, is_name};
 
 /// An empty list matches all methods.
@@ -14,19 +14,19 @@
 }
 
 impl Checker<'_> {
-    pub(super) fn path(&mut self, path: &Spanned<String>) {
-        let at = path.span().start;
+    pub(super) fn check_path(&mut self, path: &Spanned<String>) {
+        let offset = path.span().start;
         let path = path.get_ref();
         if !path.starts_with('/') {
-            self.add(
-                at,
+            self.add_finding(
+                offset,
                 format!("path `{path}` does not start with `/`"),
                 "write the path from the root, such as \"/prices\"",
             );
         }
         if path.contains(|c: char| c == '?' || c == '#' || c.is_whitespace() || c.is_control()) {
-            self.add(
-                at,
+            self.add_finding(
+                offset,
                 format!("path `{path}` holds a character that no request path has"),
                 "leave out query, fragment and blanks; a route matches the path alone",
             );
@@ -39,16 +39,16 @@
         raw: &RawService,
         route: &Spanned<RawRoute>,
     ) -> RouteRecord {
-        let at = route.span().start;
+        let offset = route.span().start;
         let route = route.get_ref();
-        self.path(&route.path);
+        self.check_path(&route.path);
         if let Some(host) = &route.host {
-            self.host(host);
+            self.check_host(host);
         }
         for method in &route.methods {
             if method.is_empty() || !method.chars().all(|c| c.is_ascii_uppercase()) {
-                self.add(
-                    at,
+                self.add_finding(
+                    offset,
                     format!("`{method}` is not a method"),
                     "write methods in capitals, such as \"GET\"",
                 );
@@ -58,10 +58,10 @@
             service: ServiceName::new(route.service.as_deref().unwrap_or(service)),
             resource: ResourceName::new(&route.resource),
         };
-        self.own_target(service, raw, &target, at);
-        let shares = route.split.iter();
-        let split = shares
-            .map(|share| self.share(service, raw, &target, share))
+        self.check_own_target(service, raw, &target, offset);
+        let weighted_targets = route.split.iter();
+        let split = weighted_targets
+            .map(|weighted| self.weighted_target(service, raw, &target, weighted))
             .collect();
         RouteRecord {
             host: route
@@ -76,36 +76,42 @@
     }
 
     /// One part of a split route; what it leaves open is as in the route itself.
-    fn share(
+    fn weighted_target(
         &mut self,
         service: &str,
         raw: &RawService,
-        whole: &Target,
-        share: &Spanned<RawShare>,
-    ) -> Share {
-        let at = share.span().start;
-        let share = share.get_ref();
-        let weight = self.range("weight", &share.weight, 1, WEIGHT_MAX);
+        route_target: &Target,
+        weighted: &Spanned<RawWeightedTarget>,
+    ) -> WeightedTarget {
+        let offset = weighted.span().start;
+        let weighted = weighted.get_ref();
+        let weight = self.check_range("weight", &weighted.weight, 1, WEIGHT_MAX);
         let target = Target {
-            service: share
+            service: weighted
                 .service
                 .as_ref()
-                .map_or_else(|| whole.service.clone(), ServiceName::new),
-            resource: share
+                .map_or_else(|| route_target.service.clone(), ServiceName::new),
+            resource: weighted
                 .resource
                 .as_ref()
-                .map_or_else(|| whole.resource.clone(), ResourceName::new),
+                .map_or_else(|| route_target.resource.clone(), ResourceName::new),
         };
-        self.own_target(service, raw, &target, at);
-        Share { target, weight }
+        self.check_own_target(service, raw, &target, offset);
+        WeightedTarget { target, weight }
     }
 
     /// References to other services are checked with the whole set.
-    fn own_target(&mut self, service: &str, raw: &RawService, target: &Target, at: usize) {
+    fn check_own_target(
+        &mut self,
+        service: &str,
+        raw: &RawService,
+        target: &Target,
+        offset: usize,
+    ) {
         let own = target.service.as_str() == service;
         if own && !raw.resource.contains_key(target.resource.as_str()) {
-            self.add(
-                at,
+            self.add_finding(
+                offset,
                 format!(
                     "route points at resource `{}`, which service `{service}` does not have",
                     target.resource
@@ -115,11 +121,11 @@
         }
     }
 
-    fn host(&mut self, host: &Spanned<String>) {
+    fn check_host(&mut self, host: &Spanned<String>) {
         let name = host.get_ref();
-        let right = name.split('.').all(is_name);
-        if !right {
-            self.add(
+        let is_valid = name.split('.').all(is_name);
+        if !is_valid {
+            self.add_finding(
                 host.span().start,
                 format!("host `{name}` is not a host name"),
                 "write names with dots between them and no port, such as \"precios.example\"",
@@ -129,11 +135,11 @@
 
     /// Two routes that match the same request: which one wins would depend on their order, and the
     /// treatment of a payment must not.
-    pub(super) fn same_routes(&mut self, routes: &[Spanned<RawRoute>]) {
+    pub(super) fn check_duplicate_routes(&mut self, routes: &[Spanned<RawRoute>]) {
         for (position, route) in routes.iter().enumerate() {
-            let at = route.span().start;
+            let offset = route.span().start;
             let route = route.get_ref();
-            let same = |other: &&Spanned<RawRoute>| {
+            let matches_same_requests = |other: &&Spanned<RawRoute>| {
                 let other = other.get_ref();
                 let host =
                     |route: &RawRoute| route.host.as_ref().map(|host| host.get_ref().clone());
@@ -141,12 +147,12 @@
                     && other.path.get_ref() == route.path.get_ref()
                     && methods_overlap(&other.methods, &route.methods)
             };
-            let Some(first) = routes[..position].iter().find(same) else {
+            let Some(earlier) = routes[..position].iter().find(matches_same_requests) else {
                 continue;
             };
-            let line = line_of(self.text, first.span().start);
-            self.add(
-                at,
+            let line = line_at(self.text, earlier.span().start);
+            self.add_finding(
+                offset,
                 format!(
                     "route `{}` matches the same requests as the one in line {line}",
                     route.path.get_ref()
--- a/src/core/team_file/checker/treatments.rs
+++ b/src/core/team_file/checker/treatments.rs
@@ -17,17 +17,17 @@
 
 impl Checker<'_> {
     /// Treatment whose parts can't all be had.
-    pub(super) fn contradictions(
+    pub(super) fn check_contradictions(
         &mut self,
         name: &str,
-        at: usize,
+        offset: usize,
         treatment: &Treatment,
         queue_len: u32,
     ) {
         let timeout_ms = treatment.timeout_ms;
         if treatment.class == Class::Interactive && timeout_ms > INTERACTIVE_TIMEOUT_MAX_MS {
-            self.add(
-                at,
+            self.add_finding(
+                offset,
                 format!("resource `{name}` is interactive, yet may take {timeout_ms} ms"),
                 format!(
                     "set class = \"bulk\", or timeout_ms to {INTERACTIVE_TIMEOUT_MAX_MS} or less"
@@ -37,8 +37,8 @@
         if let Some(target_ms) = treatment.target_latency_ms
             && target_ms > timeout_ms
         {
-            self.add(
-                at,
+            self.add_finding(
+                offset,
                 format!(
                     "resource `{name}` aims at {target_ms} ms, yet may take only {timeout_ms} ms"
                 ),
@@ -46,8 +46,8 @@
             );
         }
         if treatment.class == Class::Bulk && timeout_ms < BULK_TIMEOUT_MIN_MS {
-            self.add(
-                at,
+            self.add_finding(
+                offset,
                 format!("resource `{name}` is bulk, yet may take only {timeout_ms} ms"),
                 format!(
                     "set class = \"interactive\", or timeout_ms to {BULK_TIMEOUT_MIN_MS} or more"
@@ -55,15 +55,15 @@
             );
         }
         if treatment.class == Class::Bulk && queue_len == 0 {
-            self.add(
-                at,
+            self.add_finding(
+                offset,
                 format!("resource `{name}` is bulk, yet its service has no queue to wait in"),
                 "set queue_len of the service to 1 or more",
             );
         }
         if treatment.spill == Spill::Mesh && timeout_ms < MESH_TIMEOUT_MIN_MS {
-            self.add(
-                at,
+            self.add_finding(
+                offset,
                 format!(
                     "resource `{name}` may be served in the other region, yet in {timeout_ms} ms"
                 ),
@@ -73,29 +73,29 @@
     }
 
     pub(super) fn treatment(&mut self, name: &str, raw: &Spanned<RawTreatment>) -> Treatment {
-        let at = raw.span().start;
+        let offset = raw.span().start;
         let merged = self.inherit(raw.get_ref().clone());
         let class = merged.class.unwrap_or(Class::Interactive);
         let timeout_ms = match &merged.timeout_ms {
-            Some(value) => self.range("timeout_ms", value, 1, TIMEOUT_MAX_MS),
+            Some(value) => self.check_range("timeout_ms", value, 1, TIMEOUT_MAX_MS),
             None => DEFAULT_TIMEOUT_MS,
         };
         let attempts = match &merged.attempts {
-            Some(value) => self.range("attempts", value, 1, ATTEMPTS_MAX),
+            Some(value) => self.check_range("attempts", value, 1, ATTEMPTS_MAX),
             None => DEFAULT_ATTEMPTS,
         };
         let priority = match &merged.priority {
-            Some(value) => self.range("priority", value, 0, PRIORITY_MAX),
+            Some(value) => self.check_range("priority", value, 0, PRIORITY_MAX),
             None => u32::from(PRIORITY_DEFAULT),
         };
         let target_latency_ms = merged
             .target_latency_ms
             .as_ref()
-            .map(|value| self.range("target_latency_ms", value, 1, TIMEOUT_MAX_MS));
+            .map(|value| self.check_range("target_latency_ms", value, 1, TIMEOUT_MAX_MS));
         // No default: guessing it wrong runs a payment twice, or never retries a look-up.
         let Some(idempotent) = merged.idempotent else {
-            self.add(
-                at,
+            self.add_finding(
+                offset,
                 format!("resource `{name}` does not say whether it is idempotent"),
                 "add idempotent = false if running a request twice does harm, else true",
             );
@@ -127,15 +127,15 @@
         while let Some(base) = next {
             let base_name = base.get_ref();
             if !seen.insert(base_name.clone()) {
-                self.add(
+                self.add_finding(
                     base.span().start,
                     format!("treatment `{base_name}` extends itself in a cycle"),
                     "remove one extends of the cycle",
                 );
                 break;
             }
-            let Some(treatment) = self.shared.get(base_name) else {
-                self.add(
+            let Some(treatment) = self.shared_treatments.get(base_name) else {
+                self.add_finding(
                     base.span().start,
                     format!("there is no treatment `{base_name}` to extend"),
                     format!("add [treatment.{base_name}], or correct the name"),
--- a/src/core/team_file/raw.rs
+++ b/src/core/team_file/raw.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-use super::{Finding, line_of};
+use super::{Finding, line_at};
 use crate::core::configuration::{Class, Spill};
 
 #[derive(Debug, Deserialize)]
@@ -66,12 +66,12 @@
     pub(super) service: Option<String>,
     pub(super) resource: String,
     #[serde(default)]
-    pub(super) split: Vec<Spanned<RawShare>>,
+    pub(super) split: Vec<Spanned<RawWeightedTarget>>,
 }
 
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct RawShare {
+pub(super) struct RawWeightedTarget {
     pub(super) service: Option<String>,
     pub(super) resource: Option<String>,
     pub(super) weight: Spanned<u32>,
@@ -81,7 +81,7 @@
 pub(super) fn syntax_finding(text: &str, error: &toml::de::Error) -> Finding {
     let offset = error.span().map_or(0, |span| span.start);
     Finding {
-        line: line_of(text, offset),
+        line: line_at(text, offset),
         problem: error
             .message()
             .replace('\n', " ")
--- a/src/core/token.rs
+++ b/src/core/token.rs
@@ -43,18 +43,18 @@
     }
 
     /// What to send, if anything.
-    pub fn to_send(&self) -> Option<&str> {
+    pub fn outgoing(&self) -> Option<&str> {
         self.secrets.first().map(String::as_str)
     }
 
-    /// Whether a request that brought `given` may speak.
-    pub fn accepts(&self, given: Option<&[u8]>) -> bool {
+    /// Whether a request that brought `presented` may speak.
+    pub fn accepts(&self, presented: Option<&[u8]>) -> bool {
         if self.secrets.is_empty() {
             return true;
         }
         // Digests are compared in constant time, so the answer's time tells nothing of a secret.
-        let given = blake3::hash(given.unwrap_or_default());
-        let matches = |secret: &String| blake3::hash(secret.as_bytes()) == given;
+        let presented = blake3::hash(presented.unwrap_or_default());
+        let matches = |secret: &String| blake3::hash(secret.as_bytes()) == presented;
         self.secrets.iter().any(matches)
     }
 }
@@ -65,12 +65,15 @@
     fn from_str(text: &str) -> Result<Self> {
         let secrets: Vec<String> = text.split(',').map(str::to_owned).collect();
         ensure!(secrets.len() <= SECRETS_MAX, InvalidTokenSnafu);
-        ensure!(secrets.iter().all(|s| is_secret(s)), InvalidTokenSnafu);
+        ensure!(
+            secrets.iter().all(|s| is_valid_secret(s)),
+            InvalidTokenSnafu
+        );
         Ok(Self { secrets })
     }
 }
 
-fn is_secret(text: &str) -> bool {
+fn is_valid_secret(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     text.len() >= SECRET_MIN_BYTES && text.chars().all(allowed)
 }
--- a/src/core/verdict.rs
+++ b/src/core/verdict.rs
@@ -31,8 +31,8 @@
     }
 
     /// Reads the word of [`VERDICT_HEADER`]. An unknown word proves nothing.
-    pub fn from_word(word: &str) -> Self {
-        match word {
+    pub fn from_header_value(value: &str) -> Self {
+        match value {
             "not-run" => Self::NotRun,
             "answered" => Self::Answered,
             _ => Self::MayHaveRun,
--- a/src/core/version.rs
+++ b/src/core/version.rs
@@ -36,7 +36,7 @@
 /// A text or byte string that is not a digest.
 #[derive(Debug, Snafu)]
 #[snafu(display("not a digest: expected 64 hexadecimal digits"))]
-pub struct NotADigest;
+pub struct InvalidDigest;
 
 impl Digest {
     /// Digest of nothing at all; goes with [`Version::NONE`].
@@ -59,18 +59,18 @@
 }
 
 impl TryFrom<&[u8]> for Digest {
-    type Error = NotADigest;
+    type Error = InvalidDigest;
 
-    fn try_from(bytes: &[u8]) -> Result<Self, NotADigest> {
-        bytes.try_into().map(Self).map_err(|_| NotADigest)
+    fn try_from(bytes: &[u8]) -> Result<Self, InvalidDigest> {
+        bytes.try_into().map(Self).map_err(|_| InvalidDigest)
     }
 }
 
 impl TryFrom<String> for Digest {
-    type Error = NotADigest;
+    type Error = InvalidDigest;
 
-    fn try_from(text: String) -> Result<Self, NotADigest> {
-        let hash = blake3::Hash::from_hex(text).map_err(|_| NotADigest)?;
+    fn try_from(text: String) -> Result<Self, InvalidDigest> {
+        let hash = blake3::Hash::from_hex(text).map_err(|_| InvalidDigest)?;
         Ok(Self(*hash.as_bytes()))
     }
 }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -16,7 +16,7 @@
 use super::held::HeldTimes;
 use super::placement::LoadReport;
 use crate::core::configuration::{Class, PRIORITY_DEFAULT};
-use crate::core::mechanism::{Mechanism, Without};
+use crate::core::mechanism::{DisabledMechanisms, Mechanism};
 use crate::core::names::ResourceName;
 
 new_key_type! {
@@ -80,15 +80,17 @@
         }
     }
 
-    fn place(&self, without: Without) -> Place {
+    fn place(&self, without: DisabledMechanisms) -> Place {
         let urgency = match self.urgency {
-            Urgency::Call if without.has(Mechanism::CallsFirst) => Urgency::Call,
-            Urgency::Caller { rank } if without.has(Mechanism::Ranks) => Urgency::Caller { rank },
+            Urgency::Call if without.is_enabled(Mechanism::NestedCallsFirst) => Urgency::Call,
+            Urgency::Caller { rank } if without.is_enabled(Mechanism::PriorityOrder) => {
+                Urgency::Caller { rank }
+            }
             _ => Urgency::Caller {
                 rank: PRIORITY_DEFAULT,
             },
         };
-        let due_us = match without.has(Mechanism::DueOrder) {
+        let due_us = match without.is_enabled(Mechanism::DeadlineOrder) {
             true => self.due_us,
             false => 0,
         };
@@ -161,7 +163,7 @@
 /// microseconds of any steady clock.
 #[derive(Debug)]
 pub struct Admission<W> {
-    without: Without,
+    without: DisabledMechanisms,
     limits: Limits,
     closed: bool,
     waiting: SlotMap<Ticket, Waiter<W>>,
@@ -205,13 +207,13 @@
 
 impl<W> Default for Admission<W> {
     fn default() -> Self {
-        Self::new(Without::default())
+        Self::new(DisabledMechanisms::default())
     }
 }
 
 impl<W> Admission<W> {
     /// No slots yet.
-    pub fn new(without: Without) -> Self {
+    pub fn new(without: DisabledMechanisms) -> Self {
         Self {
             without,
             limits: Limits::default(),
@@ -481,7 +483,7 @@
     fn bulk_ceiling(&self, now_us: u64) -> u32 {
         let slots = self.limits.slots;
         let asked_lately = |asked_us| now_us.saturating_sub(asked_us) < RESERVE_MEMORY_US;
-        let reserves = self.without.has(Mechanism::BulkReserve);
+        let reserves = self.without.is_enabled(Mechanism::BulkReserve);
         if reserves && self.interactive.last_asked_us.is_some_and(asked_lately) {
             slots - slots / RESERVE_DIVISOR
         } else {
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -14,7 +14,7 @@
 use self::observation::{EJECTED_MOST_US, Seen};
 use super::intake::SMALL_BYTES;
 use crate::core::configuration::Spill;
-use crate::core::mechanism::{Mechanism, Without};
+use crate::core::mechanism::{DisabledMechanisms, Mechanism};
 use crate::core::member::{Distance, Member, NodeId, Place};
 use crate::core::names::ResourceName;
 
@@ -135,7 +135,7 @@
 /// What one entry has seen of endpoints. Times are microseconds of any steady clock.
 #[derive(Debug, Default)]
 pub struct Balancer {
-    without: Without,
+    without: DisabledMechanisms,
     seen: HashMap<NodeId, Seen>,
     /// Mean length of answers, by resource.
     answers_bytes: HashMap<ResourceName, f64>,
@@ -143,7 +143,7 @@
 
 impl Balancer {
     /// Nothing seen yet.
-    pub fn new(without: Without) -> Self {
+    pub fn new(without: DisabledMechanisms) -> Self {
         Self {
             without,
             ..Self::default()
@@ -375,11 +375,11 @@
         ring: &'a [Endpoint],
         others: Others<'_>,
     ) -> Vec<&'a Endpoint> {
-        let most = match self.without.has(Mechanism::Subset) {
+        let most = match self.without.is_enabled(Mechanism::Subset) {
             true => SUBSET,
             false => ring.len(),
         };
-        let ejects = self.without.has(Mechanism::Ejection);
+        let ejects = self.without.is_enabled(Mechanism::Ejection);
         let mut usable = Vec::with_capacity(most.min(ring.len()));
         let mut all = Vec::with_capacity(most.min(ring.len()));
         for endpoint in ring {
--- a/src/decide/placement/cost.rs
+++ b/src/decide/placement/cost.rs
@@ -2,7 +2,7 @@
 //!
 //! Costs are compared with each other and mean little alone: 1 is a request that is not answered.
 
-use crate::core::mechanism::{Mechanism, Without};
+use crate::core::mechanism::{DisabledMechanisms, Mechanism};
 use crate::core::member::Distance;
 
 /// A late answer is worth about a third of one in time to the users, who weigh it so themselves.
@@ -72,7 +72,7 @@
 ///
 /// How long work takes scatters like an exponential, so the part that comes too late is taken from one with
 /// the endpoint's mean. The nearest endpoint does not go first by itself: a fast one elsewhere may answer sooner.
-pub(super) fn of(choice: &Choice, limits: Limits, without: Without) -> f64 {
+pub(super) fn of(choice: &Choice, limits: Limits, without: DisabledMechanisms) -> f64 {
     let slots = choice.slots.max(1.0);
     let queued = (choice.in_hand + 1.0 - slots).max(0.0);
     let waited = queued / slots;
@@ -88,13 +88,15 @@
     let waited = waited + choice.intake_us / choice.held_us.max(1.0);
     let crossing = crossing(choice.distance) * choice.size_kb.max(LEAST_KB);
     let terms = [
-        (Mechanism::CostWait, WAIT * waited),
-        (Mechanism::CostBusy, BUSY * busy.powi(3)),
-        (Mechanism::CostFailing, FAILING * choice.failing),
-        (Mechanism::CostAsked, ASKED * choice.asked),
-        (Mechanism::CostCrossing, crossing),
+        (Mechanism::CostQueued, WAIT * waited),
+        (Mechanism::CostSlotsInUse, BUSY * busy.powi(3)),
+        (Mechanism::CostFailures, FAILING * choice.failing),
+        (Mechanism::CostOutstanding, ASKED * choice.asked),
+        (Mechanism::CostCrossZone, crossing),
     ];
-    let counted = terms.into_iter().filter(|(term, _)| without.has(*term));
+    let counted = terms
+        .into_iter()
+        .filter(|(term, _)| without.is_enabled(*term));
     let counted: f64 = counted.map(|(_, cost)| cost).sum();
     LATE * past(limits.target_us) + LOST * past(limits.deadline_us) + counted
 }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 use crate::core::configuration::Treatment;
-use crate::core::mechanism::{Mechanism, Without};
+use crate::core::mechanism::{DisabledMechanisms, Mechanism};
 use crate::core::names::ServiceName;
 use crate::core::verdict::Verdict;
 
@@ -163,13 +163,13 @@
     }
 
     /// The same with some mechanisms switched off.
-    pub fn without(self, without: Without) -> Self {
+    pub fn without(self, without: DisabledMechanisms) -> Self {
         Self {
-            reserve: match without.has(Mechanism::RetryReserve) {
+            reserve: match without.is_enabled(Mechanism::RetryBurst) {
                 true => self.reserve,
                 false => RESERVE_LEAST,
             },
-            unlimited: !without.has(Mechanism::RetryTokens),
+            unlimited: !without.is_enabled(Mechanism::RetryBudget),
             ..self
         }
     }
--- a/src/membership/learning.rs
+++ b/src/membership/learning.rs
@@ -64,7 +64,7 @@
     /// A replaced VM whose clock is behind starts with an incarnation below the one that the mesh remembers, and learns
     /// that one from such a claim; one above it supersedes the earlier life.
     fn refute(&mut self, claim: &Member) {
-        if claim.rank() <= self.me.rank() {
+        if claim.precedence() <= self.me.precedence() {
             return;
         }
         if claim.incarnation_us > self.me.incarnation_us {
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -54,7 +54,7 @@
     pub fn learn(&mut self, now_ms: u64, member: Member) -> Change {
         let node = member.node;
         let known = self.entries.get(&node).map(|entry| &entry.member);
-        if known.is_some_and(|known| member.rank() <= known.rank()) {
+        if known.is_some_and(|known| member.precedence() <= known.precedence()) {
             return Change::None;
         }
         let was_present = known.is_some_and(is_present);
--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -106,7 +106,7 @@
 
     fn leads(&self) -> Leads {
         let leads = self.node.leads.borrow().clone();
-        match self.node.proxy.without().has(Mechanism::Leads) {
+        match self.node.proxy.without().is_enabled(Mechanism::StoreReader) {
             true => leads,
             false => Leads {
                 before: Vec::new(),
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -98,7 +98,7 @@
             node: self.node.proxy.me,
             enforced: stamp.unwrap_or(Stamp::NONE),
             ready: self.why_not_ready().is_none(),
-            lacking,
+            unreachable_services: lacking,
             follows: *self.node.follows.borrow(),
             members: view.members.clone(),
             data_centres: view.data_centres.clone(),
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -174,14 +174,14 @@
 fn store_of(settings: &Settings) -> NodeStore {
     let url = &settings.platform_url;
     match settings.dialect {
-        Dialect::Own => NodeStore::Own(HttpStore::new(url, settings.dial_from)),
+        Dialect::Native => NodeStore::Own(HttpStore::new(url, settings.dial_from)),
         Dialect::Platform => NodeStore::Platform(Client::new(url, settings.dial_from)),
     }
 }
 
 fn origin(settings: &Settings) -> Origin {
     match settings.dialect {
-        Dialect::Own => {
+        Dialect::Native => {
             let store = HttpStore::new(&settings.platform_url, settings.dial_from);
             Origin::Published(store)
         }
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -19,7 +19,7 @@
 use self::specs::default_of;
 pub use self::specs::{SPECS, Spec};
 use crate::core::dialect::Dialect;
-use crate::core::mechanism::Without;
+use crate::core::mechanism::DisabledMechanisms;
 use crate::core::member::Place;
 use crate::core::names::{DataCentreName, RegionName, ServiceName, is_name};
 use crate::core::token::MeshToken;
@@ -135,7 +135,7 @@
     pub link_kbit_per_s: Option<u32>,
     /// Mechanisms that are switched off.
     #[builder(default)]
-    pub without: Without,
+    pub without: DisabledMechanisms,
     /// How log lines are written.
     #[builder(default = default_of("log-format"))]
     pub log_format: LogFormat,
@@ -320,7 +320,7 @@
         }
         let checked = "no problems were found";
         Ok(Settings {
-            dialect: Dialect::Own,
+            dialect: Dialect::Native,
             ready_listen: None,
             announce_listen: None,
             backend_server_announces: false,
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -104,7 +104,7 @@
 
 fn vocabulary_of(dialect: Dialect) -> &'static Vocabulary {
     match dialect {
-        Dialect::Own => &vocabulary::OWN,
+        Dialect::Native => &vocabulary::OWN,
         Dialect::Platform => &platform::headers::VOCABULARY,
     }
 }
--- a/src/ops/command/publish/rounds.rs
+++ b/src/ops/command/publish/rounds.rs
@@ -171,7 +171,7 @@
         let teams = self.changes.raced(&self.seen, now);
         let difference_of = |team: &TeamName| {
             let (before, after) = (self.seen.teams.get(team), now.teams.get(team));
-            difference::of_team(team, before, after)
+            difference::between_records(team, before, after)
         };
         let differences: Vec<_> = teams.iter().filter_map(difference_of).collect();
         ensure!(
--- a/src/ops/operator.rs
+++ b/src/ops/operator.rs
@@ -108,7 +108,7 @@
     tokio::spawn(connection);
     let mut request = Request::builder().method(method).uri(path);
     request = request.header(hyper::header::HOST, address.to_string());
-    if let Some(token) = node.token.to_send() {
+    if let Some(token) = node.token.outgoing() {
         request = request.header(TOKEN_HEADER, token);
     }
     let request = request
--- a/src/ops/query/check.rs
+++ b/src/ops/query/check.rs
@@ -8,7 +8,7 @@
 use crate::core::configuration::{Configuration, TeamRecord};
 use crate::core::names::{ResourceName, ServiceName, TeamName};
 use crate::core::routing::RouteTable;
-use crate::core::team_file::{self, Finding, Lines};
+use crate::core::team_file::{self, Finding, SourceLines};
 
 /// Result of this module.
 pub type Result<T, E = Vec<FileFindings>> = std::result::Result<T, E>;
@@ -29,7 +29,7 @@
     pub path: PathBuf,
     /// Its record.
     pub record: TeamRecord,
-    lines: Lines,
+    lines: SourceLines,
 }
 
 /// Reads and checks every file; all records, or all findings of all files.
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -87,7 +87,7 @@
 
 impl TokenSender {
     fn new(token: &MeshToken) -> Self {
-        let token = token.to_send().and_then(|token| token.parse().ok());
+        let token = token.outgoing().and_then(|token| token.parse().ok());
         Self { token }
     }
 }
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -7,7 +7,7 @@
 use super::generated as wire;
 use crate::core::member::{BackendState, Liveness, Member, NodeId, Place};
 use crate::core::names::{DataCentreName, RegionName, ServiceName, is_name};
-use crate::core::version::{Digest, NotADigest, Stamp, Version};
+use crate::core::version::{Digest, InvalidDigest, Stamp, Version};
 use crate::distribution::{Content, Offer, Step};
 use crate::membership::{Gossip, Report, Summary};
 
@@ -23,7 +23,7 @@
         source: std::net::AddrParseError,
     },
     #[snafu(display("a stamp's digest is damaged"))]
-    Stamp { source: NotADigest },
+    Stamp { source: InvalidDigest },
     #[snafu(display("the field `{field}` is missing or out of range"))]
     Field { field: &'static str },
 }
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -14,8 +14,8 @@
 
 use super::duration::parse_ms;
 use crate::core::configuration::{
-    CallerLimits, Class, Configuration, RouteRecord, ServiceRecord, Share, Spill, Target,
-    TeamRecord, Treatment,
+    CallerLimits, Class, Configuration, RouteRecord, ServiceRecord, Spill, Target, TeamRecord,
+    Treatment, WeightedTarget,
 };
 use crate::core::names::{HostName, ResourceName, ServiceName, TeamName};
 use crate::core::version::Version;
@@ -187,10 +187,10 @@
         service: ServiceName::new(service),
         resource: name.clone(),
     };
-    let split: Vec<Share> = weighted
+    let split: Vec<WeightedTarget> = weighted
         .into_iter()
         .flatten()
-        .map(|part| Share {
+        .map(|part| WeightedTarget {
             target: target(&part.service),
             weight: part.weight,
         })
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -101,13 +101,13 @@
     assert_eq!(limits.idle_timeout_ms, 15_000);
     let table = RouteTable::compile(&configuration).expect("it closes");
     let payment = table.find("jepu9.example", "POST", "/puka111/2f");
-    let payment = &payment.expect("a route").branches;
+    let payment = &payment.expect("a route").targets;
     assert_eq!(payment.len(), 1);
     assert_eq!(payment[0].service.as_str(), "wuno96b");
     assert!(!payment[0].treatment.idempotent);
     assert_eq!(payment[0].treatment.spill, Spill::Mesh);
     let read = table.find("hulo84.example", "GET", "/leny950/2f");
-    let read = &read.expect("a route").branches;
+    let read = &read.expect("a route").targets;
     let parts: BTreeMap<_, _> = read
         .iter()
         .map(|b| (b.service.as_str(), b.weight))
--- a/src/proxy/answer.rs
+++ b/src/proxy/answer.rs
@@ -223,7 +223,7 @@
     pub(crate) fn from_headers(headers: &HeaderMap) -> Option<Self> {
         let verdict = headers::text(headers, &headers::VERDICT)?;
         let reason = headers::text(headers, &headers::REASON).and_then(Reason::from_word);
-        let failure = match Verdict::from_word(verdict) {
+        let failure = match Verdict::from_header_value(verdict) {
             Verdict::NotRun => Self::not_run(reason.unwrap_or(Reason::Full)),
             _ => Self::may_have_run(reason.unwrap_or(Reason::Lost)),
         };
--- a/src/proxy/backend.rs
+++ b/src/proxy/backend.rs
@@ -17,7 +17,7 @@
 
 use super::answer::{Failure, Reason};
 use super::body::{self, Body, BoxError, Guarded};
-use crate::core::mechanism::{Mechanism, Without};
+use crate::core::mechanism::{DisabledMechanisms, Mechanism};
 use crate::util::dial::dial;
 
 #[cfg(test)]
@@ -57,7 +57,7 @@
     most: Arc<AtomicU32>,
     /// Told when a connection has been closed.
     closed: Arc<Notify>,
-    without: Without,
+    without: DisabledMechanisms,
 }
 
 /// Counts one open connection until it is closed.
@@ -75,7 +75,7 @@
 
 impl BackendPool {
     /// No connections yet.
-    pub(crate) fn new(without: Without) -> Self {
+    pub(crate) fn new(without: DisabledMechanisms) -> Self {
         Self {
             without,
             ..Self::default()
@@ -195,7 +195,7 @@
     /// The connection that has rested for the shortest time, if that is below `rest_max`.
     fn take_idle(&self, address: SocketAddr, rest_max: Duration) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let may_rest_long = !self.without.has(Mechanism::ShortRests);
+        let may_rest_long = !self.without.is_enabled(Mechanism::IdleConnectionLimit);
         idle.retain(|resting| {
             let usable = resting.address == address && !resting.sender.is_closed();
             usable && (may_rest_long || resting.since.elapsed() < REST_MAX_IDEMPOTENT)
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -17,7 +17,7 @@
 use super::headers;
 use super::replay::Replay;
 use crate::core::mechanism::Mechanism;
-use crate::core::routing::{Branch, Route};
+use crate::core::routing::{ResolvedTarget, Route};
 use crate::decide::retry::{self, Attempts};
 use crate::decide::split;
 use crate::distribution::Applied;
@@ -29,7 +29,7 @@
 /// Whether a request may be started before those that its caller sent ahead of it are answered:
 /// were the connection to end with one of them, the caller would send it again.
 pub(crate) fn may_start_early(node: &ProxyState, parts: &Parts) -> bool {
-    if !node.without().has(Mechanism::EarlyStart) {
+    if !node.without().is_enabled(Mechanism::PipelinedStart) {
         return false;
     }
     let applied = node.enforced.load();
@@ -38,7 +38,7 @@
     };
     let route = host_of(parts).and_then(|host| route_of(applied, parts, host.host()).ok());
     route.is_some_and(|route| {
-        let mut branches = route.branches.iter();
+        let mut branches = route.targets.iter();
         branches.all(|branch| branch.treatment.idempotent)
     })
 }
@@ -199,9 +199,9 @@
     Err(Failure::not_run(reason))
 }
 
-fn branch_of(route: &Route) -> &Branch {
-    let weights = route.branches.iter().map(|branch| branch.weight);
-    &route.branches[split::branch(weights, route.next_turn())]
+fn branch_of(route: &Route) -> &ResolvedTarget {
+    let weights = route.targets.iter().map(|branch| branch.weight);
+    &route.targets[split::branch(weights, route.next_request_number())]
 }
 
 /// Refuses a body that says from the start that it is too long; see [`Replay`] for the others.
--- a/src/proxy/entry/call.rs
+++ b/src/proxy/entry/call.rs
@@ -12,7 +12,7 @@
 use crate::core::mechanism::Mechanism;
 use crate::core::member::NodeId;
 use crate::core::names::ServiceName;
-use crate::core::routing::Branch;
+use crate::core::routing::ResolvedTarget;
 use crate::core::verdict::Verdict;
 use crate::decide::intake::SMALL_BYTES;
 use crate::decide::patience;
@@ -33,7 +33,7 @@
     pub(super) parts: &'a Parts,
     /// What the caller named as the host.
     pub(super) host: &'a Authority,
-    pub(super) branch: &'a Branch,
+    pub(super) branch: &'a ResolvedTarget,
     pub(super) slots: u32,
     pub(super) body_bytes: u64,
     pub(super) began: Instant,
@@ -262,7 +262,7 @@
     }
 
     fn is_large(&self) -> bool {
-        self.body_bytes > SMALL_BYTES && self.node.without().has(Mechanism::UploadTurns)
+        self.body_bytes > SMALL_BYTES && self.node.without().is_enabled(Mechanism::UploadScheduling)
     }
 
     /// Asks for a turn, and sends the request once it has been given.
--- a/src/proxy/intake.rs
+++ b/src/proxy/intake.rs
@@ -61,7 +61,7 @@
     from: From,
 ) -> Result<Body, Failure> {
     let len = body.size_hint().upper();
-    let by_turns = node.without().has(Mechanism::UploadTurns);
+    let by_turns = node.without().is_enabled(Mechanism::UploadScheduling);
     if !by_turns || len.is_some_and(|len| len <= SMALL_BYTES) {
         return Ok(body);
     }
--- a/src/proxy/listener/peers.rs
+++ b/src/proxy/listener/peers.rs
@@ -90,7 +90,7 @@
             Err(never) => match never {},
         };
     };
-    let checked = node.without().has(Mechanism::TransitCheck);
+    let checked = node.without().is_enabled(Mechanism::TransitDelayCheck);
     let delay = {
         let mut transit = transit.lock().unwrap_or_else(PoisonError::into_inner);
         let delay_us = transit.delay_us(clock::boot_us(), sent_us);
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -148,7 +148,7 @@
             .handshake(TokioIo::new(stream))
             .await?;
         tokio::spawn(connection);
-        let token = self.options.token.to_send().map(headers::value);
+        let token = self.options.token.outgoing().map(headers::value);
         Ok(Sender { requests, token })
     }
 }
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -18,7 +18,7 @@
 impl View {
     pub(crate) fn new(members: Vec<Member>, me: NodeId, from: &Place) -> Self {
         let mut endpoints: HashMap<ServiceName, Ranked> = HashMap::new();
-        for member in members.iter().filter(|member| member.takes_work()) {
+        for member in members.iter().filter(|member| member.accepts_requests()) {
             let service = member.service.clone().expect("takes_work checks it");
             endpoints.entry(service).or_default().add(me, from, member);
         }
--- a/tests/testsuite/fuzz_membership.rs
+++ b/tests/testsuite/fuzz_membership.rs
@@ -113,14 +113,17 @@
     fn apply(mut state: Highest, message: &Message) -> Highest {
         for said in &message.statements {
             if said.node == node(ME) {
-                let higher = state.claim.as_ref().is_none_or(|c| said.rank() > c.rank());
+                let higher = state
+                    .claim
+                    .as_ref()
+                    .is_none_or(|c| said.precedence() > c.precedence());
                 if higher {
                     state.claim = Some(said.clone());
                 }
                 continue;
             }
             let known = state.members.get(&said.node);
-            if known.is_none_or(|known| said.rank() > known.rank()) {
+            if known.is_none_or(|known| said.precedence() > known.precedence()) {
                 state.members.insert(said.node, said.clone());
             }
         }
@@ -166,7 +169,10 @@
         assert_eq!(others, expected.members);
         assert_eq!(view.me().liveness, Liveness::Alive);
         if let Some(claim) = &expected.claim {
-            assert!(view.me().rank() >= claim.rank(), "{claim:?} is not refuted");
+            assert!(
+                view.me().precedence() >= claim.precedence(),
+                "{claim:?} is not refuted"
+            );
         }
         for (sender, version) in &expected.versions {
             assert_eq!(view.remembered(*sender), *version);
