--- a/crates/model/src/operator.rs
+++ b/crates/model/src/operator.rs
@@ -191,8 +191,8 @@
 
 fn ended_by(error: &Error) -> End {
     match error {
-        Error::OutcomeUnknown { seen, .. } | Error::Unsettled { seen, .. } => {
-            End::Unknown(seen.map(|version| version.0))
+        Error::OutcomeUnknown { expected, .. } | Error::Unsettled { expected, .. } => {
+            End::Unknown(expected.map(|version| version.0))
         }
         _ => End::Refused,
     }
--- a/src/bin/dragonflywall/cli.rs
+++ b/src/bin/dragonflywall/cli.rs
@@ -29,7 +29,7 @@
 impl Failure {
     pub(crate) fn refused(error: &dyn Error, hint: &'static str) -> Self {
         Self::Refused {
-            text: with_causes(error),
+            text: error_with_causes(error),
             hint,
         }
     }
@@ -47,9 +47,9 @@
         match self {
             Self::Refused { text, hint: "" } => eprintln!("error: {text}"),
             Self::Refused { text, hint } => eprintln!("error: {text}\nhint: {hint}"),
-            Self::Findings(bad) => eprintln!(
+            Self::Findings(invalid_files) => eprintln!(
                 "error: {}\nhint: nothing was changed; correct the files and check again",
-                check::describe(bad)
+                check::describe(invalid_files)
             ),
             Self::Usage(text) => match command {
                 Some(command) => {
@@ -69,7 +69,7 @@
 }
 
 /// An error and everything that led to it, a line each.
-pub(crate) fn with_causes(error: &dyn Error) -> String {
+pub(crate) fn error_with_causes(error: &dyn Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
@@ -90,7 +90,7 @@
 
 /// Runs the command that `arguments` name.
 pub(crate) fn run(arguments: Vec<OsString>) -> ExitCode {
-    let command = arguments.first().and_then(|name| find(name));
+    let command = arguments.first().and_then(|name| find_command(name));
     match dispatch(command, arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
@@ -109,7 +109,7 @@
         .block_on(future)
 }
 
-fn find(name: &OsStr) -> Option<&'static Command> {
+fn find_command(name: &OsStr) -> Option<&'static Command> {
     let mut all = commands::ALL.iter();
     all.find(|command| name.to_str() == Some(command.name))
 }
@@ -134,14 +134,14 @@
         let name = name.to_string_lossy();
         return Err(Failure::Usage(format!("`{name}` is not a command")));
     };
-    if wants_help(&arguments) {
+    if has_help_flag(&arguments) {
         println!("{}", (command.help)());
         return Ok(());
     }
     (command.run)(arguments)
 }
 
-fn wants_help(arguments: &[OsString]) -> bool {
+fn has_help_flag(arguments: &[OsString]) -> bool {
     arguments
         .iter()
         .any(|argument| argument == "--help" || argument == "-h")
--- a/src/bin/dragonflywall/commands/audit.rs
+++ b/src/bin/dragonflywall/commands/audit.rs
@@ -3,11 +3,11 @@
 use std::ffi::OsString;
 
 use dragonflywall::core::difference;
-use dragonflywall::ops::query::audit::{Entry, Selection, audit};
+use dragonflywall::ops::query::audit::{AuditEntry, AuditFilter, audit};
 
 use super::{Command, history};
 use crate::cli::{Failure, Result, block_on};
-use crate::options::{self, Common, JSON_HELP, PLATFORM_HELP, print_json};
+use crate::options::{self, CommonOptions, JSON_HELP, PLATFORM_HELP, print_json};
 
 pub(crate) const COMMAND: Command = Command {
     name: "audit",
@@ -19,7 +19,8 @@
 /// An audit reads two configurations for each version, so it stops somewhere by itself.
 const DEFAULT_LAST: u64 = 20;
 
-pub(crate) const NOTHING: &str = "Found nothing among these versions; --all looks at all of them";
+pub(crate) const NO_VERSIONS_TEXT: &str =
+    "Found nothing among these versions; --all looks at all of them";
 pub(crate) const READ_HINT: &str = "try again when the platform is back";
 
 /// Options of `audit` and `history`.
@@ -44,40 +45,40 @@
 }
 
 /// Parses the options of `audit` and `history`.
-pub(crate) fn parse(arguments: Vec<OsString>) -> Result<(Common, Selection)> {
-    let mut common = Common::from_environment();
-    let mut selection = Selection {
-        last: Some(DEFAULT_LAST),
-        ..Selection::default()
+pub(crate) fn parse_options(arguments: Vec<OsString>) -> Result<(CommonOptions, AuditFilter)> {
+    let mut common = CommonOptions::from_environment();
+    let mut filter = AuditFilter {
+        limit: Some(DEFAULT_LAST),
+        ..AuditFilter::default()
     };
     let mut parser = lexopt::Parser::from_args(arguments);
     while let Some(argument) = parser.next()? {
         match argument {
             lexopt::Arg::Long("last") => {
-                selection.last = Some(options::value("last", &mut parser)?);
+                filter.limit = Some(options::value("last", &mut parser)?);
             }
-            lexopt::Arg::Long("all") => selection.last = None,
+            lexopt::Arg::Long("all") => filter.limit = None,
             lexopt::Arg::Long("team") => {
-                selection.team = Some(options::team("team", &mut parser)?);
+                filter.team = Some(options::team("team", &mut parser)?);
             }
             lexopt::Arg::Long("by") => {
-                selection.operator = Some(options::value("by", &mut parser)?);
+                filter.operator = Some(options::value("by", &mut parser)?);
             }
             lexopt::Arg::Long(name) => {
                 let name = name.to_owned();
-                common.take_or_refuse(&name, &mut parser)?;
+                common.parse_flag(&name, &mut parser)?;
             }
             other => return Err(other.unexpected().into()),
         }
     }
-    Ok((common, selection))
+    Ok((common, filter))
 }
 
 fn run(arguments: Vec<OsString>) -> Result {
-    let (common, selection) = parse(arguments)?;
+    let (common, filter) = parse_options(arguments)?;
     let platform = common.platform()?;
-    let entries = block_on(audit(&platform, &selection))
-        .map_err(|error| Failure::refused(&error, READ_HINT))?;
+    let entries =
+        block_on(audit(&platform, &filter)).map_err(|error| Failure::refused(&error, READ_HINT))?;
     if common.json {
         print_json(&entries);
         return Ok(());
@@ -86,14 +87,14 @@
         print(entry);
     }
     if entries.is_empty() {
-        println!("{}", NOTHING);
+        println!("{}", NO_VERSIONS_TEXT);
     }
     Ok(())
 }
 
-fn print(entry: &Entry) {
+fn print(entry: &AuditEntry) {
     let row = &entry.row;
-    println!("{}", history::line(row));
+    println!("{}", history::version_line(row));
     println!(
         "  publication {}, digest {}",
         row.publish_id, row.stamp.digest
--- a/src/bin/dragonflywall/commands/check.rs
+++ b/src/bin/dragonflywall/commands/check.rs
@@ -10,7 +10,7 @@
 
 use super::{Command, audit};
 use crate::cli::{Failure, Result, block_on};
-use crate::options::{Common, JSON_HELP, PLATFORM_HELP, print_json};
+use crate::options::{CommonOptions, JSON_HELP, PLATFORM_HELP, print_json};
 
 pub(crate) const COMMAND: Command = Command {
     name: "check",
@@ -38,7 +38,7 @@
 }
 
 fn run(arguments: Vec<OsString>) -> Result {
-    let mut common = Common::from_environment();
+    let mut common = CommonOptions::from_environment();
     let mut scope = Scope::EachFile;
     let mut paths = Vec::new();
     let mut parser = lexopt::Parser::from_args(arguments);
@@ -49,7 +49,7 @@
             lexopt::Arg::Value(path) => paths.push(PathBuf::from(path)),
             lexopt::Arg::Long(name) => {
                 let name = name.to_owned();
-                common.take_or_refuse(&name, &mut parser)?;
+                common.parse_flag(&name, &mut parser)?;
             }
             other => return Err(other.unexpected().into()),
         }
@@ -65,18 +65,18 @@
     Ok(())
 }
 
-fn check(paths: &[PathBuf], scope: Scope, common: &Common) -> Result<Vec<CheckedFile>> {
-    let files = checked(paths)?;
+fn check(paths: &[PathBuf], scope: Scope, common: &CommonOptions) -> Result<Vec<CheckedFile>> {
+    let files = check_each_file(paths)?;
     let base = match scope {
         Scope::EachFile => return Ok(files),
         Scope::WholeSet => Configuration::default(),
         Scope::Accepted => accepted_configuration(common)?,
     };
-    check_set(&files, &base).map_err(refused)?;
+    check_set(&files, &base).map_err(findings_failure)?;
     Ok(files)
 }
 
-fn accepted_configuration(common: &Common) -> Result<Configuration> {
+fn accepted_configuration(common: &CommonOptions) -> Result<Configuration> {
     let platform = common.platform()?;
     let read = block_on(async {
         let head = accepted::head(&platform).await?;
@@ -90,33 +90,33 @@
     if paths.is_empty() {
         return Ok(Vec::new());
     }
-    let files = checked(paths)?;
+    let files = check_each_file(paths)?;
     Ok(files.into_iter().map(|file| file.record).collect())
 }
 
-fn checked(paths: &[PathBuf]) -> Result<Vec<CheckedFile>> {
+fn check_each_file(paths: &[PathBuf]) -> Result<Vec<CheckedFile>> {
     if paths.is_empty() {
         return Err(Failure::Usage("no team file was given".to_owned()));
     }
-    check_files(paths).map_err(refused)
+    check_files(paths).map_err(findings_failure)
 }
 
-fn refused(bad: Vec<FileFindings>) -> Failure {
-    Failure::Findings(bad)
+fn findings_failure(invalid_files: Vec<FileFindings>) -> Failure {
+    Failure::Findings(invalid_files)
 }
 
 fn print_findings(checked: &Result<Vec<CheckedFile>>) {
     match checked {
         Ok(_) => print_json(&Vec::<FileFindings>::new()),
-        Err(Failure::Findings(bad)) => print_json(bad),
+        Err(Failure::Findings(invalid_files)) => print_json(invalid_files),
         Err(_) => (),
     }
 }
 
 /// All findings, each with its place and remedy.
-pub(crate) fn describe(bad: &[FileFindings]) -> String {
-    let mut text = format!("team files refused: {}", bad.len());
-    for file in bad {
+pub(crate) fn describe(invalid_files: &[FileFindings]) -> String {
+    let mut text = format!("team files refused: {}", invalid_files.len());
+    for file in invalid_files {
         for finding in &file.findings {
             let path = file.path.display();
             let _ = match finding.line {
--- a/src/bin/dragonflywall/commands/diff.rs
+++ b/src/bin/dragonflywall/commands/diff.rs
@@ -6,11 +6,11 @@
 use dragonflywall::core::difference;
 use dragonflywall::core::names::TeamName;
 use dragonflywall::core::version::Version;
-use dragonflywall::ops::query::diff::{Diff, Error, of_versions, with_accepted};
+use dragonflywall::ops::query::diff::{Diff, Error, against_accepted, between_versions};
 
 use super::{Command, check};
 use crate::cli::{Failure, Result, block_on};
-use crate::options::{self, Common, JSON_HELP, PLATFORM_HELP, print_json};
+use crate::options::{self, CommonOptions, JSON_HELP, PLATFORM_HELP, print_json};
 
 pub(crate) const COMMAND: Command = Command {
     name: "diff",
@@ -34,7 +34,7 @@
 }
 
 fn run(arguments: Vec<OsString>) -> Result {
-    let mut common = Common::from_environment();
+    let mut common = CommonOptions::from_environment();
     let mut from: Option<Version> = None;
     let mut to: Option<Version> = None;
     let mut removals: Vec<TeamName> = Vec::new();
@@ -48,7 +48,7 @@
             lexopt::Arg::Value(path) => paths.push(path.into()),
             lexopt::Arg::Long(name) => {
                 let name = name.to_owned();
-                common.take_or_refuse(&name, &mut parser)?;
+                common.parse_flag(&name, &mut parser)?;
             }
             other => return Err(other.unexpected().into()),
         }
@@ -56,10 +56,10 @@
     let platform = common.platform()?;
     let has_changes = !paths.is_empty() || !removals.is_empty();
     let diff = match (from, has_changes) {
-        (Some(from), false) => block_on(of_versions(&platform, from, to)),
+        (Some(from), false) => block_on(between_versions(&platform, from, to)),
         (None, true) if to.is_none() => {
             let records = check::records(&paths)?;
-            block_on(with_accepted(&platform, &records, &removals))
+            block_on(against_accepted(&platform, &records, &removals))
         }
         _ => {
             let text = "give either files or --from, not both".to_owned();
--- a/src/bin/dragonflywall/commands/drain.rs
+++ b/src/bin/dragonflywall/commands/drain.rs
@@ -2,11 +2,11 @@
 
 use std::ffi::OsString;
 
-use dragonflywall::ops::command::drain::{Draining, drain, wait_drained};
+use dragonflywall::ops::command::drain::{DrainStatus, drain, wait_drained};
 
 use super::Command;
 use crate::cli::{Failure, Result, block_on};
-use crate::options::{Common, JSON_HELP, LIMIT_HELP, NODE_HELP, print_json_line};
+use crate::options::{CommonOptions, JSON_HELP, LIMIT_HELP, NODE_HELP, print_json_line};
 
 pub(crate) const COMMAND: Command = Command {
     name: "drain",
@@ -29,7 +29,7 @@
 }
 
 fn run(arguments: Vec<OsString>) -> Result {
-    let mut common = Common::from_environment();
+    let mut common = CommonOptions::from_environment();
     let mut wait = false;
     let mut parser = lexopt::Parser::from_args(arguments);
     while let Some(argument) = parser.next()? {
@@ -37,28 +37,28 @@
             lexopt::Arg::Long("wait") => wait = true,
             lexopt::Arg::Long(name) => {
                 let name = name.to_owned();
-                common.take_or_refuse(&name, &mut parser)?;
+                common.parse_flag(&name, &mut parser)?;
             }
             other => return Err(other.unexpected().into()),
         }
     }
     let node = common.node()?;
-    let limit = common.wait_limit()?;
-    let report = |draining: Draining| {
+    let timeout = common.wait_limit()?;
+    let report = |status: DrainStatus| {
         if common.json {
-            print_json_line(&draining);
+            print_json_line(&status);
         } else {
             println!(
                 "Draining {}: {} requests in flight",
-                node.address, draining.in_flight
+                node.address, status.in_flight
             );
         }
     };
     let last = block_on(async {
         if wait {
-            return wait_drained(&node, limit, report).await;
+            return wait_drained(&node, timeout, report).await;
         }
-        drain(&node).await.inspect(|draining| report(*draining))
+        drain(&node).await.inspect(|status| report(*status))
     });
     let last = last.map_err(|error| {
         Failure::refused(&error, "check the node's operator address and that it runs")
--- a/src/bin/dragonflywall/commands/history.rs
+++ b/src/bin/dragonflywall/commands/history.rs
@@ -25,25 +25,25 @@
 }
 
 fn run(arguments: Vec<OsString>) -> Result {
-    let (common, selection) = audit::parse(arguments)?;
+    let (common, filter) = audit::parse_options(arguments)?;
     let platform = common.platform()?;
-    let rows = block_on(history(&platform, &selection))
+    let rows = block_on(history(&platform, &filter))
         .map_err(|error| Failure::refused(&error, audit::READ_HINT))?;
     if common.json {
         print_json(&rows);
         return Ok(());
     }
     for row in &rows {
-        println!("{}", line(row));
+        println!("{}", version_line(row));
     }
     if rows.is_empty() {
-        println!("{}", audit::NOTHING);
+        println!("{}", audit::NO_VERSIONS_TEXT);
     }
     Ok(())
 }
 
 /// Such as `4  2026-12-02 23:41:07 UTC  ana  publish  boletines, bascula`.
-pub(crate) fn line(row: &VersionRow) -> String {
+pub(crate) fn version_line(row: &VersionRow) -> String {
     let teams: Vec<_> = row.teams_changed.iter().map(|team| team.as_str()).collect();
     let kind = match row.kind {
         PublicationKind::Publish => "publish".to_owned(),
@@ -52,7 +52,7 @@
     format!(
         "{}  {}  {}  {kind}  {}",
         row.stamp.version,
-        utc(row.time_ms),
+        format_utc(row.time_ms),
         row.operator,
         teams.join(", ")
     )
@@ -61,8 +61,8 @@
 const MS_PER_DAY: u64 = 86_400_000;
 
 /// A time in milliseconds since the epoch, for people.
-fn utc(time_ms: u64) -> String {
-    let (year, month, day) = civil(time_ms / MS_PER_DAY);
+fn format_utc(time_ms: u64) -> String {
+    let (year, month, day) = civil_date(time_ms / MS_PER_DAY);
     let second_of_day = time_ms % MS_PER_DAY / 1_000;
     let (hour, minute) = (second_of_day / 3_600, second_of_day / 60 % 60);
     let second = second_of_day % 60;
@@ -70,7 +70,7 @@
 }
 
 /// Year, month and day of a day since the epoch, in the Gregorian calendar.
-fn civil(days_since_epoch: u64) -> (u64, u64, u64) {
+fn civil_date(days_since_epoch: u64) -> (u64, u64, u64) {
     let mut days = days_since_epoch;
     let mut year = 1970;
     while days >= days_in_year(year) {
--- a/src/bin/dragonflywall/commands/publish.rs
+++ b/src/bin/dragonflywall/commands/publish.rs
@@ -15,9 +15,9 @@
 use serde::Serialize;
 
 use super::{Command, check, watch};
-use crate::cli::{Failure, Result, block_on, mesh_token, with_causes};
+use crate::cli::{Failure, Result, block_on, error_with_causes, mesh_token};
 use crate::options::{
-    self, Common, JSON_HELP, LIMIT_HELP, NODES_HELP, OPERATOR_HELP, PLATFORM_HELP, now_ms,
+    self, CommonOptions, JSON_HELP, LIMIT_HELP, NODES_HELP, OPERATOR_HELP, PLATFORM_HELP, now_ms,
     print_json_line,
 };
 
@@ -55,7 +55,7 @@
 
 #[derive(Debug)]
 struct Arguments {
-    common: Common,
+    common: CommonOptions,
     region: Option<String>,
     id: Option<String>,
     resume: Option<String>,
@@ -69,7 +69,7 @@
 
 fn parse(arguments: Vec<OsString>) -> Result<Arguments> {
     let mut parsed = Arguments {
-        common: Common::from_environment(),
+        common: CommonOptions::from_environment(),
         region: std::env::var("DRAGONFLYWALL_REGION").ok(),
         id: None,
         resume: None,
@@ -100,7 +100,7 @@
             "remove" => parsed.removals.push(options::team("remove", parser)?),
             "region" => parsed.region = Some(options::value("region", parser)?),
             "wait" => parsed.wait = true,
-            _ => parsed.common.take_or_refuse(&name, parser)?,
+            _ => parsed.common.parse_flag(&name, parser)?,
         }
     }
     parsed.check()?;
@@ -154,9 +154,9 @@
             Some(to) => PublicationKind::Rollback { to },
             None => PublicationKind::Publish,
         };
-        let given = self.resume.as_ref().or(self.id.as_ref()).cloned();
+        let publish_id = self.resume.as_ref().or(self.id.as_ref()).cloned();
         let options = PublishOptions::builder()
-            .publish_id(given.unwrap_or_else(random_id))
+            .publish_id(publish_id.unwrap_or_else(random_id))
             .operator(self.common.operator()?)
             .time_ms(now_ms())
             .records(check::records(&self.paths)?)
@@ -192,16 +192,16 @@
             dial,
             region,
         };
-        let told = hint::send_hints(&platform, &hints).await;
+        let hinted = hint::send_hints(&platform, &hints).await;
         if !json {
-            println!("Hinted {told} nodes");
+            println!("Hinted {hinted} nodes");
         }
         if !arguments.wait {
             return Ok(());
         }
         let nodes = arguments.common.nodes()?;
-        let limit = arguments.common.wait_limit()?;
-        watch::follow(&nodes, published.stamp.version, limit, json).await
+        let timeout = arguments.common.wait_limit()?;
+        watch::follow(&nodes, published.stamp.version, timeout, json).await
     })
 }
 
@@ -212,7 +212,7 @@
     Err(Failure::Usage(format!("--region `{text}` is not a name")))
 }
 
-fn settle(id: &str, common: &Common) -> Result {
+fn settle(id: &str, common: &CommonOptions) -> Result {
     let platform = common.platform()?;
     let settled = block_on(abandon(&platform, id, common.operator()?, now_ms()));
     match settled.map_err(failure)? {
@@ -250,12 +250,12 @@
             publication: &options.publish_id,
             operator: &options.operator,
             rebases: published.rebases,
-            already: published.already,
+            already: published.already_published,
             changes: &published.changes,
         });
         return;
     }
-    let done = if published.already {
+    let done = if published.already_published {
         "Found already published"
     } else {
         "Published"
@@ -276,17 +276,21 @@
 fn failure(error: Error) -> Failure {
     let hint = match &error {
         Error::OutcomeUnknown {
-            publish_id, seen, ..
+            publish_id,
+            expected,
+            ..
         }
         | Error::Unsettled {
-            publish_id, seen, ..
+            publish_id,
+            expected,
+            ..
         } => {
             return Failure::Unknown {
-                text: with_causes(&error),
-                hint: resume_hint(publish_id, *seen),
+                text: error_with_causes(&error),
+                hint: resume_hint(publish_id, *expected),
             };
         }
-        Error::Raced { .. } => {
+        Error::Conflict { .. } => {
             "nothing was changed; take the other change into your file, and publish with \
              --expect and the version shown"
         }
@@ -309,13 +313,13 @@
     Failure::refused(&error, hint)
 }
 
-fn resume_hint(publish_id: &str, seen: Option<Version>) -> String {
-    let Some(seen) = seen else {
+fn resume_hint(publish_id: &str, expected: Option<Version>) -> String {
+    let Some(expected) = expected else {
         return format!("run `dragonflywall publish --resume {publish_id}` again");
     };
     format!(
         "do not simply publish again; when the platform answers, run the same command with \
-         --resume {publish_id} --expect {seen} to go on with it, or only \
+         --resume {publish_id} --expect {expected} to go on with it, or only \
          `dragonflywall publish --resume {publish_id}` to find out what it did or to stop it"
     )
 }
--- a/src/bin/dragonflywall/commands/status.rs
+++ b/src/bin/dragonflywall/commands/status.rs
@@ -7,7 +7,7 @@
 
 use super::Command;
 use crate::cli::{Failure, Result, block_on};
-use crate::options::{Common, JSON_HELP, NODE_HELP, print_json};
+use crate::options::{CommonOptions, JSON_HELP, NODE_HELP, print_json};
 
 pub(crate) const COMMAND: Command = Command {
     name: "status",
@@ -24,13 +24,13 @@
 }
 
 fn run(arguments: Vec<OsString>) -> Result {
-    let mut common = Common::from_environment();
+    let mut common = CommonOptions::from_environment();
     let mut parser = lexopt::Parser::from_args(arguments);
     while let Some(argument) = parser.next()? {
         match argument {
             lexopt::Arg::Long(name) => {
                 let name = name.to_owned();
-                common.take_or_refuse(&name, &mut parser)?;
+                common.parse_flag(&name, &mut parser)?;
             }
             other => return Err(other.unexpected().into()),
         }
--- a/src/bin/dragonflywall/commands/watch.rs
+++ b/src/bin/dragonflywall/commands/watch.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use dragonflywall::core::version::Version;
-use dragonflywall::ops::operator::NodeAccess;
+use dragonflywall::ops::operator_client::OperatorEndpoint;
 use dragonflywall::ops::query::progress::Progress;
 use dragonflywall::ops::query::{accepted, watch::watch};
 
 use super::{Command, audit};
 use crate::cli::{Failure, Result, block_on};
 use crate::options::{
-    self, Common, JSON_HELP, LIMIT_HELP, NODES_HELP, PLATFORM_HELP, print_json_line,
+    self, CommonOptions, JSON_HELP, LIMIT_HELP, NODES_HELP, PLATFORM_HELP, print_json_line,
 };
 
 pub(crate) const COMMAND: Command = Command {
@@ -34,7 +34,7 @@
 }
 
 fn run(arguments: Vec<OsString>) -> Result {
-    let mut common = Common::from_environment();
+    let mut common = CommonOptions::from_environment();
     let mut version: Option<Version> = None;
     let mut parser = lexopt::Parser::from_args(arguments);
     while let Some(argument) = parser.next()? {
@@ -44,21 +44,21 @@
             }
             lexopt::Arg::Long(name) => {
                 let name = name.to_owned();
-                common.take_or_refuse(&name, &mut parser)?;
+                common.parse_flag(&name, &mut parser)?;
             }
             other => return Err(other.unexpected().into()),
         }
     }
     let nodes = common.nodes()?;
-    let limit = common.wait_limit()?;
+    let timeout = common.wait_limit()?;
     let version = match version {
         Some(version) => version,
         None => accepted_version(&common)?,
     };
-    block_on(follow(&nodes, version, limit, common.json))
+    block_on(follow(&nodes, version, timeout, common.json))
 }
 
-fn accepted_version(common: &Common) -> Result<Version> {
+fn accepted_version(common: &CommonOptions) -> Result<Version> {
     let platform = common.platform()?;
     let head = block_on(accepted::head(&platform));
     let head = head.map_err(|error| Failure::refused(&error, audit::READ_HINT))?;
@@ -67,9 +67,9 @@
 
 /// Follows `version` until every node enforces it; also the end of `publish --wait`.
 pub(crate) async fn follow(
-    nodes: &[NodeAccess],
+    nodes: &[OperatorEndpoint],
     version: Version,
-    limit: Duration,
+    timeout: Duration,
     json: bool,
 ) -> Result {
     let report = |progress: &Progress| {
@@ -85,17 +85,17 @@
              and run `dragonflywall watch --version {version}` again"
         )
     };
-    match watch(nodes, version, limit, report).await {
+    match watch(nodes, version, timeout, report).await {
         Ok(progress) if progress.is_complete() => Ok(()),
         Ok(progress) => Err(Failure::Unknown {
             text: format!(
                 "not every node enforces it after {} ms: {progress}",
-                limit.as_millis()
+                timeout.as_millis()
             ),
             hint: hint(),
         }),
         Err(error) => Err(Failure::Unknown {
-            text: crate::cli::with_causes(&error),
+            text: crate::cli::error_with_causes(&error),
             hint: hint(),
         }),
     }
--- a/src/bin/dragonflywall/options.rs
+++ b/src/bin/dragonflywall/options.rs
@@ -5,7 +5,7 @@
 
 use dragonflywall::core::names::{TeamName, is_name};
 use dragonflywall::core::version::Version;
-use dragonflywall::ops::operator::NodeAccess;
+use dragonflywall::ops::operator_client::OperatorEndpoint;
 use dragonflywall::store::http::HttpStore;
 use dragonflywall::store::patient::Patient;
 use lexopt::{Parser, ValueExt};
@@ -33,7 +33,7 @@
 
 /// Options that several commands have, from environment variables first, then from flags.
 #[derive(Debug)]
-pub(crate) struct Common {
+pub(crate) struct CommonOptions {
     platform: Option<String>,
     node: Option<String>,
     operator: Option<String>,
@@ -41,7 +41,7 @@
     pub(crate) json: bool,
 }
 
-impl Common {
+impl CommonOptions {
     pub(crate) fn from_environment() -> Self {
         let variable = |name: &str| std::env::var(name).ok();
         Self {
@@ -54,8 +54,8 @@
     }
 
     /// Takes the value of flag `name`, or refuses the flag.
-    pub(crate) fn take_or_refuse(&mut self, name: &str, parser: &mut Parser) -> Result {
-        let place = match name {
+    pub(crate) fn parse_flag(&mut self, name: &str, parser: &mut Parser) -> Result {
+        let option = match name {
             "json" => {
                 self.json = true;
                 return Ok(());
@@ -66,12 +66,12 @@
             "wait-limit-ms" => &mut self.wait_limit_ms,
             _ => return Err(Failure::Usage(format!("--{name} is not an option"))),
         };
-        *place = Some(parser.value()?.string()?);
+        *option = Some(parser.value()?.string()?);
         Ok(())
     }
 
     pub(crate) fn platform(&self) -> Result<Patient<HttpStore>> {
-        let url = required("platform", self.platform.as_deref())?;
+        let url = require("platform", self.platform.as_deref())?;
         if !url.starts_with("http://") {
             let text = format!("--platform `{url}` does not start with http://");
             return Err(Failure::Usage(text));
@@ -79,44 +79,44 @@
         Ok(Patient(HttpStore::new(url, None)))
     }
 
-    pub(crate) fn node(&self) -> Result<NodeAccess> {
-        Ok(NodeAccess {
-            address: parsed("node", required("node", self.node.as_deref())?)?,
+    pub(crate) fn node(&self) -> Result<OperatorEndpoint> {
+        Ok(OperatorEndpoint {
+            address: parse_value("node", require("node", self.node.as_deref())?)?,
             token: mesh_token()?,
         })
     }
 
     /// One node or several, with commas between them.
-    pub(crate) fn nodes(&self) -> Result<Vec<NodeAccess>> {
+    pub(crate) fn nodes(&self) -> Result<Vec<OperatorEndpoint>> {
         let token = mesh_token()?;
-        let addresses = required("node", self.node.as_deref())?.split(',');
-        let access = addresses.map(|address| {
-            Ok(NodeAccess {
-                address: parsed("node", address.trim())?,
+        let addresses = require("node", self.node.as_deref())?.split(',');
+        let endpoints = addresses.map(|address| {
+            Ok(OperatorEndpoint {
+                address: parse_value("node", address.trim())?,
                 token: token.clone(),
             })
         });
-        access.collect()
+        endpoints.collect()
     }
 
     /// Required: an audit trail that does not say who is none.
     pub(crate) fn operator(&self) -> Result<&str> {
-        required("operator", self.operator.as_deref())
+        require("operator", self.operator.as_deref())
     }
 
     pub(crate) fn wait_limit(&self) -> Result<Duration> {
         match &self.wait_limit_ms {
             None => Ok(WAIT_LIMIT),
-            Some(text) => parsed("wait-limit-ms", text).map(Duration::from_millis),
+            Some(text) => parse_value("wait-limit-ms", text).map(Duration::from_millis),
         }
     }
 }
 
-fn required<'a>(flag: &str, value: Option<&'a str>) -> Result<&'a str> {
+fn require<'a>(flag: &str, value: Option<&'a str>) -> Result<&'a str> {
     value.ok_or_else(|| Failure::Usage(format!("--{flag} is required")))
 }
 
-fn parsed<T: FromStr>(flag: &str, text: &str) -> Result<T>
+fn parse_value<T: FromStr>(flag: &str, text: &str) -> Result<T>
 where
     T::Err: std::fmt::Display,
 {
@@ -129,7 +129,7 @@
 where
     T::Err: std::fmt::Display,
 {
-    parsed(flag, &parser.value()?.string()?)
+    parse_value(flag, &parser.value()?.string()?)
 }
 
 /// The value of a flag that is a version.
--- a/src/ops.rs
+++ b/src/ops.rs
@@ -4,5 +4,5 @@
 //! traits of [`crate::store`] and prints nothing; the command line does the printing.
 
 pub mod command;
-pub mod operator;
+pub mod operator_client;
 pub mod query;
--- a/src/ops/command/drain.rs
+++ b/src/ops/command/drain.rs
@@ -7,20 +7,20 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use crate::ops::operator::{Error, NodeAccess, Result, ask};
+use crate::ops::operator_client::{Error, OperatorEndpoint, Result, request_json};
 
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How far a drain is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Draining {
+pub struct DrainStatus {
     /// Whether the node refuses new work.
     pub draining: bool,
     /// Requests that it is still running.
     pub in_flight: u64,
 }
 
-impl Draining {
+impl DrainStatus {
     /// Whether the backend server may be stopped.
     pub fn is_done(&self) -> bool {
         self.draining && self.in_flight == 0
@@ -28,38 +28,40 @@
 }
 
 /// Asks `node` to drain; asking again does no harm.
-pub async fn drain(node: &NodeAccess) -> Result<Draining> {
-    ask(node, Method::POST, "/drain").await
+pub async fn drain(node: &OperatorEndpoint) -> Result<DrainStatus> {
+    request_json(node, Method::POST, "/drain").await
 }
 
-/// Asks until nothing is in flight or `limit` is over; calls `report` at each change.
+/// Asks until nothing is in flight or `timeout` is over; calls `report` at each change.
 pub async fn wait_drained(
-    node: &NodeAccess,
-    limit: Duration,
-    mut report: impl FnMut(Draining),
-) -> Result<Draining> {
-    let deadline = Instant::now() + limit;
+    node: &OperatorEndpoint,
+    timeout: Duration,
+    mut report: impl FnMut(DrainStatus),
+) -> Result<DrainStatus> {
+    let deadline = Instant::now() + timeout;
     let mut last = drain(node).await?;
     report(last);
     while !last.is_done() && Instant::now() < deadline {
         tokio::time::sleep(POLL_INTERVAL).await;
-        let now = match drain(node).await {
-            Ok(now) => now,
+        let current = match drain(node).await {
+            Ok(current) => current,
             // Guards against a wait for a node that was stopped meanwhile: it ends only when
             // nothing is in flight, and then nobody listens at its address.
-            Err(Error::Connect { source, .. }) if source.kind() == ConnectionRefused => Draining {
-                draining: true,
-                in_flight: 0,
-            },
+            Err(Error::Connect { source, .. }) if source.kind() == ConnectionRefused => {
+                DrainStatus {
+                    draining: true,
+                    in_flight: 0,
+                }
+            }
             Err(error) => {
                 log::debug!(error:%; "the node did not answer; asking again");
                 last
             }
         };
-        if now != last {
-            report(now);
+        if current != last {
+            report(current);
         }
-        last = now;
+        last = current;
     }
     Ok(last)
 }
--- a/src/ops/command/hint.rs
+++ b/src/ops/command/hint.rs
@@ -36,18 +36,18 @@
 pub async fn send_hints(table: &impl Table, options: &HintOptions) -> usize {
     let rows = table.rows(NODE_PREFIX, "", PAGE_ROWS).await;
     let mut regions = rows.map(|rows| by_region(&rows)).unwrap_or_default();
-    let near = match &options.region {
+    let nearest = match &options.region {
         Some(region) if regions.contains_key(region) => Some(region.clone()),
         _ => first_to_answer(&regions, options).await,
     };
-    let near = near.and_then(|region| regions.remove(&region));
-    let told = hint_all(chosen(near.unwrap_or_default()), options).await;
-    if told > 0 {
-        return told;
+    let nearest = nearest.and_then(|region| regions.remove(&region));
+    let hinted = hint_all(sample_per_data_centre(nearest.unwrap_or_default()), options).await;
+    if hinted > 0 {
+        return hinted;
     }
     // Nobody of the near region took one: it may be cut off from here, or all of it replaced.
     let others = regions.into_values().flatten().collect();
-    hint_all(chosen(others), options).await
+    hint_all(sample_per_data_centre(others), options).await
 }
 
 fn by_region(rows: &BTreeMap<String, Row>) -> ByRegion {
@@ -64,15 +64,15 @@
 
 /// The region of which one node answers first; the hints to the others are given up.
 async fn first_to_answer(regions: &ByRegion, options: &HintOptions) -> Option<RegionName> {
-    let mut asked = JoinSet::new();
+    let mut requests = JoinSet::new();
     for (region, nodes) in regions {
         let Some(node) = nodes.choose(&mut rand::rng()) else {
             continue;
         };
         let (region, node, options) = (region.clone(), node.clone(), options.clone());
-        asked.spawn(async move { hint(&node, &options).await.then_some(region) });
+        requests.spawn(async move { hint(&node, &options).await.then_some(region) });
     }
-    while let Some(answer) = asked.join_next().await {
+    while let Some(answer) = requests.join_next().await {
         if let Ok(Some(region)) = answer {
             return Some(region);
         }
@@ -80,17 +80,17 @@
     None
 }
 
-fn chosen(nodes: Vec<NodeRow>) -> Vec<NodeRow> {
+fn sample_per_data_centre(nodes: Vec<NodeRow>) -> Vec<NodeRow> {
     let mut data_centres: BTreeMap<String, Vec<NodeRow>> = BTreeMap::new();
     for node in nodes {
         let name = node.place.data_centre.to_string();
         data_centres.entry(name).or_default().push(node);
     }
-    let sampled = |nodes: Vec<NodeRow>| -> Vec<NodeRow> {
+    let sample_nodes = |nodes: Vec<NodeRow>| -> Vec<NodeRow> {
         let sample = nodes.sample(&mut rand::rng(), HINTS_PER_DATA_CENTRE);
         sample.cloned().collect()
     };
-    data_centres.into_values().flat_map(sampled).collect()
+    data_centres.into_values().flat_map(sample_nodes).collect()
 }
 
 async fn hint_all(nodes: Vec<NodeRow>, options: &HintOptions) -> usize {
@@ -100,7 +100,7 @@
         hints.spawn(async move { hint(&node, &options).await });
     }
     let answers = hints.join_all().await;
-    answers.into_iter().filter(|took| *took).count()
+    answers.into_iter().filter(|accepted| *accepted).count()
 }
 
 async fn hint(node: &NodeRow, options: &HintOptions) -> bool {
--- a/src/ops/command/publish.rs
+++ b/src/ops/command/publish.rs
@@ -11,9 +11,9 @@
 //!   for it is over ([`Error::OutcomeUnknown`]).
 //! - [`abandon`] settles an unknown outcome for good without publishing.
 
+mod attempts;
 mod error;
 pub mod plan;
-mod rounds;
 
 use snafu::{ResultExt, ensure};
 
@@ -24,9 +24,9 @@
 use crate::ops::query::accepted;
 use crate::store::rows::{PublicationKind, PublishRow, publish_key};
 use crate::store::{self, ObjectStore, Table};
+use attempts::{Publication, published_version};
 use error::{AbandonedSnafu, IdReusedSnafu, NoSuchTeamSnafu, NoSuchVersionSnafu, ReadSnafu};
 use plan::ChangeSet;
-use rounds::{Publication, found};
 
 pub use error::Error;
 
@@ -90,7 +90,7 @@
     /// How often it was rebased on other teams' publications.
     pub rebases: u32,
     /// Whether an earlier run with the same id had already committed it.
-    pub already: bool,
+    pub already_published: bool,
     /// What it changed, on top of the version that it was rebased on; empty if the version was
     /// found by its id, since the audit trail has it.
     pub changes: Vec<TeamDifference>,
@@ -102,7 +102,7 @@
     options: &PublishOptions,
 ) -> Result<Published> {
     match publish_once(platform, options).await {
-        Err(refusal) if options.resumed => settle_refusal(platform, options, refusal).await,
+        Err(refusal) if options.resumed => settle_before_refusal(platform, options, refusal).await,
         outcome => outcome,
     }
 }
@@ -110,14 +110,14 @@
 /// A resumed publication is refused, but an earlier run's commit may still be on its way, or have
 /// taken effect. It guards against an operator who is told "nothing was changed" and finds the
 /// version in force a moment later: the refusal is given only after the id has been settled.
-async fn settle_refusal<P: Table + ObjectStore>(
+async fn settle_before_refusal<P: Table + ObjectStore>(
     platform: &P,
     options: &PublishOptions,
     refusal: Error,
 ) -> Result<Published> {
     let unsettled = |source: Error| Error::Unsettled {
         publish_id: options.publish_id.clone(),
-        seen: options.expected,
+        expected: options.expected,
         source: Box::new(source),
     };
     match &refusal {
@@ -139,7 +139,7 @@
     match abandon(platform, publish_id, operator, *time_ms).await {
         Ok(None) => Err(refusal),
         Ok(Some(_)) => match find_published(platform, options).await {
-            Ok(Some(stamp)) => Ok(found(stamp, 0, true)),
+            Ok(Some(stamp)) => Ok(published_version(stamp, 0, true)),
             Ok(None) => Err(unsettled(refusal)),
             Err(error) => Err(unsettled(error)),
         },
@@ -152,16 +152,16 @@
     options: &PublishOptions,
 ) -> Result<Published> {
     if let Some(stamp) = find_published(platform, options).await? {
-        return Ok(found(stamp, 0, true));
+        return Ok(published_version(stamp, 0, true));
     }
-    let seen = seen_by_operator(platform, options).await?;
-    let changes = change_set(platform, options, &seen).await?;
+    let expected = expected_configuration(platform, options).await?;
+    let changes = change_set(platform, options, &expected).await?;
     let mut publication = Publication {
         platform,
         options,
-        seen,
+        expected,
         changes,
-        lost: None,
+        unsettled: None,
     };
     publication.run().await
 }
@@ -169,7 +169,7 @@
 /// Which version the publication made, if it took effect.
 pub async fn find_published(table: &impl Table, options: &PublishOptions) -> Result<Option<Stamp>> {
     let publish_id = &options.publish_id;
-    match look_up(table, publish_id).await? {
+    match publication_row(table, publish_id).await? {
         None => Ok(None),
         Some(PublishRow::Abandoned { .. }) => AbandonedSnafu { publish_id }.fail(),
         Some(PublishRow::Committed { version, request }) => {
@@ -190,7 +190,7 @@
 }
 
 /// The row under a publication's id. A query; safe at any time.
-pub async fn look_up(table: &impl Table, publish_id: &str) -> Result<Option<PublishRow>> {
+pub async fn publication_row(table: &impl Table, publish_id: &str) -> Result<Option<PublishRow>> {
     let key = publish_key(publish_id);
     let row = table.row(&key).await;
     let row = row
@@ -220,10 +220,10 @@
     let answer = table.transact(&transaction).await;
     let unknown = |source| Error::OutcomeUnknown {
         publish_id: publish_id.to_owned(),
-        seen: None,
+        expected: None,
         source,
     };
-    match (look_up(table, publish_id).await, answer) {
+    match (publication_row(table, publish_id).await, answer) {
         (Ok(Some(PublishRow::Committed { version, .. })), _) => Ok(Some(version)),
         (Ok(Some(PublishRow::Abandoned { .. })), _) => Ok(None),
         (_, Err(source)) => Err(unknown(source)),
@@ -232,13 +232,13 @@
         })),
         (Err(error), Ok(_)) => Err(Error::Unsettled {
             publish_id: publish_id.to_owned(),
-            seen: None,
+            expected: None,
             source: Box::new(error),
         }),
     }
 }
 
-async fn seen_by_operator<P: Table + ObjectStore>(
+async fn expected_configuration<P: Table + ObjectStore>(
     platform: &P,
     options: &PublishOptions,
 ) -> Result<Configuration> {
@@ -246,17 +246,17 @@
     let head = head.stamp.version;
     let version = options.expected.unwrap_or(head);
     ensure!(version <= head, NoSuchVersionSnafu { version, head });
-    let seen = accepted::configuration(platform, version).await;
-    seen.context(ReadSnafu)
+    let expected = accepted::configuration(platform, version).await;
+    expected.context(ReadSnafu)
 }
 
 async fn change_set<P: Table + ObjectStore>(
     platform: &P,
     options: &PublishOptions,
-    seen: &Configuration,
+    expected: &Configuration,
 ) -> Result<ChangeSet> {
     let PublicationKind::Rollback { to } = options.kind else {
-        require_teams(&options.removals, &[seen])?;
+        require_teams(&options.removals, &[expected])?;
         return Ok(ChangeSet::of_records(&options.records, &options.removals));
     };
     let head = accepted::head(platform).await.context(ReadSnafu)?;
@@ -264,18 +264,20 @@
     ensure!(to <= head, NoSuchVersionSnafu { version: to, head });
     let earlier = accepted::configuration(platform, to).await;
     let earlier = earlier.context(ReadSnafu)?;
-    require_teams(&options.rollback_teams, &[seen, &earlier])?;
-    let only = &options.rollback_teams;
-    Ok(ChangeSet::rollback(&earlier, seen, only))
+    require_teams(&options.rollback_teams, &[expected, &earlier])?;
+    let teams = &options.rollback_teams;
+    Ok(ChangeSet::rollback(&earlier, expected, teams))
 }
 
 /// Guards against a mistyped team name, which would otherwise be "nothing to publish".
-fn require_teams(teams: &[TeamName], known_in: &[&Configuration]) -> Result<()> {
+fn require_teams(teams: &[TeamName], configurations: &[&Configuration]) -> Result<()> {
     for team in teams {
-        let known = known_in.iter().any(|held| held.teams.contains_key(team));
-        let version = known_in[0].version;
+        let exists = configurations
+            .iter()
+            .any(|configuration| configuration.teams.contains_key(team));
+        let version = configurations[0].version;
         ensure!(
-            known,
+            exists,
             NoSuchTeamSnafu {
                 team: team.clone(),
                 version
--- a/src/ops/command/publish/rounds.rs
+++ b/src/ops/command/publish/attempts.rs
@@ -7,9 +7,9 @@
 use tokio::time::Instant;
 
 use super::error::{
-    ContendedSnafu, InvalidSnafu, RacedSnafu, ReadSnafu, StoreSnafu, UnchangedSnafu,
+    ConflictSnafu, ContendedSnafu, InvalidSnafu, ReadSnafu, StoreSnafu, UnchangedSnafu,
 };
-use super::plan::{self, ChangeSet, Settled};
+use super::plan::{self, ChangeSet, CommitState};
 use super::{Error, PublishOptions, Published, Result, find_published};
 use crate::core::configuration::{Configuration, Delta};
 use crate::core::difference::{self, TeamDifference};
@@ -23,20 +23,20 @@
 /// Rounds before giving up. In each round of a race one publication is accepted, so the last of the
 /// 14 teams that publish after a common release needs 14 at most. Far more than that means that
 /// something publishes in a loop, and a refusal is clearer than an endless race.
-pub(super) const ROUNDS_MAX: u32 = 64;
+pub(super) const COMMIT_ATTEMPTS_MAX: u32 = 64;
 /// Wait before a lost answer is looked into; doubled each time. The platform's short outages, such
 /// as a failover, end within a few of these.
-const FIRST_SETTLE_WAIT: Duration = Duration::from_millis(50);
+const INITIAL_SETTLE_DELAY: Duration = Duration::from_millis(50);
 
 /// A commit whose answer was lost and that has not been settled.
-pub(super) struct Lost {
+pub(super) struct UnsettledCommit {
     sent_at_revision: u64,
     deadline: Instant,
     source: store::Error,
 }
 
 /// How one round ended.
-enum Round {
+enum AttemptOutcome {
     /// The commit took effect.
     Published {
         stamp: Stamp,
@@ -45,7 +45,7 @@
     /// The version that this publication made, maybe in an earlier run, was found by its id.
     Found(Stamp),
     /// Another publication came first, and this one certainly did not take effect.
-    Overtaken,
+    Superseded,
     /// The commit's answer was lost.
     AnswerLost {
         sent_at_revision: u64,
@@ -58,73 +58,80 @@
     pub(super) platform: &'a P,
     pub(super) options: &'a PublishOptions,
     /// The configuration that the operator saw.
-    pub(super) seen: Configuration,
+    pub(super) expected: Configuration,
     pub(super) changes: ChangeSet,
-    pub(super) lost: Option<Lost>,
+    pub(super) unsettled: Option<UnsettledCommit>,
 }
 
 impl<P: Table + ObjectStore> Publication<'_, P> {
     /// Goes through rounds until there is an answer.
     pub(super) async fn run(&mut self) -> Result<Published> {
         let mut rebases = 0;
-        let mut wait = FIRST_SETTLE_WAIT;
-        while rebases < ROUNDS_MAX {
-            match self.round().await {
-                Ok(Round::Published { stamp, changes }) => {
+        let mut delay = INITIAL_SETTLE_DELAY;
+        while rebases < COMMIT_ATTEMPTS_MAX {
+            match self.attempt().await {
+                Ok(AttemptOutcome::Published { stamp, changes }) => {
                     return Ok(Published {
                         changes,
-                        ..found(stamp, rebases, false)
+                        ..published_version(stamp, rebases, false)
                     });
                 }
-                Ok(Round::Found(stamp)) => return Ok(found(stamp, rebases, self.lost.is_none())),
-                Ok(Round::Overtaken) => {
+                Ok(AttemptOutcome::Found(stamp)) => {
+                    return Ok(published_version(stamp, rebases, self.unsettled.is_none()));
+                }
+                Ok(AttemptOutcome::Superseded) => {
                     rebases += 1;
                     continue;
                 }
-                Ok(Round::AnswerLost {
+                Ok(AttemptOutcome::AnswerLost {
                     sent_at_revision,
                     source,
-                }) => self.note_lost(sent_at_revision, source),
-                Err(error) if self.lost.is_none() || is_final(&error) => return Err(error),
+                }) => self.record_lost_answer(sent_at_revision, source),
+                Err(error) if self.unsettled.is_none() || is_final(&error) => return Err(error),
                 // While a commit is unsettled no other failure may be told as "nothing was
                 // changed": the operator would publish again what is already in force.
                 Err(error) => log::debug!(error:%; "a lost answer can't be settled yet"),
             }
-            self.give_up_if_late()?;
-            tokio::time::sleep(wait).await;
-            wait *= 2;
+            self.check_settle_deadline()?;
+            tokio::time::sleep(delay).await;
+            delay *= 2;
         }
         ContendedSnafu.fail()
     }
 
-    async fn round(&mut self) -> Result<Round> {
+    async fn attempt(&mut self) -> Result<AttemptOutcome> {
         let head = accepted::head(self.platform).await.context(ReadSnafu)?;
-        // The id is read after the head: see `plan::settled`. It is read even if this run has lost
+        // The id is read after the head: see `plan::commit_state`. It is read even if this run has lost
         // no answer: an earlier run's commit may land between the first look-up and the head, and
         // would then be taken for somebody else's change to the same team.
         let found = find_published(self.platform, self.options).await?;
-        let sent_at_revision = self.lost.as_ref().map(|lost| lost.sent_at_revision);
+        let sent_at_revision = self
+            .unsettled
+            .as_ref()
+            .map(|unsettled| unsettled.sent_at_revision);
         let sent_at_revision = sent_at_revision.unwrap_or(head.revision);
-        match plan::settled(sent_at_revision, head.revision, found.is_some()) {
-            Settled::TookEffect => return Ok(Round::Found(found.unwrap_or(head.stamp))),
-            Settled::Dead => {
-                self.lost = None;
-                return Ok(Round::Overtaken);
+        match plan::commit_state(sent_at_revision, head.revision, found.is_some()) {
+            CommitState::Committed => {
+                return Ok(AttemptOutcome::Found(found.unwrap_or(head.stamp)));
+            }
+            CommitState::Impossible => {
+                self.unsettled = None;
+                return Ok(AttemptOutcome::Superseded);
             }
             // Sending the same conditions again is safe: one of the two fails.
-            Settled::Open => (),
+            CommitState::Undecided => (),
         }
-        let (row, changes) = self.prepare(head).await?;
+        let (row, changes) = self.prepare_commit(head).await?;
         let request = self.options.request_digest();
         let transaction = plan::commit_transaction(head, &row, request);
         match self.platform.transact(&transaction).await {
-            Ok(Outcome::Committed) => Ok(Round::Published {
+            Ok(Outcome::Committed) => Ok(AttemptOutcome::Published {
                 stamp: row.stamp,
                 changes,
             }),
-            Ok(Outcome::ConditionFailed) => self.overtaken(head).await,
+            Ok(Outcome::ConditionFailed) => self.after_failed_condition(head).await,
             Err(source @ (store::Error::OutcomeUnknown { .. } | store::Error::Silent { .. })) => {
-                Ok(Round::AnswerLost {
+                Ok(AttemptOutcome::AnswerLost {
                     sent_at_revision: head.revision,
                     source,
                 })
@@ -137,14 +144,14 @@
     }
 
     /// A condition did not hold: the head moved, or an earlier try with this id committed.
-    async fn overtaken(&mut self, head: Head) -> Result<Round> {
+    async fn after_failed_condition(&mut self, head: Head) -> Result<AttemptOutcome> {
         match find_published(self.platform, self.options).await {
-            Ok(Some(stamp)) => Ok(Round::Found(stamp)),
+            Ok(Some(stamp)) => Ok(AttemptOutcome::Found(stamp)),
             Ok(None) => {
-                self.lost = None;
-                Ok(Round::Overtaken)
+                self.unsettled = None;
+                Ok(AttemptOutcome::Superseded)
             }
-            Err(Error::Read { source }) => Ok(Round::AnswerLost {
+            Err(Error::Read { source }) => Ok(AttemptOutcome::AnswerLost {
                 sent_at_revision: head.revision,
                 source: store::Error::OutcomeUnknown {
                     reason: format!("the id can't be looked up: {source}"),
@@ -155,30 +162,30 @@
     }
 
     /// Decides on top of `head` and stores the content; the row to commit, and what it changes.
-    async fn prepare(&self, head: Head) -> Result<(VersionRow, Vec<TeamDifference>)> {
+    async fn prepare_commit(&self, head: Head) -> Result<(VersionRow, Vec<TeamDifference>)> {
         let version = head.stamp.version;
         let base = accepted::configuration(self.platform, version).await;
         let base = base.context(ReadSnafu)?;
-        self.refuse_raced(&base)?;
+        self.check_conflicts(&base)?;
         let child = self.changes.child_of(&base);
         ensure!(child.teams != base.teams, UnchangedSnafu { version });
         RouteTable::compile(&child).context(InvalidSnafu)?;
-        let row = self.store(head, &base, &child).await?;
+        let row = self.store_content(head, &base, &child).await?;
         Ok((row, difference::between(&base, &child)))
     }
 
-    fn refuse_raced(&self, now: &Configuration) -> Result<()> {
-        let teams = self.changes.raced(&self.seen, now);
+    fn check_conflicts(&self, current: &Configuration) -> Result<()> {
+        let teams = self.changes.conflicting_teams(&self.expected, current);
         let difference_of = |team: &TeamName| {
-            let (before, after) = (self.seen.teams.get(team), now.teams.get(team));
+            let (before, after) = (self.expected.teams.get(team), current.teams.get(team));
             difference::between_records(team, before, after)
         };
         let differences: Vec<_> = teams.iter().filter_map(difference_of).collect();
         ensure!(
             differences.is_empty(),
-            RacedSnafu {
-                seen: self.seen.version,
-                now: now.version,
+            ConflictSnafu {
+                expected: self.expected.version,
+                current: current.version,
                 differences,
             }
         );
@@ -186,7 +193,7 @@
     }
 
     /// Stores the content. Objects of a publication that is refused later stay behind unused.
-    async fn store(
+    async fn store_content(
         &self,
         head: Head,
         base: &Configuration,
@@ -217,27 +224,28 @@
         })
     }
 
-    fn note_lost(&mut self, sent_at_revision: u64, source: store::Error) {
+    fn record_lost_answer(&mut self, sent_at_revision: u64, source: store::Error) {
         let limit = Duration::from_millis(self.options.settle_limit_ms);
-        let known = self.lost.take();
+        let previous = self.unsettled.take();
         // The limit counts from the first loss.
-        let deadline = known.map_or_else(|| Instant::now() + limit, |known| known.deadline);
-        self.lost = Some(Lost {
+        let deadline =
+            previous.map_or_else(|| Instant::now() + limit, |previous| previous.deadline);
+        self.unsettled = Some(UnsettledCommit {
             sent_at_revision,
             deadline,
             source,
         });
     }
 
-    fn give_up_if_late(&mut self) -> Result<()> {
-        match self.lost.take() {
-            Some(lost) if Instant::now() >= lost.deadline => Err(Error::OutcomeUnknown {
+    fn check_settle_deadline(&mut self) -> Result<()> {
+        match self.unsettled.take() {
+            Some(unsettled) if Instant::now() >= unsettled.deadline => Err(Error::OutcomeUnknown {
                 publish_id: self.options.publish_id.clone(),
-                seen: Some(self.seen.version),
-                source: lost.source,
+                expected: Some(self.expected.version),
+                source: unsettled.source,
             }),
-            lost => {
-                self.lost = lost;
+            unsettled => {
+                self.unsettled = unsettled;
                 Ok(())
             }
         }
@@ -245,11 +253,11 @@
 }
 
 /// The answer of a publication whose version was found by its id.
-pub(super) fn found(stamp: Stamp, rebases: u32, already: bool) -> Published {
+pub(super) fn published_version(stamp: Stamp, rebases: u32, already_published: bool) -> Published {
     Published {
         stamp,
         rebases,
-        already,
+        already_published,
         changes: Vec::new(),
     }
 }
--- a/src/ops/command/publish/error.rs
+++ b/src/ops/command/publish/error.rs
@@ -2,7 +2,7 @@
 
 use snafu::Snafu;
 
-use super::rounds::ROUNDS_MAX;
+use super::attempts::COMMIT_ATTEMPTS_MAX;
 use crate::core::difference::{self, TeamDifference};
 use crate::core::names::TeamName;
 use crate::core::routing;
@@ -44,15 +44,15 @@
     },
     /// Another publication changed the same teams since the operator looked; nothing was changed.
     #[snafu(display(
-        "published by others since version {seen}, which this publication is based on; \
-         version {now} stands now, with these differences:\n{}",
+        "published by others since version {expected}, which this publication is based on; \
+         version {current} stands now, with these differences:\n{}",
         difference::to_text(differences).trim_end()
     ))]
-    Raced {
+    Conflict {
         /// The version that this publication is based on.
-        seen: Version,
+        expected: Version,
         /// The version that now stands.
-        now: Version,
+        current: Version,
         /// What the others changed in the raced teams' records.
         differences: Vec<TeamDifference>,
     },
@@ -79,7 +79,7 @@
         source: store::Error,
     },
     /// Others kept publishing; nothing was changed.
-    #[snafu(display("others published {ROUNDS_MAX} times in a row meanwhile"))]
+    #[snafu(display("others published {COMMIT_ATTEMPTS_MAX} times in a row meanwhile"))]
     Contended,
     /// The id belongs to a publication that was abandoned; nothing was changed.
     #[snafu(display("publication `{publish_id}` was abandoned and can't take effect any more"))]
@@ -103,7 +103,7 @@
         /// Id to settle it by.
         publish_id: String,
         /// The version that the publication is based on; not known when only settling.
-        seen: Option<Version>,
+        expected: Option<Version>,
         /// What failed.
         source: store::Error,
     },
@@ -113,7 +113,7 @@
         /// Id to settle it by.
         publish_id: String,
         /// The version that the publication is based on; not known when only settling.
-        seen: Option<Version>,
+        expected: Option<Version>,
         /// What failed.
         #[snafu(source(from(Error, Box::new)))]
         source: Box<Error>,
--- a/src/ops/command/publish/plan.rs
+++ b/src/ops/command/publish/plan.rs
@@ -23,7 +23,7 @@
     pub teams: BTreeMap<TeamName, Option<TeamRecord>>,
     /// Whether a change to any other team is a race as well. True for the rollback of the whole
     /// set: what others published since the operator looked would be undone unseen.
-    pub exclusive: bool,
+    pub replaces_whole_set: bool,
 }
 
 impl ChangeSet {
@@ -35,22 +35,26 @@
         let removed = removals.iter().map(|team| (team.clone(), None));
         Self {
             teams: changed.chain(removed).collect(),
-            exclusive: false,
+            replaces_whole_set: false,
         }
     }
 
-    /// The records of `earlier` again: of `only` these teams, or of the whole set if it is empty.
-    pub fn rollback(earlier: &Configuration, seen: &Configuration, only: &[TeamName]) -> Self {
-        let whole = earlier.teams.keys().chain(seen.teams.keys());
-        let names: BTreeSet<&TeamName> = if only.is_empty() {
+    /// The records of `earlier` again: of `teams_to_restore` these teams, or of the whole set if it is empty.
+    pub fn rollback(
+        earlier: &Configuration,
+        expected: &Configuration,
+        teams_to_restore: &[TeamName],
+    ) -> Self {
+        let whole = earlier.teams.keys().chain(expected.teams.keys());
+        let names: BTreeSet<&TeamName> = if teams_to_restore.is_empty() {
             whole.collect()
         } else {
-            only.iter().collect()
+            teams_to_restore.iter().collect()
         };
         let record_of = |name: &TeamName| (name.clone(), earlier.teams.get(name).cloned());
         Self {
             teams: names.into_iter().map(record_of).collect(),
-            exclusive: only.is_empty(),
+            replaces_whole_set: teams_to_restore.is_empty(),
         }
     }
 
@@ -70,10 +74,14 @@
     /// Teams that make this publication raced: published by someone else between the version that
     /// the operator saw and the one that stands now. Changes to other teams are no race; the
     /// publication is rebased on them, as two transactions on different rows both commit.
-    pub fn raced(&self, seen: &Configuration, now: &Configuration) -> Vec<TeamName> {
-        let changed = |team: &&TeamName| seen.teams.get(*team) != now.teams.get(*team);
-        let teams: BTreeSet<&TeamName> = if self.exclusive {
-            seen.teams.keys().chain(now.teams.keys()).collect()
+    pub fn conflicting_teams(
+        &self,
+        expected: &Configuration,
+        current: &Configuration,
+    ) -> Vec<TeamName> {
+        let changed = |team: &&TeamName| expected.teams.get(*team) != current.teams.get(*team);
+        let teams: BTreeSet<&TeamName> = if self.replaces_whole_set {
+            expected.teams.keys().chain(current.teams.keys()).collect()
         } else {
             self.teams.keys().collect()
         };
@@ -130,26 +138,26 @@
 
 /// What may be said of a commit whose answer was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum CommitState {
     /// It took effect.
-    TookEffect,
+    Committed,
     /// It did not, and cannot any more.
-    Dead,
+    Impossible,
     /// It may still be on its way.
-    Open,
+    Undecided,
 }
 
-/// Settles a commit that was conditional on the head's revision `sent_at`, after the head was read
-/// at `head_now` and **then** the row under the publication's id was read (`id_used`).
+/// Settles a commit that was conditional on the head's revision `sent_at_revision`, after the head was read
+/// at `head_revision` and **then** the row under the publication's id was read (`id_used`).
 ///
 /// An unused id alone proves nothing: the lost write may arrive later. A head that has moved does,
 /// since the write's condition can never hold again; but only with an id read after the head, as
 /// otherwise it may be this very write that moved it.
-pub fn settled(sent_at: u64, head_now: u64, id_used: bool) -> Settled {
-    match (id_used, sent_at == head_now) {
-        (true, _) => Settled::TookEffect,
-        (false, false) => Settled::Dead,
-        (false, true) => Settled::Open,
+pub fn commit_state(sent_at_revision: u64, head_revision: u64, id_used: bool) -> CommitState {
+    match (id_used, sent_at_revision == head_revision) {
+        (true, _) => CommitState::Committed,
+        (false, false) => CommitState::Impossible,
+        (false, true) => CommitState::Undecided,
     }
 }
 
--- a/src/ops/operator.rs
+++ b/src/ops/operator_client.rs
@@ -40,7 +40,7 @@
     },
     /// It did not answer in time.
     #[snafu(display("node {address} did not answer in {} ms", ANSWER_TIMEOUT.as_millis()))]
-    Late {
+    TimedOut {
         /// Its operator address.
         address: SocketAddr,
     },
@@ -68,7 +68,7 @@
 
 /// Where a node's operator listener is, and what opens it.
 #[derive(Clone, Debug)]
-pub struct NodeAccess {
+pub struct OperatorEndpoint {
     /// Its operator address.
     pub address: SocketAddr,
     /// The mesh's secret.
@@ -76,14 +76,14 @@
 }
 
 /// One request to a node's operator listener, answered with JSON.
-pub(crate) async fn ask<T: DeserializeOwned>(
-    node: &NodeAccess,
+pub(crate) async fn request_json<T: DeserializeOwned>(
+    node: &OperatorEndpoint,
     method: Method,
     path: &'static str,
 ) -> Result<T> {
     let address = node.address;
     let answer = tokio::time::timeout(ANSWER_TIMEOUT, exchange(node, method, path)).await;
-    let (status, body) = answer.map_err(|_| Error::Late { address })??;
+    let (status, body) = answer.map_err(|_| Error::TimedOut { address })??;
     ensure!(
         status == StatusCode::OK,
         RefusedSnafu {
@@ -96,7 +96,7 @@
 }
 
 async fn exchange(
-    node: &NodeAccess,
+    node: &OperatorEndpoint,
     method: Method,
     path: &'static str,
 ) -> Result<(StatusCode, Bytes)> {
--- a/src/ops/query/audit.rs
+++ b/src/ops/query/audit.rs
@@ -12,17 +12,17 @@
 
 /// Which lines of the audit trail to read.
 #[derive(Clone, Debug, Default)]
-pub struct Selection {
+pub struct AuditFilter {
     /// The newest so many versions; `None` for all.
-    pub last: Option<u64>,
+    pub limit: Option<u64>,
     /// Only publications that changed this team's record.
     pub team: Option<TeamName>,
     /// Only publications by this operator.
     pub operator: Option<String>,
 }
 
-impl Selection {
-    fn selects(&self, row: &VersionRow) -> bool {
+impl AuditFilter {
+    fn matches(&self, row: &VersionRow) -> bool {
         let team = self.team.as_ref();
         let operator = self.operator.as_ref();
         team.is_none_or(|team| row.teams_changed.contains(team))
@@ -32,7 +32,7 @@
 
 /// One line of the audit trail, with what it changed.
 #[derive(Clone, Debug, Serialize)]
-pub struct Entry {
+pub struct AuditEntry {
     /// As committed with the version.
     #[serde(flatten)]
     pub row: VersionRow,
@@ -44,9 +44,9 @@
 }
 
 /// The selected versions, newest first.
-pub async fn history(table: &impl Table, selection: &Selection) -> Result<Vec<VersionRow>> {
-    let mut rows = read(table, selection).await?;
-    rows.retain(|row| selection.selects(row));
+pub async fn history(table: &impl Table, filter: &AuditFilter) -> Result<Vec<VersionRow>> {
+    let mut rows = read_versions(table, filter).await?;
+    rows.retain(|row| filter.matches(row));
     rows.reverse();
     Ok(rows)
 }
@@ -54,9 +54,9 @@
 /// The selected versions with what each changed, newest first.
 pub async fn audit<P: Table + ObjectStore>(
     platform: &P,
-    selection: &Selection,
-) -> Result<Vec<Entry>> {
-    let rows = history(platform, selection).await?;
+    filter: &AuditFilter,
+) -> Result<Vec<AuditEntry>> {
+    let rows = history(platform, filter).await?;
     let mut entries = Vec::with_capacity(rows.len());
     for row in rows {
         entries.push(entry(platform, row).await?);
@@ -64,23 +64,23 @@
     Ok(entries)
 }
 
-async fn entry<P: Table + ObjectStore>(platform: &P, row: VersionRow) -> Result<Entry> {
+async fn entry<P: Table + ObjectStore>(platform: &P, row: VersionRow) -> Result<AuditEntry> {
     let parent = row.parent.version;
     let expected = match parent {
         Version::NONE => Stamp::NONE,
         _ => accepted::version_row(platform, parent).await?.stamp,
     };
-    let changes = diff::between_accepted(platform, parent, row.stamp.version).await?;
-    Ok(Entry {
+    let changes = diff::compare_versions(platform, parent, row.stamp.version).await?;
+    Ok(AuditEntry {
         parent_matches: row.parent == expected && parent.next() == row.stamp.version,
         changes,
         row,
     })
 }
 
-async fn read(table: &impl Table, selection: &Selection) -> Result<Vec<VersionRow>> {
+async fn read_versions(table: &impl Table, filter: &AuditFilter) -> Result<Vec<VersionRow>> {
     let head = accepted::head(table).await?.stamp.version;
-    let last = selection.last.unwrap_or(head.0);
-    let after = Version(head.0.saturating_sub(last));
+    let limit = filter.limit.unwrap_or(head.0);
+    let after = Version(head.0.saturating_sub(limit));
     accepted::versions(table, after).await
 }
--- a/src/ops/query/check.rs
+++ b/src/ops/query/check.rs
@@ -35,18 +35,22 @@
 /// Reads and checks every file; all records, or all findings of all files.
 pub fn check_files(paths: &[PathBuf]) -> Result<Vec<CheckedFile>> {
     let mut files: Vec<CheckedFile> = Vec::with_capacity(paths.len());
-    let mut bad = Vec::new();
+    let mut invalid_files = Vec::new();
     for path in paths {
-        let checked = check_file(path).and_then(|file| refuse_same_team(&files, file));
+        let checked = check_file(path).and_then(|file| check_unique_team(&files, file));
         match checked {
             Ok(file) => files.push(file),
-            Err(findings) => bad.push(FileFindings {
+            Err(findings) => invalid_files.push(FileFindings {
                 path: path.clone(),
                 findings,
             }),
         }
     }
-    if bad.is_empty() { Ok(files) } else { Err(bad) }
+    if invalid_files.is_empty() {
+        Ok(files)
+    } else {
+        Err(invalid_files)
+    }
 }
 
 /// Checks the references between the teams when `files` replace their records in `base`, which is
@@ -57,20 +61,24 @@
         let record = file.record.clone();
         set.teams.insert(record.team.clone(), record);
     }
-    let mut bad = Vec::new();
+    let mut invalid_files = Vec::new();
     for file in files {
-        let findings = set_findings(file, &set);
+        let findings = reference_findings(file, &set);
         if !findings.is_empty() {
-            bad.push(FileFindings {
+            invalid_files.push(FileFindings {
                 path: file.path.clone(),
                 findings,
             });
         }
     }
-    if bad.is_empty() {
-        bad.extend(elsewhere(files, &set));
+    if invalid_files.is_empty() {
+        invalid_files.extend(finding_in_other_files(files, &set));
+    }
+    if invalid_files.is_empty() {
+        Ok(())
+    } else {
+        Err(invalid_files)
     }
-    if bad.is_empty() { Ok(()) } else { Err(bad) }
 }
 
 fn check_file(path: &Path) -> Result<CheckedFile, Vec<Finding>> {
@@ -90,12 +98,15 @@
 }
 
 /// A team has one record, so of two files one would silently replace the other.
-fn refuse_same_team(
-    before: &[CheckedFile],
+fn check_unique_team(
+    earlier_files: &[CheckedFile],
     file: CheckedFile,
 ) -> Result<CheckedFile, Vec<Finding>> {
     let team = &file.record.team;
-    let Some(other) = before.iter().find(|other| other.record.team == *team) else {
+    let Some(other) = earlier_files
+        .iter()
+        .find(|other| other.record.team == *team)
+    else {
         return Ok(file);
     };
     Err(vec![Finding {
@@ -108,7 +119,7 @@
     }])
 }
 
-fn set_findings(file: &CheckedFile, set: &Configuration) -> Vec<Finding> {
+fn reference_findings(file: &CheckedFile, set: &Configuration) -> Vec<Finding> {
     let mut findings = Vec::new();
     let owners = owners(set);
     let team = &file.record.team;
@@ -125,13 +136,17 @@
     for (service, resources) in &file.record.calls {
         let line = file.lines.calls[service];
         let missing = resources.iter().map(|name| missing(set, service, name));
-        findings.extend(missing.flatten().map(|what| what.at(line)));
+        findings.extend(
+            missing
+                .flatten()
+                .map(|reference| reference.into_finding(line)),
+        );
     }
     for (service, record) in &file.record.services {
         for (route, line) in record.routes.iter().zip(&file.lines.routes[service]) {
             let target = &route.target;
             let missing = missing(set, &target.service, &target.resource);
-            findings.extend(missing.map(|what| what.at(*line)));
+            findings.extend(missing.map(|reference| reference.into_finding(*line)));
         }
     }
     findings.sort_by_key(|finding| finding.line);
@@ -148,13 +163,13 @@
     owners
 }
 
-struct Missing {
+struct MissingReference {
     problem: String,
     remedy: &'static str,
 }
 
-impl Missing {
-    fn at(self, line: usize) -> Finding {
+impl MissingReference {
+    fn into_finding(self, line: usize) -> Finding {
         Finding {
             line,
             problem: self.problem,
@@ -163,22 +178,26 @@
     }
 }
 
-fn missing(set: &Configuration, service: &ServiceName, name: &ResourceName) -> Option<Missing> {
+fn missing(
+    set: &Configuration,
+    service: &ServiceName,
+    name: &ResourceName,
+) -> Option<MissingReference> {
     let Some(record) = set.service(service) else {
-        return Some(Missing {
+        return Some(MissingReference {
             problem: format!("no team offers service `{service}`"),
             remedy: "correct the name, or publish the offering team's file together with this one",
         });
     };
-    let found = record.resources.contains_key(name);
-    (!found).then(|| Missing {
+    let exists = record.resources.contains_key(name);
+    (!exists).then(|| MissingReference {
         problem: format!("service `{service}` has no resource `{name}`"),
         remedy: "correct the name, or publish the offering team's file together with this one",
     })
 }
 
 /// What breaks in records of teams whose files were not given: a service that they call is gone.
-fn elsewhere(files: &[CheckedFile], set: &Configuration) -> Option<FileFindings> {
+fn finding_in_other_files(files: &[CheckedFile], set: &Configuration) -> Option<FileFindings> {
     let error = RouteTable::compile(set).err()?;
     let first = files.first()?;
     Some(FileFindings {
--- a/src/ops/query/diff.rs
+++ b/src/ops/query/diff.rs
@@ -45,7 +45,7 @@
 }
 
 /// What publishing `records` and removing `removals` now would change.
-pub async fn with_accepted<P: Table + ObjectStore>(
+pub async fn against_accepted<P: Table + ObjectStore>(
     platform: &P,
     records: &[TeamRecord],
     removals: &[TeamName],
@@ -63,7 +63,7 @@
 }
 
 /// What changed from one version to another; `None` is the accepted one.
-pub async fn of_versions<P: Table + ObjectStore>(
+pub async fn between_versions<P: Table + ObjectStore>(
     platform: &P,
     from: Version,
     to: Option<Version>,
@@ -74,7 +74,7 @@
     for version in [from, to] {
         ensure!(version <= head, NoSuchVersionSnafu { version, head });
     }
-    let teams = between_accepted(platform, from, to).await;
+    let teams = compare_versions(platform, from, to).await;
     Ok(Diff {
         from,
         to: Some(to),
@@ -83,7 +83,7 @@
 }
 
 /// The difference between two versions that were accepted.
-pub(crate) async fn between_accepted<P: Table + ObjectStore>(
+pub(crate) async fn compare_versions<P: Table + ObjectStore>(
     platform: &P,
     from: Version,
     to: Version,
--- a/src/ops/query/progress.rs
+++ b/src/ops/query/progress.rs
@@ -1,6 +1,6 @@
 //! How far a version has spread, by data centre.
 //!
-//! [`of_status`] is the one place that reads this out of a node's [`Status`], and [`of_statuses`] puts
+//! [`from_status`] is the one place that reads this out of a node's [`Status`], and [`from_statuses`] puts
 //! several together; `watch` and
 //! `publish --wait` know nothing of how nodes learn of each other.
 
@@ -27,7 +27,7 @@
 }
 
 impl DataCentreProgress {
-    fn none_of(place: &Place) -> Self {
+    fn empty(place: &Place) -> Self {
         Self {
             place: place.clone(),
             nodes: 0,
@@ -89,28 +89,28 @@
 
 /// Sums up what several nodes know. A data centre's figures come from a node that stands in it, if
 /// one was asked: that node counts at once, while its count reaches the others seconds later.
-pub fn of_statuses(statuses: &[Status], version: Version) -> Progress {
-    let mut rows: BTreeMap<(String, String), DataCentreProgress> = BTreeMap::new();
+pub fn from_statuses(statuses: &[Status], version: Version) -> Progress {
+    let mut progress_by_place: BTreeMap<(String, String), DataCentreProgress> = BTreeMap::new();
     for status in statuses {
-        let own_place = place_of(status);
-        for row in of_status(status, version).data_centres {
-            let (region, data_centre) = key(&row.place);
-            let key = (region.to_owned(), data_centre.to_owned());
-            if own_place == Some(&row.place) || !rows.contains_key(&key) {
-                rows.insert(key, row);
+        let own_place = place_of_node(status);
+        for progress in from_status(status, version).data_centres {
+            let (region, data_centre) = place_key(&progress.place);
+            let place_key = (region.to_owned(), data_centre.to_owned());
+            if own_place == Some(&progress.place) || !progress_by_place.contains_key(&place_key) {
+                progress_by_place.insert(place_key, progress);
             }
         }
     }
     Progress {
         version,
-        data_centres: rows.into_values().collect(),
+        data_centres: progress_by_place.into_values().collect(),
     }
 }
 
-fn place_of(status: &Status) -> Option<&Place> {
+fn place_of_node(status: &Status) -> Option<&Place> {
     let mut members = status.members.iter();
-    let own = members.find(|member| member.node == status.node);
-    own.map(|member| &member.place)
+    let own_member = members.find(|member| member.node == status.node);
+    own_member.map(|member| &member.place)
 }
 
 /// Sums up who enforces `version` or a later one.
@@ -118,38 +118,41 @@
 /// How many nodes live is what the asked node sees; how many enforce which version is each data
 /// centre's own count, up to a few seconds old. A data centre that lives and has no count yet, or
 /// of which every node is lost, has none that enforces.
-pub fn of_status(status: &Status, version: Version) -> Progress {
-    let mut rows: BTreeMap<(&str, &str), DataCentreProgress> = BTreeMap::new();
+pub fn from_status(status: &Status, version: Version) -> Progress {
+    let mut progress_by_place: BTreeMap<(&str, &str), DataCentreProgress> = BTreeMap::new();
     for member in &status.members {
         let place = &member.place;
-        let row = rows
-            .entry(key(place))
-            .or_insert_with(|| DataCentreProgress::none_of(place));
+        let progress = progress_by_place
+            .entry(place_key(place))
+            .or_insert_with(|| DataCentreProgress::empty(place));
         match member.liveness {
-            Liveness::Alive | Liveness::Suspect => row.nodes += 1,
-            Liveness::Dead => row.unreachable += 1,
+            Liveness::Alive | Liveness::Suspect => progress.nodes += 1,
+            Liveness::Dead => progress.unreachable += 1,
             Liveness::Left => (),
         }
     }
-    for count in &status.data_centres {
-        if let Some(row) = rows.get_mut(&key(&count.place)) {
-            row.enforcing = enforcing(count, version, row.nodes);
+    for summary in &status.data_centres {
+        if let Some(progress) = progress_by_place.get_mut(&place_key(&summary.place)) {
+            progress.enforcing = enforcing(summary, version, progress.nodes);
         }
     }
     Progress {
         version,
-        data_centres: rows.into_values().filter(|row| !row.is_empty()).collect(),
+        data_centres: progress_by_place
+            .into_values()
+            .filter(|progress| !progress.is_empty())
+            .collect(),
     }
 }
 
 /// How many of `nodes` enforce `version`, by a count that may be older than `nodes`: it can hold
 /// nodes that have gone since, which must not stand in for one that is behind.
-fn enforcing(count: &DataCentreSummary, version: Version, nodes: usize) -> usize {
-    let at_least: usize = count.versions.range(version..).map(|(_, n)| n).sum();
-    let behind: usize = count.versions.range(..version).map(|(_, n)| n).sum();
-    at_least.min(nodes.saturating_sub(behind))
+fn enforcing(summary: &DataCentreSummary, version: Version, nodes: usize) -> usize {
+    let enforcing_nodes: usize = summary.versions.range(version..).map(|(_, n)| n).sum();
+    let nodes_behind: usize = summary.versions.range(..version).map(|(_, n)| n).sum();
+    enforcing_nodes.min(nodes.saturating_sub(nodes_behind))
 }
 
-fn key(place: &Place) -> (&str, &str) {
+fn place_key(place: &Place) -> (&str, &str) {
     (place.region.as_str(), place.data_centre.as_str())
 }
--- a/src/ops/query/status.rs
+++ b/src/ops/query/status.rs
@@ -3,16 +3,16 @@
 use hyper::Method;
 
 use crate::core::status::{DataCentreSummary, Status};
-use crate::ops::operator::{NodeAccess, ask};
+use crate::ops::operator_client::{OperatorEndpoint, request_json};
 
-pub use crate::ops::operator::{Error, Result};
+pub use crate::ops::operator_client::{Error, Result};
 
 /// A line of the report by data centre.
 pub type DataCentreRow = DataCentreSummary;
 
 /// Asks a node.
-pub async fn fetch(node: &NodeAccess) -> Result<Status> {
-    ask(node, Method::GET, "/status").await
+pub async fn fetch(node: &OperatorEndpoint) -> Result<Status> {
+    request_json(node, Method::GET, "/status").await
 }
 
 /// What the nodes of each data centre enforce, as far as the asked node knows.
--- a/src/ops/query/watch.rs
+++ b/src/ops/query/watch.rs
@@ -7,7 +7,7 @@
 
 use crate::core::status::Status;
 use crate::core::version::Version;
-use crate::ops::operator::NodeAccess;
+use crate::ops::operator_client::OperatorEndpoint;
 use crate::ops::query::progress::{self, Progress};
 use crate::ops::query::status::{Result, fetch};
 
@@ -16,27 +16,27 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Asks `nodes` until they know of no living node that enforces less than `version`, or until
-/// `limit` is over; calls `report` at each change. A node that does not answer is asked again: it
+/// `timeout` is over; calls `report` at each change. A node that does not answer is asked again: it
 /// may be restarting. The last failure is the result if none ever answers.
 pub async fn watch(
-    nodes: &[NodeAccess],
+    nodes: &[OperatorEndpoint],
     version: Version,
-    limit: Duration,
+    timeout: Duration,
     mut report: impl FnMut(&Progress),
 ) -> Result<Progress> {
-    let deadline = Instant::now() + limit;
+    let deadline = Instant::now() + timeout;
     let mut last: Option<Progress> = None;
     loop {
         match fetch_all(nodes).await {
             Ok(statuses) => {
-                let now = progress::of_statuses(&statuses, version);
-                if last.as_ref() != Some(&now) {
-                    report(&now);
+                let current = progress::from_statuses(&statuses, version);
+                if last.as_ref() != Some(&current) {
+                    report(&current);
                 }
-                if now.is_complete() {
-                    return Ok(now);
+                if current.is_complete() {
+                    return Ok(current);
                 }
-                last = Some(now);
+                last = Some(current);
             }
             Err(error) if Instant::now() >= deadline => return last.ok_or(error),
             Err(_) => (),
@@ -51,21 +51,21 @@
 }
 
 /// The answers of all nodes that answer; the last failure if none does.
-async fn fetch_all(nodes: &[NodeAccess]) -> Result<Vec<Status>> {
-    let mut asked = JoinSet::new();
+async fn fetch_all(nodes: &[OperatorEndpoint]) -> Result<Vec<Status>> {
+    let mut requests = JoinSet::new();
     for node in nodes {
         let node = node.clone();
-        asked.spawn(async move { fetch(&node).await });
+        requests.spawn(async move { fetch(&node).await });
     }
     let mut statuses = Vec::with_capacity(nodes.len());
-    let mut failure = None;
-    for answer in asked.join_all().await {
+    let mut last_error = None;
+    for answer in requests.join_all().await {
         match answer {
             Ok(status) => statuses.push(status),
-            Err(error) => failure = Some(error),
+            Err(error) => last_error = Some(error),
         }
     }
-    match failure {
+    match last_error {
         Some(error) if statuses.is_empty() => Err(error),
         _ => Ok(statuses),
     }
--- a/tests/testsuite/fuzz_publish.rs
+++ b/tests/testsuite/fuzz_publish.rs
@@ -303,10 +303,10 @@
                 self.told.insert(id, told);
             }
             Err(
-                publish::Error::OutcomeUnknown { seen, .. }
-                | publish::Error::Unsettled { seen, .. },
+                publish::Error::OutcomeUnknown { expected, .. }
+                | publish::Error::Unsettled { expected, .. },
             ) => {
-                options.expected = seen.or(options.expected);
+                options.expected = expected.or(options.expected);
                 options.resumed = true;
                 self.unknown = Some(options);
             }
--- a/tests/testsuite/operator_commands.rs
+++ b/tests/testsuite/operator_commands.rs
@@ -6,7 +6,7 @@
 
 use dragonflywall::core::status::Status;
 use dragonflywall::core::version::Version;
-use dragonflywall::ops::query::progress::{of_status, of_statuses};
+use dragonflywall::ops::query::progress::{from_status, from_statuses};
 use http::{Method, StatusCode};
 use serde_json::Value;
 use testkit::http::{answer, serve};
@@ -190,9 +190,9 @@
     let replaced = member("aveiro-a", 2, "dead");
     let far = member("aveiro-b", 3, "dead");
     let counts = [count("aveiro-a", &serde_json::json!({ "2": 1 }))];
-    let one_lost = of_status(&status(&[near.clone(), replaced], &counts), Version(2));
+    let one_lost = from_status(&status(&[near.clone(), replaced], &counts), Version(2));
     assert!(one_lost.is_complete());
-    let cut_off = of_status(&status(&[near, far], &counts), Version(2));
+    let cut_off = from_status(&status(&[near, far], &counts), Version(2));
     assert!(!cut_off.is_complete());
     let text = "version 2: norte/aveiro-a 1 of 1, norte/aveiro-b 0 of 0 (1 unreachable)";
     assert_eq!(cut_off.to_string(), text);
@@ -213,9 +213,9 @@
     let near = status(&members, &counts("1"));
     let mut far = status(&members, &counts("2"));
     far.node = far.members[1].node;
-    assert!(!of_status(&near, Version(2)).is_complete());
-    assert!(of_statuses(&[near.clone(), far.clone()], Version(2)).is_complete());
-    assert!(of_statuses(&[far, near], Version(2)).is_complete());
+    assert!(!from_status(&near, Version(2)).is_complete());
+    assert!(from_statuses(&[near.clone(), far.clone()], Version(2)).is_complete());
+    assert!(from_statuses(&[far, near], Version(2)).is_complete());
 }
 
 /// A data centre's count is some seconds old: one of its nodes is behind, another has died since.
@@ -228,7 +228,7 @@
     ];
     let complete = |versions: Value| {
         let counts = [count("aveiro-a", &versions)];
-        of_status(&status(&members, &counts), Version(2)).is_complete()
+        from_status(&status(&members, &counts), Version(2)).is_complete()
     };
     assert!(!complete(serde_json::json!({ "1": 1, "2": 2 })));
     assert!(!complete(serde_json::json!({ "2": 1 })));
--- a/tests/testsuite/publish_in_flight.rs
+++ b/tests/testsuite/publish_in_flight.rs
@@ -195,7 +195,7 @@
     let published = publish(&slow, &resumed).await;
     let published = published.expect("its own commit is found");
     assert_eq!(published.stamp.version, Version(1));
-    assert!(published.already);
+    assert!(published.already_published);
 }
 
 /// Ana's commit is lost on the way, and Bea's publication of the same team is accepted meanwhile.
@@ -212,7 +212,7 @@
     slow.hold.store(1, Ordering::SeqCst);
     let published = publish(&slow, &options("ana", 200)).await;
     assert!(
-        matches!(published, Err(Error::Raced { .. })),
+        matches!(published, Err(Error::Conflict { .. })),
         "{published:?}"
     );
     assert_eq!(slow.deliver().await, Outcome::ConditionFailed);
