--- a/tests/testsuite/check.rs
+++ b/tests/testsuite/check.rs
@@ -8,7 +8,7 @@
 use crate::support::{command, repository_file};
 
 /// A right file, which the cases below spoil.
-const GOOD: &str = r#"team = "armazem"
+const VALID_FILE: &str = r#"team = "armazem"
 
 [treatment.quick]
 class = "interactive"
@@ -41,10 +41,10 @@
     }
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
     let output = command(&arguments).await;
-    answer(&output).replace(&format!("{}/", directory.path().display()), "")
+    format_output(&output).replace(&format!("{}/", directory.path().display()), "")
 }
 
-fn answer(output: &Output) -> String {
+fn format_output(output: &Output) -> String {
     let code = output.status.code().expect("the command ended by itself");
     let stdout = String::from_utf8_lossy(&output.stdout);
     let stderr = String::from_utf8_lossy(&output.stderr);
@@ -52,25 +52,25 @@
 }
 
 /// Spoils the right file at one place.
-fn spoiled(from: &str, to: &str) -> String {
-    assert!(GOOD.contains(from), "`{from}` is not in the right file");
-    GOOD.replacen(from, to, 1)
+fn with_replacement(old: &str, new: &str) -> String {
+    assert!(VALID_FILE.contains(old), "`{old}` is not in the right file");
+    VALID_FILE.replacen(old, new, 1)
 }
 
-macro_rules! refused {
-    ($($(#[$doc:meta])* $name:ident: $from:expr => $to:expr;)*) => {
+macro_rules! invalid_file_tests {
+    ($($(#[$doc:meta])* $name:ident: $old:expr => $new:expr;)*) => {
         $(
             $(#[$doc])*
             #[tokio::test]
             async fn $name() {
-                let text = spoiled($from, $to);
+                let text = with_replacement($old, $new);
                 assert_snapshot!(check(&[("armazem.toml", &text)], &[]).await);
             }
         )*
     };
 }
 
-refused! {
+invalid_file_tests! {
     not_toml: "[service.armazem]\n" => "[service.armazem\n";
     unknown_key: "queue_len" => "queue_length";
     missing_key: "slots_per_endpoint = 6\n" => "";
@@ -80,19 +80,19 @@
     bad_service_name: "[service.armazem]\n" => "[service.Armazem]\nslots_per_endpoint = 1\nconnections_per_endpoint = 1\n\n[service.armazem]\n";
     out_of_range: "timeout_ms = 1500" => "timeout_ms = 3600001";
     several_out_of_range: "queue_len = 12" => "queue_len = 10001\n[service.armazem.resource.movement]\nidempotent = false\nattempts = 6";
-    dangling_resource: "resource = \"stock\"\n" => "resource = \"stok\"\n";
-    cycle_of_extends: "[treatment.quick]" => "[treatment.slow]\nextends = \"quick\"\n[treatment.quick]\nextends = \"slow\"";
-    missing_base: "extends = \"quick\"" => "extends = \"quik\"";
+    route_to_unknown_resource: "resource = \"stock\"\n" => "resource = \"stok\"\n";
+    extends_cycle: "[treatment.quick]" => "[treatment.slow]\nextends = \"quick\"\n[treatment.quick]\nextends = \"slow\"";
+    extends_unknown_treatment: "extends = \"quick\"" => "extends = \"quik\"";
     missing_idempotent: "idempotent = true\n" => "";
     connections_below_slots: "connections_per_endpoint = 120" => "connections_per_endpoint = 5";
-    same_routes: "[[service.armazem.route]]" => "[[service.armazem.route]]\npath = \"/stock\"\nresource = \"stock\"\n\n[[service.armazem.route]]";
+    duplicate_routes: "[[service.armazem.route]]" => "[[service.armazem.route]]\npath = \"/stock\"\nresource = \"stock\"\n\n[[service.armazem.route]]";
     path_without_root: "\"/stock\"" => "\"stock\"";
     path_with_query: "\"/stock\"" => "\"/stock?pan=7\"";
     bad_method: "\"GET\"" => "\"get\"";
-    interactive_for_minutes: "1500" => "600000";
-    bulk_in_a_moment: "\"interactive\"\ntimeout_ms = 1500" => "\"bulk\"\ntimeout_ms = 300";
+    interactive_timeout_too_long: "1500" => "600000";
+    bulk_timeout_too_short: "\"interactive\"\ntimeout_ms = 1500" => "\"bulk\"\ntimeout_ms = 300";
     bulk_without_queue: "\"interactive\"\ntimeout_ms = 1500" => "\"bulk\"\ntimeout_ms = 2000\n[service.armazem2]\nslots_per_endpoint = 1\nconnections_per_endpoint = 1\nqueue_len = 0\n[service.armazem2.resource.all]\nclass = \"bulk\"\nidempotent = true\n[treatment.rest]";
-    spill_across_the_link_in_no_time: "1500" => "20\nspill = \"mesh\"";
+    mesh_spill_timeout_too_short: "1500" => "20\nspill = \"mesh\"";
 }
 
 #[tokio::test]
@@ -101,60 +101,60 @@
 }
 
 #[tokio::test]
-async fn team_that_does_nothing() {
+async fn team_without_services_and_calls() {
     assert_snapshot!(check(&[("armazem.toml", "team = \"armazem\"\n")], &[]).await);
 }
 
 #[tokio::test]
 async fn missing_file() {
     let output = command(&["check", "no/such/file.toml"]).await;
-    assert_snapshot!(answer(&output));
+    assert_snapshot!(format_output(&output));
 }
 
 #[tokio::test]
 async fn two_files_of_one_team() {
-    let files = [("a.toml", GOOD), ("b.toml", GOOD)];
+    let files = [("a.toml", VALID_FILE), ("b.toml", VALID_FILE)];
     assert_snapshot!(check(&files, &[]).await);
 }
 
 #[tokio::test]
 async fn two_teams_offer_one_service() {
-    let other = spoiled("team = \"armazem\"", "team = \"balanco\"");
-    let files = [("armazem.toml", GOOD), ("balanco.toml", &other)];
+    let other = with_replacement("team = \"armazem\"", "team = \"balanco\"");
+    let files = [("armazem.toml", VALID_FILE), ("balanco.toml", &other)];
     assert_snapshot!(check(&files, &["--whole"]).await);
 }
 
 #[tokio::test]
-async fn calls_to_what_is_not_there() {
+async fn calls_to_unknown_service_and_resource() {
     let caller = "team = \"balanco\"\n\n[calls]\narmazem = [\"stock\", \"movement\"]\n\
                   expedicao = [\"booking\"]\n";
-    let files = [("armazem.toml", GOOD), ("balanco.toml", caller)];
+    let files = [("armazem.toml", VALID_FILE), ("balanco.toml", caller)];
     assert_snapshot!(check(&files, &["--whole"]).await);
 }
 
 #[tokio::test]
-async fn route_to_what_is_not_there() {
+async fn route_to_unknown_service() {
     let route = "path = \"/stock\"\nservice = \"hemeroteca\"";
-    let text = spoiled("path = \"/stock\"", route);
+    let text = with_replacement("path = \"/stock\"", route);
     assert_snapshot!(check(&[("armazem.toml", &text)], &["--whole"]).await);
 }
 
 #[tokio::test]
 async fn findings_as_json() {
-    let text = spoiled("\"/stock\"", "\"stock\"");
+    let text = with_replacement("\"/stock\"", "\"stock\"");
     assert_snapshot!(check(&[("armazem.toml", &text)], &["--json"]).await);
 }
 
 /// A file for itself cannot tell what others offer, so a call is right until the set is known.
 #[tokio::test]
-async fn right_files_are_accepted() {
-    let answer = check(&[("armazem.toml", GOOD)], &["--whole"]).await;
+async fn valid_files_are_accepted() {
+    let answer = check(&[("armazem.toml", VALID_FILE)], &["--whole"]).await;
     assert_eq!(answer, "Checked 1 team files: nothing wrong\nexit code 0");
 }
 
 /// Both deployments of the examples are right as whole sets.
 #[tokio::test]
-async fn examples_are_right() {
+async fn examples_are_valid() {
     for deployment in ["chatarras", "marinhas"] {
         let directory = repository_file("examples").join(deployment);
         let entries = std::fs::read_dir(directory).expect("the examples exist");
@@ -163,14 +163,14 @@
         let mut arguments = vec!["check", "--whole"];
         arguments.extend(paths.iter().map(String::as_str));
         let output = command(&arguments).await;
-        assert_eq!(output.status.code(), Some(0), "{}", answer(&output));
+        assert_eq!(output.status.code(), Some(0), "{}", format_output(&output));
     }
 }
 
 /// A node is started with three wrong settings: one from a flag, one from the environment, one
 /// missing. It names all three at once, each with its flag and its variable, and exits with 2.
 #[tokio::test]
-async fn node_names_all_bad_settings() {
+async fn node_lists_all_invalid_settings() {
     let output = tokio::process::Command::new(crate::support::PROGRAM)
         .args(["node", "--caller-listen", "nowhere", "--region", "norte"])
         .args(["--data-centre", "aveiro-a"])
@@ -179,5 +179,5 @@
         .output()
         .await
         .expect("the program runs");
-    assert_snapshot!(answer(&output));
+    assert_snapshot!(format_output(&output));
 }
--- a/tests/testsuite/documentation.rs
+++ b/tests/testsuite/documentation.rs
@@ -12,7 +12,7 @@
 /// An operator reads the page of commands, and the program must not know better: each command's
 /// help stands in it word for word.
 #[tokio::test]
-async fn commands_page_holds_every_help() {
+async fn commands_page_contains_every_help_text() {
     let page = page("docs/reference/commands.md");
     let overview = command(&["help"]).await;
     let overview = String::from_utf8(overview.stdout).expect("help is UTF-8");
@@ -34,7 +34,7 @@
 
 /// The same for each setting of a node: flag, variable and default stand in one row.
 #[test]
-fn settings_page_holds_every_setting() {
+fn settings_page_contains_every_setting() {
     let page = page("docs/reference/settings.md");
     for spec in SPECS {
         let start = format!("| `--{}` |", spec.flag);
@@ -51,7 +51,7 @@
 
 /// A team copies the page's example, so the example must be right.
 #[tokio::test]
-async fn team_file_example_is_right() {
+async fn team_file_example_is_valid() {
     let page = page("docs/reference/team-file.md");
     let example = page.split("```toml\n").nth(1).expect("the page has one");
     let example = example.split("```").next().expect("it ends");
--- a/tests/testsuite/fuzz_publish.rs
+++ b/tests/testsuite/fuzz_publish.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     /// The platform is away for this call.
-    Away,
+    Unavailable,
     /// A commit is lost on its way, or comes late.
     RequestLost,
     /// A commit takes effect, and its answer is lost.
@@ -42,30 +42,30 @@
 }
 
 #[derive(Clone, Debug)]
-enum Step {
+enum Action {
     Publish {
         change: Change,
         /// At so many calls from the start, something goes wrong.
         faults: BTreeMap<u32, Fault>,
         /// Before this call, another operator publishes this.
-        race: Option<(u32, Change)>,
+        competing_publication: Option<(u32, Change)>,
     },
     /// Run the last publication whose outcome is unknown again.
     Resume { faults: BTreeMap<u32, Fault> },
     /// Settle it without its files.
     Settle { faults: BTreeMap<u32, Fault> },
     /// All lost commits arrive now.
-    LateCommitsArrive,
+    DeliverDelayedCommits,
 }
 
 const FAULTS: &[Fault] = &[
-    Fault::Away,
+    Fault::Unavailable,
     Fault::RequestLost,
     Fault::AnswerLost,
     Fault::AnswerLost,
 ];
 
-struct Script;
+struct PublishScript;
 
 fn change() -> impl Strategy<Value = Change> {
     let calls = prop::option::weighted(0.3, (0..TEAMS.len(), 0..3_usize));
@@ -80,45 +80,48 @@
     prop::collection::btree_map(0..12_u32, prop::sample::select(FAULTS), 0..4)
 }
 
-impl ReferenceStateMachine for Script {
+impl ReferenceStateMachine for PublishScript {
     type State = ();
-    type Transition = Step;
+    type Transition = Action;
 
     fn init_state() -> BoxedStrategy<()> {
         Just(()).boxed()
     }
 
-    fn transitions((): &()) -> BoxedStrategy<Step> {
-        let race = prop::option::of((0..12_u32, change()));
-        let publish = (change(), faults(), race);
+    fn transitions((): &()) -> BoxedStrategy<Action> {
+        let competing_publication = prop::option::of((0..12_u32, change()));
+        let publish = (change(), faults(), competing_publication);
         prop_oneof![
-            4 => publish.prop_map(|(change, faults, race)| Step::Publish { change, faults, race }),
-            2 => faults().prop_map(|faults| Step::Resume { faults }),
-            1 => faults().prop_map(|faults| Step::Settle { faults }),
-            1 => Just(Step::LateCommitsArrive),
+            4 => publish.prop_map(|(change, faults, competing_publication)| Action::Publish { change, faults, competing_publication }),
+            2 => faults().prop_map(|faults| Action::Resume { faults }),
+            1 => faults().prop_map(|faults| Action::Settle { faults }),
+            1 => Just(Action::DeliverDelayedCommits),
         ]
         .boxed()
     }
 
-    fn apply((): (), _: &Step) {}
+    fn apply((): (), _: &Action) {}
 }
 
 #[derive(Debug, Default)]
-struct Store {
+struct MemoryStore {
     rows: BTreeMap<String, (u64, String)>,
     objects: BTreeMap<Digest, Vec<u8>>,
-    late: Vec<Transaction>,
+    delayed_commits: Vec<Transaction>,
 }
 
-impl Store {
-    fn run(&mut self, transaction: &Transaction) -> Outcome {
+impl MemoryStore {
+    fn execute(&mut self, transaction: &Transaction) -> Outcome {
         let revision = |key: &String| self.rows.get(key).map_or(0, |row| row.0);
         let holds = transaction
             .conditions
             .iter()
             .all(|condition| match condition {
                 Condition::Absent { key } => revision(key) == 0,
-                Condition::Revision { key, revision: at } => revision(key) == *at,
+                Condition::Revision {
+                    key,
+                    revision: expected,
+                } => revision(key) == *expected,
             });
         if !holds {
             return Outcome::ConditionFailed;
@@ -132,40 +135,40 @@
 }
 
 /// One operator's way to the store.
-struct Platform {
-    store: Arc<Mutex<Store>>,
+struct FaultyPlatform {
+    store: Arc<Mutex<MemoryStore>>,
     calls: Mutex<u32>,
     faults: BTreeMap<u32, Fault>,
-    race: Option<(u32, PublishOptions)>,
+    competing_publication: Option<(u32, PublishOptions)>,
 }
 
-impl Platform {
-    fn new(store: &Arc<Mutex<Store>>, faults: BTreeMap<u32, Fault>) -> Self {
+impl FaultyPlatform {
+    fn new(store: &Arc<Mutex<MemoryStore>>, faults: BTreeMap<u32, Fault>) -> Self {
         Self {
             store: Arc::clone(store),
             calls: Mutex::new(0),
             faults,
-            race: None,
+            competing_publication: None,
         }
     }
 
-    fn store(&self) -> MutexGuard<'_, Store> {
+    fn store(&self) -> MutexGuard<'_, MemoryStore> {
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Counts a call; lets the other operator go first if it is her turn.
-    fn begin(&self) -> Option<Fault> {
+    fn start_call(&self) -> Option<Fault> {
         let call = {
             let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
             *calls += 1;
             *calls - 1
         };
-        if let Some((at, options)) = &self.race
-            && *at == call
+        if let Some((call_number, options)) = &self.competing_publication
+            && *call_number == call
         {
             let other = Self::new(&self.store, BTreeMap::new());
             // A refusal is as good an outcome as any.
-            let _ = at_once(publish::publish(&other, options));
+            let _ = poll_to_completion(publish::publish(&other, options));
         }
         self.faults.get(&call).copied()
     }
@@ -173,7 +176,7 @@
 
 /// Runs what waits for nothing: a store in memory answers at once, and no time is given to look into
 /// a lost answer.
-fn at_once<T>(future: impl Future<Output = T>) -> T {
+fn poll_to_completion<T>(future: impl Future<Output = T>) -> T {
     let mut context = Context::from_waker(Waker::noop());
     match pin!(future).poll(&mut context) {
         Poll::Ready(value) => value,
@@ -181,36 +184,36 @@
     }
 }
 
-fn away<T>() -> Result<T> {
+fn unavailable<T>() -> Result<T> {
     Err(Error::Unavailable {
         reason: "away".to_owned(),
     })
 }
 
-impl Table for Platform {
+impl Table for FaultyPlatform {
     async fn transact(&self, transaction: &Transaction) -> Result<Outcome> {
-        let fault = self.begin();
+        let fault = self.start_call();
         let mut store = self.store();
         let lost = Err(Error::OutcomeUnknown {
             reason: "lost".to_owned(),
         });
         match fault {
-            None => Ok(store.run(transaction)),
-            Some(Fault::Away) => away(),
+            None => Ok(store.execute(transaction)),
+            Some(Fault::Unavailable) => unavailable(),
             Some(Fault::RequestLost) => {
-                store.late.push(transaction.clone());
+                store.delayed_commits.push(transaction.clone());
                 lost
             }
             Some(Fault::AnswerLost) => {
-                store.run(transaction);
+                store.execute(transaction);
                 lost
             }
         }
     }
 
     async fn row(&self, key: &str) -> Result<Option<Row>> {
-        if self.begin().is_some() {
-            return away();
+        if self.start_call().is_some() {
+            return unavailable();
         }
         let row = self.store().rows.get(key).cloned();
         Ok(row.map(|(revision, value)| Row { revision, value }))
@@ -231,18 +234,18 @@
     }
 }
 
-impl ObjectStore for Platform {
+impl ObjectStore for FaultyPlatform {
     async fn put_object(&self, digest: &Digest, bytes: &[u8]) -> Result<()> {
-        if self.begin().is_some() {
-            return away();
+        if self.start_call().is_some() {
+            return unavailable();
         }
         self.store().objects.insert(*digest, bytes.to_vec());
         Ok(())
     }
 
     async fn object(&self, digest: &Digest) -> Result<Option<Vec<u8>>> {
-        if self.begin().is_some() {
-            return away();
+        if self.start_call().is_some() {
+            return unavailable();
         }
         Ok(self.store().objects.get(digest).cloned())
     }
@@ -250,17 +253,17 @@
 
 /// What an operator was told for good of a publication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum ReportedOutcome {
     Published(Version),
     Refused,
 }
 
-struct Bench {
-    store: Arc<Mutex<Store>>,
+struct System {
+    store: Arc<Mutex<MemoryStore>>,
     /// Every publication's records by its id.
-    asked: BTreeMap<String, TeamRecord>,
-    told: BTreeMap<String, Told>,
-    unknown: Option<PublishOptions>,
+    requested_records: BTreeMap<String, TeamRecord>,
+    reported: BTreeMap<String, ReportedOutcome>,
+    unsettled: Option<PublishOptions>,
     /// Accepted contents, oldest first, as seen after the last step.
     accepted: Vec<Configuration>,
 }
@@ -280,11 +283,11 @@
     team_file::parse(&text).expect("a right team file")
 }
 
-impl Bench {
+impl System {
     fn options(&mut self, change: Change) -> PublishOptions {
-        let id = format!("id-{}", self.asked.len());
+        let id = format!("id-{}", self.requested_records.len());
         let record = record(change);
-        self.asked.insert(id.clone(), record.clone());
+        self.requested_records.insert(id.clone(), record.clone());
         PublishOptions::builder()
             .publish_id(id)
             .operator("ana")
@@ -294,13 +297,13 @@
             .build()
     }
 
-    fn publish(&mut self, platform: &Platform, mut options: PublishOptions) {
+    fn publish(&mut self, platform: &FaultyPlatform, mut options: PublishOptions) {
         let id = options.publish_id.clone();
-        let result = at_once(publish::publish(platform, &options));
+        let result = poll_to_completion(publish::publish(platform, &options));
         match result {
             Ok(published) => {
-                let told = Told::Published(published.stamp.version);
-                self.told.insert(id, told);
+                let reported = ReportedOutcome::Published(published.stamp.version);
+                self.reported.insert(id, reported);
             }
             Err(
                 publish::Error::OutcomeUnknown { expected, .. }
@@ -308,111 +311,115 @@
             ) => {
                 options.expected = expected.or(options.expected);
                 options.resumed = true;
-                self.unknown = Some(options);
+                self.unsettled = Some(options);
             }
             Err(_) => {
-                self.told.insert(id, Told::Refused);
+                self.reported.insert(id, ReportedOutcome::Refused);
             }
         }
     }
 
-    fn settle(&mut self, platform: &Platform, options: PublishOptions) {
+    fn settle(&mut self, platform: &FaultyPlatform, options: PublishOptions) {
         let id = options.publish_id.clone();
         let result = publish::abandon(platform, &id, "ana", 0);
-        match at_once(result) {
+        match poll_to_completion(result) {
             Ok(Some(version)) => {
-                self.told.insert(id, Told::Published(version));
+                self.reported
+                    .insert(id, ReportedOutcome::Published(version));
             }
             Ok(None) => {
-                self.told.insert(id, Told::Refused);
+                self.reported.insert(id, ReportedOutcome::Refused);
             }
-            Err(_) => self.unknown = Some(options),
+            Err(_) => self.unsettled = Some(options),
         }
     }
 }
 
-impl StateMachineTest for Bench {
+impl StateMachineTest for System {
     type SystemUnderTest = Self;
-    type Reference = Script;
+    type Reference = PublishScript;
 
     fn init_test((): &()) -> Self {
         Self {
             store: Arc::default(),
-            asked: BTreeMap::new(),
-            told: BTreeMap::new(),
-            unknown: None,
+            requested_records: BTreeMap::new(),
+            reported: BTreeMap::new(),
+            unsettled: None,
             accepted: vec![Configuration::default()],
         }
     }
 
-    fn apply(mut bench: Self, (): &(), step: Step) -> Self {
-        match step {
-            Step::Publish {
+    fn apply(mut system: Self, (): &(), action: Action) -> Self {
+        match action {
+            Action::Publish {
                 change,
                 faults,
-                race,
+                competing_publication,
             } => {
-                let options = bench.options(change);
-                let mut platform = Platform::new(&bench.store, faults);
-                platform.race = race.map(|(at, change)| (at, bench.options(change)));
-                bench.publish(&platform, options);
+                let options = system.options(change);
+                let mut platform = FaultyPlatform::new(&system.store, faults);
+                platform.competing_publication = competing_publication
+                    .map(|(call_number, change)| (call_number, system.options(change)));
+                system.publish(&platform, options);
             }
-            Step::Resume { faults } => {
-                if let Some(options) = bench.unknown.take() {
-                    let platform = Platform::new(&bench.store, faults);
-                    bench.publish(&platform, options);
+            Action::Resume { faults } => {
+                if let Some(options) = system.unsettled.take() {
+                    let platform = FaultyPlatform::new(&system.store, faults);
+                    system.publish(&platform, options);
                 }
             }
-            Step::Settle { faults } => {
-                if let Some(options) = bench.unknown.take() {
-                    let platform = Platform::new(&bench.store, faults);
-                    bench.settle(&platform, options);
+            Action::Settle { faults } => {
+                if let Some(options) = system.unsettled.take() {
+                    let platform = FaultyPlatform::new(&system.store, faults);
+                    system.settle(&platform, options);
                 }
             }
-            Step::LateCommitsArrive => {
-                let mut store = bench.store.lock().expect("no test has panicked");
-                for transaction in std::mem::take(&mut store.late) {
-                    store.run(&transaction);
+            Action::DeliverDelayedCommits => {
+                let mut store = system.store.lock().expect("no test has panicked");
+                for transaction in std::mem::take(&mut store.delayed_commits) {
+                    store.execute(&transaction);
                 }
             }
         }
-        bench.check();
-        bench
+        system.check_invariants();
+        system
     }
 }
 
-impl Bench {
-    fn check(&mut self) {
-        let platform = Platform::new(&self.store, BTreeMap::new());
+impl System {
+    fn check_invariants(&mut self) {
+        let platform = FaultyPlatform::new(&self.store, BTreeMap::new());
         let rows = accepted::versions(&platform, Version::NONE);
-        let rows = at_once(rows).expect("nothing is wrong");
-        let head = at_once(accepted::head(&platform));
+        let rows = poll_to_completion(rows).expect("nothing is wrong");
+        let head = poll_to_completion(accepted::head(&platform));
         assert_eq!(
             head.expect("nothing is wrong").stamp.version.0,
             rows.len() as u64
         );
         let ids: BTreeSet<&String> = rows.iter().map(|row| &row.publish_id).collect();
         assert_eq!(ids.len(), rows.len(), "committed twice");
-        for (at, row) in rows.iter().enumerate() {
+        for (index, row) in rows.iter().enumerate() {
             let content = accepted::configuration(&platform, row.stamp.version);
-            let content = at_once(content).expect("stored whole");
+            let content = poll_to_completion(content).expect("stored whole");
             RouteTable::compile(&content).expect("references close");
-            if let Some(before) = self.accepted.get(at + 1) {
+            if let Some(before) = self.accepted.get(index + 1) {
                 assert_eq!(&content, before, "an accepted version changed");
                 continue;
             }
-            let mut expected = self.accepted[at].clone();
+            let mut expected = self.accepted[index].clone();
             expected.version = expected.version.next();
-            let record = self.asked[&row.publish_id].clone();
+            let record = self.requested_records[&row.publish_id].clone();
             expected.teams.insert(record.team.clone(), record);
             assert_eq!(content, expected, "something else was lost or reverted");
             self.accepted.push(content);
         }
         assert_eq!(self.accepted.len(), rows.len() + 1, "a version is gone");
-        for (id, told) in &self.told {
+        for (id, reported) in &self.reported {
             let row = rows.iter().find(|row| row.publish_id == *id);
-            let really = row.map_or(Told::Refused, |row| Told::Published(row.stamp.version));
-            assert_eq!(*told, really, "what was told of `{id}`");
+            let actual = row.map_or(ReportedOutcome::Refused, |row| {
+                ReportedOutcome::Published(row.stamp.version)
+            });
+            assert_eq!(*reported, actual, "what was told of `{id}`");
         }
     }
 }
@@ -421,5 +428,5 @@
     #![proptest_config(fuzz::config(96))]
 
     #[test]
-    fn fuzz_publish_against_a_list(sequential 1..24 => Bench);
+    fn fuzz_publish_against_a_list(sequential 1..24 => System);
 }
--- a/tests/testsuite/known_red.rs
+++ b/tests/testsuite/known_red.rs
@@ -8,7 +8,7 @@
 const FIELDS: usize = 4;
 
 #[test]
-fn every_entry_is_whole_and_names_a_test() {
+fn every_entry_is_complete_and_names_an_existing_test() {
     let path = repository_file("KNOWN-RED.txt");
     let Ok(list) = fs::read_to_string(path) else {
         return;
--- a/tests/testsuite/operator_commands.rs
+++ b/tests/testsuite/operator_commands.rs
@@ -16,7 +16,7 @@
 
 use crate::support::{ask, command, repository_file, small, start, start_chatarras, wait_running};
 
-fn text(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     let stdout = String::from_utf8_lossy(&output.stdout);
     let stderr = String::from_utf8_lossy(&output.stderr);
     format!("{stdout}{stderr}")
@@ -32,32 +32,45 @@
     let node = mesh.vms[0].node().addresses.operator.to_string();
     let file = repository_file("examples/marinhas/armazem.toml");
     let file = file.to_str().expect("UTF-8");
-    let in_each = mesh.vms.iter().step_by(4);
-    let in_each = in_each.map(|vm| vm.node().addresses.operator.to_string());
-    let in_each = in_each.collect::<Vec<_>>().join(",");
-    let at = ["--platform", &url, "--node", &in_each];
+    let one_node_per_data_centre = mesh.vms.iter().step_by(4);
+    let one_node_per_data_centre =
+        one_node_per_data_centre.map(|vm| vm.node().addresses.operator.to_string());
+    let one_node_per_data_centre = one_node_per_data_centre.collect::<Vec<_>>().join(",");
+    let target_flags = ["--platform", &url, "--node", &one_node_per_data_centre];
     let output = command(
         &[
             &["publish", "--wait", "--operator", "ana"],
-            &at[..],
+            &target_flags[..],
             &[file],
         ]
         .concat(),
     )
     .await;
-    assert_eq!(output.status.code(), Some(0), "{}", text(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     for position in 0..mesh.vms.len() {
         assert_eq!(mesh.version_at(position).await, 1);
     }
     let all =
         "norte/aveiro-a 4 of 4, norte/aveiro-b 4 of 4, sul/olhao-a 4 of 4, sul/olhao-b 4 of 4";
-    assert!(text(&output).contains(all), "{}", text(&output));
-    let output = command(&[&["watch"], &at[..]].concat()).await;
-    assert_eq!(output.status.code(), Some(0), "{}", text(&output));
+    assert!(
+        output_text(&output).contains(all),
+        "{}",
+        output_text(&output)
+    );
+    let output = command(&[&["watch"], &target_flags[..]].concat()).await;
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     let output = command(&["status", "--node", &node]).await;
-    let others = "it reaches no endpoint of: ";
-    assert!(text(&output).contains("and is ready"), "{}", text(&output));
-    assert!(!text(&output).contains(others), "{}", text(&output));
+    let unreachable_notice = "it reaches no endpoint of: ";
+    assert!(
+        output_text(&output).contains("and is ready"),
+        "{}",
+        output_text(&output)
+    );
+    assert!(
+        !output_text(&output).contains(unreachable_notice),
+        "{}",
+        output_text(&output)
+    );
     let output = command(&["status", "--node", &node, "--json"]).await;
     let status: Value = serde_json::from_slice(&output.stdout).expect("status prints JSON");
     assert_eq!(status["enforced"]["version"], 1);
@@ -66,37 +79,38 @@
 /// An operator watches for a version that does not come. The command ends after its limit, says
 /// what lags and how to look on, and exits with "unknown", not with "done".
 #[tokio::test(flavor = "multi_thread")]
-async fn watch_ends_at_its_limit() {
+async fn watch_ends_at_its_time_limit() {
     let mut deployment = Deployment::marinhas();
     deployment.data_centres.truncate(1);
     let mesh = start(deployment).await;
     let node = mesh.vms[0].node().addresses.operator.to_string();
     let limits = ["--version", "7", "--wait-limit-ms", "300"];
     let output = command(&[&["watch", "--node", &node], &limits[..]].concat()).await;
-    assert_eq!(output.status.code(), Some(3), "{}", text(&output));
+    assert_eq!(output.status.code(), Some(3), "{}", output_text(&output));
     assert!(
-        text(&output).contains("version 7 stands"),
+        output_text(&output).contains("version 7 stands"),
         "{}",
-        text(&output)
+        output_text(&output)
     );
 }
 
 /// A stand-in of a node's operator listener, with requests in flight that end one by one.
-async fn draining_node(in_flight: u64) -> (String, CancellationToken) {
+async fn start_draining_node(in_flight: u64) -> (String, CancellationToken) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound").to_string();
-    let left = Arc::new(AtomicU64::new(in_flight));
+    let in_flight_left = Arc::new(AtomicU64::new(in_flight));
     let stop = CancellationToken::new();
     tokio::spawn(serve(listener, stop.clone(), move |request| {
-        let left = Arc::clone(&left);
+        let in_flight_left = Arc::clone(&in_flight_left);
         async move {
             if request.method() != Method::POST || request.uri().path() != "/drain" {
                 return Some(answer(StatusCode::NOT_FOUND, ""));
             }
-            let one_less = |left: u64| Some(left.saturating_sub(1));
-            let now = left.fetch_update(Ordering::SeqCst, Ordering::SeqCst, one_less);
-            let now = now.unwrap_or_default();
-            let body = format!("{{\"draining\":true,\"in_flight\":{now}}}");
+            let decremented = |in_flight_left: u64| Some(in_flight_left.saturating_sub(1));
+            let remaining =
+                in_flight_left.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decremented);
+            let remaining = remaining.unwrap_or_default();
+            let body = format!("{{\"draining\":true,\"in_flight\":{remaining}}}");
             Some(answer(StatusCode::OK, body))
         }
     }));
@@ -107,38 +121,46 @@
 /// with 0 only when nothing is in flight.
 #[tokio::test]
 async fn drain_waits_until_nothing_is_in_flight() {
-    let (node, _stop) = draining_node(2).await;
+    let (node, _stop) = start_draining_node(2).await;
     let output = command(&["drain", "--node", &node, "--wait"]).await;
-    assert_eq!(output.status.code(), Some(0), "{}", text(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     for line in ["2 requests", "1 requests", "0 requests"] {
-        assert!(text(&output).contains(line), "{}", text(&output));
+        assert!(
+            output_text(&output).contains(line),
+            "{}",
+            output_text(&output)
+        );
     }
 }
 
 /// Requests are still in flight when the operator's limit is over. Exit code 3 keeps a script from
 /// stopping the backend server under them.
 #[tokio::test]
-async fn drain_that_is_not_done_is_no_success() {
-    let (node, _stop) = draining_node(1_000).await;
+async fn unfinished_drain_exits_with_unknown_outcome() {
+    let (node, _stop) = start_draining_node(1_000).await;
     let limit = ["--wait", "--wait-limit-ms", "300"];
     let output = command(&[&["drain", "--node", &node], &limit[..]].concat()).await;
-    assert_eq!(output.status.code(), Some(3), "{}", text(&output));
+    assert_eq!(output.status.code(), Some(3), "{}", output_text(&output));
     let hint = "leave the backend server running";
-    assert!(text(&output).contains(hint), "{}", text(&output));
+    assert!(
+        output_text(&output).contains(hint),
+        "{}",
+        output_text(&output)
+    );
 }
 
 /// The node is not there: refused, and nothing is said to be drained.
 #[tokio::test]
-async fn drain_of_a_node_that_is_not_there_is_refused() {
+async fn drain_of_an_unreachable_node_fails() {
     let output = command(&["drain", "--node", "127.0.0.1:9", "--wait"]).await;
-    assert_eq!(output.status.code(), Some(1), "{}", text(&output));
+    assert_eq!(output.status.code(), Some(1), "{}", output_text(&output));
 }
 
 /// Every command explains itself, and one that does not exist is a usage error.
 #[tokio::test]
 async fn every_command_has_help() {
     let overview = command(&["help"]).await;
-    let overview = text(&overview);
+    let overview = output_text(&overview);
     let names = [
         "check", "diff", "publish", "watch", "status", "history", "audit", "drain", "node",
     ];
@@ -147,21 +169,25 @@
         let output = command(&[name, "--help"]).await;
         assert_eq!(output.status.code(), Some(0));
         let usage = format!("Usage: dragonflywall {name}");
-        assert!(text(&output).contains(&usage), "{}", text(&output));
+        assert!(
+            output_text(&output).contains(&usage),
+            "{}",
+            output_text(&output)
+        );
     }
     let output = command(&["reverse"]).await;
-    assert_eq!(output.status.code(), Some(2), "{}", text(&output));
+    assert_eq!(output.status.code(), Some(2), "{}", output_text(&output));
     let output = command(&["drain", "--nod", "x"]).await;
-    assert_eq!(output.status.code(), Some(2), "{}", text(&output));
-    assert!(text(&output).contains("dragonflywall drain --help"));
+    assert_eq!(output.status.code(), Some(2), "{}", output_text(&output));
+    assert!(output_text(&output).contains("dragonflywall drain --help"));
     let output = command(&["--version"]).await;
-    assert!(text(&output).starts_with("dragonflywall "));
+    assert!(output_text(&output).starts_with("dragonflywall "));
 }
 
-fn status(members: &[Value], counts: &[Value]) -> Status {
+fn status(members: &[Value], summaries: &[Value]) -> Status {
     let status = serde_json::json!({
         "node": "127.0.0.1:1", "enforced": { "version": 2, "digest": "0".repeat(64) },
-        "ready": true, "members": members, "data_centres": counts,
+        "ready": true, "members": members, "data_centres": summaries,
     });
     serde_json::from_value(status).expect("a status")
 }
@@ -175,7 +201,7 @@
     })
 }
 
-fn count(data_centre: &str, versions: &Value) -> Value {
+fn summary(data_centre: &str, versions: &Value) -> Value {
     serde_json::json!({
         "place": { "region": "norte", "data_centre": data_centre },
         "nodes": 0, "versions": versions,
@@ -185,33 +211,33 @@
 /// A node knows of two data centres; the link to the second has failed, so its nodes count as dead
 /// there. `watch` must not call the version "in force everywhere" on the word of the first alone.
 #[test]
-fn lost_data_centre_is_not_called_done() {
+fn unreachable_data_centre_is_not_complete() {
     let near = member("aveiro-a", 1, "alive");
     let replaced = member("aveiro-a", 2, "dead");
     let far = member("aveiro-b", 3, "dead");
-    let counts = [count("aveiro-a", &serde_json::json!({ "2": 1 }))];
-    let one_lost = from_status(&status(&[near.clone(), replaced], &counts), Version(2));
+    let summaries = [summary("aveiro-a", &serde_json::json!({ "2": 1 }))];
+    let one_lost = from_status(&status(&[near.clone(), replaced], &summaries), Version(2));
     assert!(one_lost.is_complete());
-    let cut_off = from_status(&status(&[near, far], &counts), Version(2));
+    let cut_off = from_status(&status(&[near, far], &summaries), Version(2));
     assert!(!cut_off.is_complete());
-    let text = "version 2: norte/aveiro-a 1 of 1, norte/aveiro-b 0 of 0 (1 unreachable)";
-    assert_eq!(cut_off.to_string(), text);
+    let expected_text = "version 2: norte/aveiro-a 1 of 1, norte/aveiro-b 0 of 0 (1 unreachable)";
+    assert_eq!(cut_off.to_string(), expected_text);
 }
 
 /// An operator asks a node in each data centre. What the first knows of the second is old; the
 /// second's own word counts.
 #[test]
-fn own_count_of_a_data_centre_goes_first() {
+fn summary_from_the_data_centre_itself_takes_precedence() {
     let members = [
         member("aveiro-a", 1, "alive"),
         member("aveiro-b", 2, "alive"),
     ];
-    let counts = |far_version: &str| {
-        let far = count("aveiro-b", &serde_json::json!({ far_version: 1 }));
-        [count("aveiro-a", &serde_json::json!({ "2": 1 })), far]
+    let summaries = |far_version: &str| {
+        let far = summary("aveiro-b", &serde_json::json!({ far_version: 1 }));
+        [summary("aveiro-a", &serde_json::json!({ "2": 1 })), far]
     };
-    let near = status(&members, &counts("1"));
-    let mut far = status(&members, &counts("2"));
+    let near = status(&members, &summaries("1"));
+    let mut far = status(&members, &summaries("2"));
     far.node = far.members[1].node;
     assert!(!from_status(&near, Version(2)).is_complete());
     assert!(from_statuses(&[near.clone(), far.clone()], Version(2)).is_complete());
@@ -221,14 +247,14 @@
 /// A data centre's count is some seconds old: one of its nodes is behind, another has died since.
 /// The dead one, which enforced the version, must not make up for the one that is behind.
 #[test]
-fn old_count_is_not_called_done() {
+fn outdated_summary_is_not_complete() {
     let members = [
         member("aveiro-a", 1, "alive"),
         member("aveiro-a", 2, "alive"),
     ];
     let complete = |versions: Value| {
-        let counts = [count("aveiro-a", &versions)];
-        from_status(&status(&members, &counts), Version(2)).is_complete()
+        let summaries = [summary("aveiro-a", &versions)];
+        from_status(&status(&members, &summaries), Version(2)).is_complete()
     };
     assert!(!complete(serde_json::json!({ "1": 1, "2": 2 })));
     assert!(!complete(serde_json::json!({ "2": 1 })));
@@ -240,7 +266,7 @@
 /// An operator drains a VM that runs a payment of four seconds, and waits. When the command ends
 /// with 0, the payment has been answered whole, so stopping the backend server cuts nothing.
 #[tokio::test(flavor = "multi_thread")]
-async fn drain_of_a_node_ends_after_its_last_request() {
+async fn drain_waits_for_the_last_request_of_a_node() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     let entry = mesh.vms.iter().find(|vm| vm.service == "tablon");
     let entry = entry.expect("tablon is deployed").node().addresses.caller;
@@ -249,16 +275,16 @@
     let position = wait_running(&mesh, "cobros", "payment-1").await;
     let node = mesh.vms[position].node().addresses.operator.to_string();
     let output = command(&["drain", "--node", &node, "--wait"]).await;
-    assert_eq!(output.status.code(), Some(0), "{}", text(&output));
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     assert!(
-        text(&output).contains("1 requests in flight"),
+        output_text(&output).contains("1 requests in flight"),
         "{}",
-        text(&output)
+        output_text(&output)
     );
     assert!(
-        text(&output).contains("0 requests in flight"),
+        output_text(&output).contains("0 requests in flight"),
         "{}",
-        text(&output)
+        output_text(&output)
     );
     let reply = payment.await.expect("no panic").expect("the node answers");
     assert_eq!(reply.status, 200);
@@ -268,7 +294,7 @@
 /// version is accepted, but she is not told that it is in force everywhere (exit code 3). When the
 /// link is back the data centre takes the version without help, and `watch` ends with 0.
 #[tokio::test(flavor = "multi_thread")]
-async fn publication_past_a_cut_off_data_centre_is_not_called_done() {
+async fn publication_with_a_partitioned_data_centre_is_not_complete() {
     let mesh = start_chatarras(small(&["tablon"], 1)).await;
     mesh.network
         .set_cut(true, |from, to| (from == 2) != (to == 2));
@@ -280,34 +306,38 @@
     let example = std::fs::read_to_string(example).expect("the example exists");
     let changed = example.replace("queue_len = 40", "queue_len = 41");
     std::fs::write(&path, changed).expect("the file is written");
-    let at = ["--platform", &url, "--node", &node];
+    let target_flags = ["--platform", &url, "--node", &node];
     let publish = ["publish", "--operator", "ana", "--expect", "1", "--wait"];
     let limit = ["--wait-limit-ms", "1500", path.to_str().expect("UTF-8")];
-    let output = command(&[&publish[..], &at, &limit].concat()).await;
-    assert_eq!(output.status.code(), Some(3), "{}", text(&output));
+    let output = command(&[&publish[..], &target_flags, &limit].concat()).await;
+    assert_eq!(output.status.code(), Some(3), "{}", output_text(&output));
     assert!(
-        text(&output).contains("Published: version 2"),
+        output_text(&output).contains("Published: version 2"),
         "{}",
-        text(&output)
+        output_text(&output)
     );
     assert!(
-        text(&output).contains("version 2 stands"),
+        output_text(&output).contains("version 2 stands"),
         "{}",
-        text(&output)
+        output_text(&output)
     );
     mesh.network.set_cut(false, |_, _| true);
-    let output = command(&[&["watch"], &at[..]].concat()).await;
-    assert_eq!(output.status.code(), Some(0), "{}", text(&output));
+    let output = command(&[&["watch"], &target_flags[..]].concat()).await;
+    assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     assert_eq!(mesh.version_at(2).await, 2);
 }
 
 /// A team's file is published before any backend server of its services runs. An operator who asks
 /// a node is told which services cannot be reached, instead of hearing it from callers.
 #[tokio::test(flavor = "multi_thread")]
-async fn status_names_services_out_of_reach() {
+async fn status_lists_unreachable_services() {
     let mesh = start_chatarras(small(&["tablon"], 1)).await;
     let node = mesh.vms[0].node().addresses.operator.to_string();
     let output = command(&["status", "--node", &node]).await;
-    let lacking = "it reaches no endpoint of: bascula, cobros, hemeroteca";
-    assert!(text(&output).contains(lacking), "{}", text(&output));
+    let unreachable_services = "it reaches no endpoint of: bascula, cobros, hemeroteca";
+    assert!(
+        output_text(&output).contains(unreachable_services),
+        "{}",
+        output_text(&output)
+    );
 }
--- a/tests/testsuite/proofs.rs
+++ b/tests/testsuite/proofs.rs
@@ -10,7 +10,7 @@
 }
 
 /// What stands between backquotes.
-fn names(page: &str) -> Vec<&str> {
+fn backquoted_names(page: &str) -> Vec<&str> {
     page.split('`').skip(1).step_by(2).collect()
 }
 
@@ -23,8 +23,8 @@
 #[test]
 fn every_test_named_exists() {
     let page = read("docs/PROOFS.md");
-    let mut found = 0;
-    for name in names(&page) {
+    let mut checked = 0;
+    for name in backquoted_names(&page) {
         let Some((module, test)) = name.split_once("::") else {
             continue;
         };
@@ -33,21 +33,21 @@
         }
         let text = read(&format!("tests/testsuite/{module}.rs"));
         assert!(text.contains(&format!("fn {test}(")), "no test {name}");
-        found += 1;
+        checked += 1;
     }
-    assert!(found >= 30, "only {found} tests are named");
+    assert!(checked >= 30, "only {checked} tests are named");
 }
 
 #[test]
 fn every_mutation_named_exists() {
     let page = read("docs/PROOFS.md");
-    let model = ["spread/state.rs", "publish/state.rs", "request.rs"].map(|file| {
+    let model_sources = ["spread/state.rs", "publish/state.rs", "request.rs"].map(|file| {
         let path = format!("crates/model/src/{file}");
         read(&path)
     });
     let starts_upper = |name: &&str| name.starts_with(|c: char| c.is_ascii_uppercase());
     let is_word = |name: &&str| name.chars().all(|c| c.is_ascii_alphabetic());
-    let mutations: Vec<&str> = names(&page)
+    let mutations: Vec<&str> = backquoted_names(&page)
         .into_iter()
         .filter(starts_upper)
         .filter(is_word)
@@ -56,7 +56,7 @@
     assert!(mutations.len() >= 15, "only {mutations:?} are named");
     for mutation in mutations {
         let variant = format!("    {mutation},\n");
-        let exists = model.iter().any(|text| text.contains(&variant));
+        let exists = model_sources.iter().any(|text| text.contains(&variant));
         assert!(exists, "no mutation {mutation}");
     }
 }
--- a/tests/testsuite/publish_in_flight.rs
+++ b/tests/testsuite/publish_in_flight.rs
@@ -16,41 +16,47 @@
 
 /// A platform whose first transaction is held on the way until it is delivered, and whose reads
 /// and further transactions are refused so many times because of the rate ceiling.
-struct Slow {
+struct FaultyPlatform {
     inner: HttpStore,
-    held: Mutex<Option<Transaction>>,
-    hold: AtomicU32,
-    busy: AtomicU32,
+    held_transaction: Mutex<Option<Transaction>>,
+    transactions_to_hold: AtomicU32,
+    busy_answers: AtomicU32,
     /// So many reads and stored objects are answered with nothing.
-    lose: AtomicU32,
+    lost_answers: AtomicU32,
     /// So many times the held transaction arrives just before the head is read.
-    deliver_at_head: AtomicU32,
+    deliveries_before_head_read: AtomicU32,
     /// Somebody else's publication that is accepted while a transaction is held.
-    overtaking: Option<PublishOptions>,
+    competing_publication: Option<PublishOptions>,
 }
 
-impl Slow {
+impl FaultyPlatform {
     fn new(platform: &testkit::platform::Platform) -> Self {
         Self {
             inner: HttpStore::new(&platform.url(), None),
-            held: Mutex::new(None),
-            hold: AtomicU32::new(0),
-            busy: AtomicU32::new(0),
-            lose: AtomicU32::new(0),
-            deliver_at_head: AtomicU32::new(0),
-            overtaking: None,
+            held_transaction: Mutex::new(None),
+            transactions_to_hold: AtomicU32::new(0),
+            busy_answers: AtomicU32::new(0),
+            lost_answers: AtomicU32::new(0),
+            deliveries_before_head_read: AtomicU32::new(0),
+            competing_publication: None,
         }
     }
 
-    async fn deliver(&self) -> Outcome {
-        let held = self.held.lock().map(|held| held.clone());
-        let transaction = held.ok().flatten().expect("a transaction was held");
+    async fn deliver_held(&self) -> Outcome {
+        let held_transaction = self
+            .held_transaction
+            .lock()
+            .map(|held_transaction| held_transaction.clone());
+        let transaction = held_transaction
+            .ok()
+            .flatten()
+            .expect("a transaction was held");
         let delivered = self.inner.transact(&transaction).await;
         delivered.expect("the platform works")
     }
 
-    fn lose(&self) -> Result<()> {
-        match take(&self.lose) {
+    fn fail_if_answer_lost(&self) -> Result<()> {
+        match decrement(&self.lost_answers) {
             true => Err(store::Error::OutcomeUnknown {
                 reason: "the connection was closed".to_owned(),
             }),
@@ -58,8 +64,8 @@
         }
     }
 
-    fn busy(&self) -> Result<()> {
-        match take(&self.busy) {
+    fn fail_if_busy(&self) -> Result<()> {
+        match decrement(&self.busy_answers) {
             true => Err(store::Error::Busy),
             false => Ok(()),
         }
@@ -67,21 +73,23 @@
 }
 
 /// Takes one off a counter that is not at zero yet.
-fn take(counter: &AtomicU32) -> bool {
-    let taken = counter.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
-        left.checked_sub(1)
+fn decrement(counter: &AtomicU32) -> bool {
+    let updated = counter.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |remaining| {
+        remaining.checked_sub(1)
     });
-    taken.is_ok()
+    updated.is_ok()
 }
 
-impl Table for Slow {
+impl Table for FaultyPlatform {
     async fn transact(&self, transaction: &Transaction) -> Result<Outcome> {
-        self.busy()?;
-        if take(&self.hold) {
-            *self.held.lock().expect("no test panics while it holds it") =
-                Some(transaction.clone());
-            if let Some(other) = &self.overtaking {
-                let published = publish(&self.inner, other).await;
+        self.fail_if_busy()?;
+        if decrement(&self.transactions_to_hold) {
+            *self
+                .held_transaction
+                .lock()
+                .expect("no test panics while it holds it") = Some(transaction.clone());
+            if let Some(competing) = &self.competing_publication {
+                let published = publish(&self.inner, competing).await;
                 published.expect("nobody else publishes");
             }
             return Err(store::Error::OutcomeUnknown {
@@ -92,10 +100,10 @@
     }
 
     async fn row(&self, key: &str) -> Result<Option<Row>> {
-        self.busy()?;
-        self.lose()?;
-        if key == HEAD_KEY && take(&self.deliver_at_head) {
-            self.deliver().await;
+        self.fail_if_busy()?;
+        self.fail_if_answer_lost()?;
+        if key == HEAD_KEY && decrement(&self.deliveries_before_head_read) {
+            self.deliver_held().await;
         }
         self.inner.row(key).await
     }
@@ -105,9 +113,9 @@
     }
 }
 
-impl ObjectStore for Slow {
+impl ObjectStore for FaultyPlatform {
     async fn put_object(&self, digest: &Digest, bytes: &[u8]) -> Result<()> {
-        self.lose()?;
+        self.fail_if_answer_lost()?;
         self.inner.put_object(digest, bytes).await
     }
 
@@ -116,11 +124,11 @@
     }
 }
 
-async fn start() -> (testkit::platform::Platform, Slow) {
+async fn start() -> (testkit::platform::Platform, FaultyPlatform) {
     let started = testkit::platform::Platform::start(([127, 0, 0, 1], 0).into()).await;
     let stand_in = started.expect("a port is free");
-    let slow = Slow::new(&stand_in);
-    (stand_in, slow)
+    let platform = FaultyPlatform::new(&stand_in);
+    (stand_in, platform)
 }
 
 fn options(publish_id: &str, settle_limit_ms: u64) -> PublishOptions {
@@ -146,53 +154,59 @@
 /// good. Only then does the commit arrive: it must not take effect behind her back, so it has to
 /// fail on the id that the stop has occupied; the head has not moved and would let it through.
 #[tokio::test]
-async fn commit_that_arrives_after_the_stop_fails() {
-    let (_stand_in, slow) = start().await;
-    slow.hold.store(u32::MAX, Ordering::SeqCst);
-    let published = publish(&slow, &options("night", 0)).await;
+async fn commit_arriving_after_abandonment_fails() {
+    let (_stand_in, platform) = start().await;
+    platform
+        .transactions_to_hold
+        .store(u32::MAX, Ordering::SeqCst);
+    let published = publish(&platform, &options("night", 0)).await;
     assert!(
         matches!(published, Err(Error::OutcomeUnknown { .. })),
         "{published:?}"
     );
-    slow.hold.store(0, Ordering::SeqCst);
-    let settled = abandon(&slow, "night", "ana", 0).await;
+    platform.transactions_to_hold.store(0, Ordering::SeqCst);
+    let settled = abandon(&platform, "night", "ana", 0).await;
     assert_eq!(settled.expect("the platform works"), None);
-    assert_eq!(slow.deliver().await, Outcome::ConditionFailed);
-    assert_eq!(head(&slow).await, Version::NONE);
+    assert_eq!(platform.deliver_held().await, Outcome::ConditionFailed);
+    assert_eq!(head(&platform).await, Version::NONE);
 }
 
 /// The commit hangs on the way, and the same command sends it again and succeeds. The first one
 /// arrives later, when a version stands: it fails, and no second version appears.
 #[tokio::test]
-async fn commit_that_arrives_after_its_repetition_fails() {
-    let (_stand_in, slow) = start().await;
-    slow.hold.store(1, Ordering::SeqCst);
-    let published = publish(&slow, &options("night", 60_000)).await;
+async fn commit_arriving_after_its_retry_fails() {
+    let (_stand_in, platform) = start().await;
+    platform.transactions_to_hold.store(1, Ordering::SeqCst);
+    let published = publish(&platform, &options("night", 60_000)).await;
     let published = published.expect("the repetition is committed");
     assert_eq!(published.stamp.version, Version(1));
-    assert_eq!(slow.deliver().await, Outcome::ConditionFailed);
-    assert_eq!(head(&slow).await, Version(1));
+    assert_eq!(platform.deliver_held().await, Outcome::ConditionFailed);
+    assert_eq!(head(&platform).await, Version(1));
 }
 
 /// The commit hangs on the way, and the operator resumes the publication. The first commit arrives
 /// just after the resumed run has looked the id up and before it reads the head. It must find its
 /// own version there, and not tell the operator that somebody else published the same team.
 #[tokio::test]
-async fn commit_that_arrives_during_the_resume_is_found() {
-    let (_stand_in, slow) = start().await;
-    slow.hold.store(u32::MAX, Ordering::SeqCst);
-    let published = publish(&slow, &options("night", 0)).await;
+async fn commit_arriving_during_resume_is_found() {
+    let (_stand_in, platform) = start().await;
+    platform
+        .transactions_to_hold
+        .store(u32::MAX, Ordering::SeqCst);
+    let published = publish(&platform, &options("night", 0)).await;
     assert!(
         matches!(published, Err(Error::OutcomeUnknown { .. })),
         "{published:?}"
     );
-    slow.hold.store(0, Ordering::SeqCst);
-    slow.deliver_at_head.store(1, Ordering::SeqCst);
+    platform.transactions_to_hold.store(0, Ordering::SeqCst);
+    platform
+        .deliveries_before_head_read
+        .store(1, Ordering::SeqCst);
     let resumed = PublishOptions {
         expected: Some(Version::NONE),
         ..options("night", 0)
     };
-    let published = publish(&slow, &resumed).await;
+    let published = publish(&platform, &resumed).await;
     let published = published.expect("its own commit is found");
     assert_eq!(published.stamp.version, Version(1));
     assert!(published.already_published);
@@ -202,35 +216,37 @@
 /// Ana's lost commit can't take effect any more, since the head has moved. So she gets the plain
 /// refusal with the difference, at once, and not "unknown" after a wait.
 #[tokio::test]
-async fn lost_commit_that_was_overtaken_is_a_plain_refusal() {
-    let (_stand_in, mut slow) = start().await;
-    let mut of_bea = options("bea", 60_000);
-    for service in of_bea.records[0].services.values_mut() {
+async fn lost_commit_superseded_by_another_is_refused_as_conflict() {
+    let (_stand_in, mut platform) = start().await;
+    let mut options_of_bea = options("bea", 60_000);
+    for service in options_of_bea.records[0].services.values_mut() {
         service.queue_len += 1;
     }
-    slow.overtaking = Some(of_bea);
-    slow.hold.store(1, Ordering::SeqCst);
-    let published = publish(&slow, &options("ana", 200)).await;
+    platform.competing_publication = Some(options_of_bea);
+    platform.transactions_to_hold.store(1, Ordering::SeqCst);
+    let published = publish(&platform, &options("ana", 200)).await;
     assert!(
         matches!(published, Err(Error::Conflict { .. })),
         "{published:?}"
     );
-    assert_eq!(slow.deliver().await, Outcome::ConditionFailed);
+    assert_eq!(platform.deliver_held().await, Outcome::ConditionFailed);
 }
 
 /// The commit hangs on the way, and the operator resumes it, by mistake with a file that is refused.
 /// She is told that nothing was changed. The commit arrives only then, and must not prove that
 /// wrong: a refused resume settles the id before it says so.
 #[tokio::test]
-async fn commit_that_arrives_after_a_refused_resume_fails() {
-    let (_stand_in, slow) = start().await;
-    slow.hold.store(u32::MAX, Ordering::SeqCst);
-    let published = publish(&slow, &options("night", 0)).await;
+async fn commit_arriving_after_a_refused_resume_fails() {
+    let (_stand_in, platform) = start().await;
+    platform
+        .transactions_to_hold
+        .store(u32::MAX, Ordering::SeqCst);
+    let published = publish(&platform, &options("night", 0)).await;
     assert!(
         matches!(published, Err(Error::OutcomeUnknown { .. })),
         "{published:?}"
     );
-    slow.hold.store(0, Ordering::SeqCst);
+    platform.transactions_to_hold.store(0, Ordering::SeqCst);
     let mut resumed = PublishOptions {
         expected: Some(Version::NONE),
         resumed: true,
@@ -240,22 +256,22 @@
     resumed.records[0]
         .calls
         .insert(nobody, [ResourceName::new("nothing")].into());
-    let published = publish(&slow, &resumed).await;
+    let published = publish(&platform, &resumed).await;
     assert!(
         matches!(published, Err(Error::Invalid { .. })),
         "{published:?}"
     );
-    assert_eq!(slow.deliver().await, Outcome::ConditionFailed);
-    assert_eq!(head(&slow).await, Version::NONE);
+    assert_eq!(platform.deliver_held().await, Outcome::ConditionFailed);
+    assert_eq!(head(&platform).await, Version::NONE);
 }
 
 /// A herd of restarting nodes holds the platform at its rate ceiling just when an operator
 /// publishes. A refusal by the ceiling is waited out; without that, the command fails by chance.
 #[tokio::test]
-async fn rate_ceiling_is_waited_out() {
-    let (_stand_in, slow) = start().await;
-    slow.busy.store(2, Ordering::SeqCst);
-    let published = publish(&Patient(slow), &options("busy", 60_000)).await;
+async fn publication_retries_while_rate_limited() {
+    let (_stand_in, platform) = start().await;
+    platform.busy_answers.store(2, Ordering::SeqCst);
+    let published = publish(&Patient(platform), &options("busy", 60_000)).await;
     let published = published.expect("the ceiling is waited out");
     assert_eq!(published.stamp.version, Version(1));
 }
@@ -263,10 +279,10 @@
 /// The platform closes a connection that was idle just when the command reads the head over it. The
 /// read is asked again; without that the operator is refused because of one closed connection.
 #[tokio::test]
-async fn lost_answer_to_a_read_is_asked_for_again() {
-    let (_stand_in, slow) = start().await;
-    slow.lose.store(1, Ordering::SeqCst);
-    let published = publish(&Patient(slow), &options("read", 60_000)).await;
+async fn read_is_retried_after_a_lost_answer() {
+    let (_stand_in, platform) = start().await;
+    platform.lost_answers.store(1, Ordering::SeqCst);
+    let published = publish(&Patient(platform), &options("read", 60_000)).await;
     let published = published.expect("the read is repeated");
     assert_eq!(published.stamp.version, Version(1));
 }
--- a/tests/testsuite/sources.rs
+++ b/tests/testsuite/sources.rs
@@ -6,13 +6,13 @@
 use crate::support::repository_file;
 
 /// All source files below a folder.
-fn sources(folder: &Path) -> Vec<PathBuf> {
+fn rust_files(folder: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(folder).expect("the folder is there");
     let mut found = Vec::new();
     for entry in entries {
         let path = entry.expect("it can be listed").path();
         if path.is_dir() {
-            found.extend(sources(&path));
+            found.extend(rust_files(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             found.push(path);
         }
@@ -21,9 +21,9 @@
 }
 
 /// Lines of the product's sources that hold one of `words`, with their places.
-fn lines_with(folder: &str, words: &[&str]) -> Vec<String> {
+fn lines_containing(folder: &str, words: &[&str]) -> Vec<String> {
     let mut found = Vec::new();
-    for path in sources(&repository_file(folder)) {
+    for path in rust_files(&repository_file(folder)) {
         let text = fs::read_to_string(&path).expect("sources are text");
         for (number, line) in text.lines().enumerate() {
             if words.iter().any(|word| line.contains(word)) {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn comments_have_no_set_phrases() {
+fn comments_have_no_boilerplate_phrases() {
     let phrases = [
         "Load made for",
         "Harm prevented",
@@ -43,24 +43,27 @@
         "Reason for the",
         "The guard holds",
     ];
-    assert_eq!(lines_with("src", &phrases), Vec::<String>::new());
+    assert_eq!(lines_containing("src", &phrases), Vec::<String>::new());
 }
 
 /// Guards against a request path that knows the actors which write what it reads.
 #[test]
-fn the_request_path_knows_no_actor() {
-    let of_node = lines_with("src/proxy", &["crate::node::"]);
-    let others: Vec<&String> = of_node
+fn request_path_does_not_depend_on_actors() {
+    let uses_of_node = lines_containing("src/proxy", &["crate::node::"]);
+    let uses_beyond_settings: Vec<&String> = uses_of_node
         .iter()
         .filter(|line| !line.contains("crate::node::settings::"))
         .collect();
-    assert_eq!(others, Vec::<&String>::new());
-    let of_actors = ["ConfigurationMsg", "MembershipMsg", "NodeState"];
-    assert_eq!(lines_with("src/proxy", &of_actors), Vec::<String>::new());
+    assert_eq!(uses_beyond_settings, Vec::<&String>::new());
+    let actor_types = ["ConfigurationMsg", "MembershipMsg", "NodeState"];
+    assert_eq!(
+        lines_containing("src/proxy", &actor_types),
+        Vec::<String>::new()
+    );
 }
 
 #[test]
-fn the_platforms_names_stay_in_their_folder() {
+fn platform_names_stay_in_platform_module() {
     let names = [
         "x-dfw-",
         "rows-tx",
@@ -76,7 +79,7 @@
         "src/membership",
         "src/node",
     ] {
-        assert_eq!(lines_with(folder, &names), Vec::<String>::new());
+        assert_eq!(lines_containing(folder, &names), Vec::<String>::new());
     }
-    assert_eq!(lines_with("src/proxy", &names), Vec::<String>::new());
+    assert_eq!(lines_containing("src/proxy", &names), Vec::<String>::new());
 }
