--- a/src/ops/command/publish.rs
+++ b/src/ops/command/publish.rs
@@ -5,9 +5,9 @@
 //! publication's id together. Until that transaction nothing has happened; after it everything
 //! has.
 //!
-//! - Another publication came first ([`Error::Raced`] or a rebase): see [`plan::ChangeSet::raced`].
+//! - Another publication came first ([`Error::Conflict`] or a rebase): see [`plan::ChangeSet::conflicting_teams`].
 //! - The transaction's answer was lost: the same transaction is tried again, which is safe since
-//!   both carry the same conditions, until [`plan::settled`] allows a definite answer or the time
+//!   both carry the same conditions, until [`plan::commit_state`] allows a definite answer or the time
 //!   for it is over ([`Error::OutcomeUnknown`]).
 //! - [`abandon`] settles an unknown outcome for good without publishing.
 
