--- a/src/core/mechanism.rs
+++ b/src/core/mechanism.rs
@@ -138,11 +138,11 @@
 
 /// The mechanisms that are switched off; none by default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DisabledMechanisms(u32);
+pub struct MechanismSwitches(u32);
 
-impl DisabledMechanisms {
+impl MechanismSwitches {
     /// This one alone.
-    pub fn only(mechanism: Mechanism) -> Self {
+    pub fn disabling(mechanism: Mechanism) -> Self {
         Self(mechanism.bit())
     }
 
@@ -152,26 +152,26 @@
     }
 
     /// Whether nothing is switched off.
-    pub fn is_empty(self) -> bool {
+    pub fn all_enabled(self) -> bool {
         self.0 == 0
     }
 }
 
-impl FromStr for DisabledMechanisms {
+impl FromStr for MechanismSwitches {
     type Err = UnknownMechanism;
 
     /// Names with commas between them.
     fn from_str(names: &str) -> Result<Self> {
         let names = names.split(',').map(str::trim);
-        let mut disabled = Self::default();
+        let mut switches = Self::default();
         for name in names.filter(|name| !name.is_empty()) {
-            disabled.0 |= name.parse::<Mechanism>()?.bit();
+            switches.0 |= name.parse::<Mechanism>()?.bit();
         }
-        Ok(disabled)
+        Ok(switches)
     }
 }
 
-impl fmt::Display for DisabledMechanisms {
+impl fmt::Display for MechanismSwitches {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let disabled = Mechanism::ALL.into_iter();
         let disabled = disabled.filter(|mechanism| !self.is_enabled(*mechanism));
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -16,7 +16,7 @@
 use super::held::HeldTimes;
 use super::placement::LoadReport;
 use crate::core::configuration::{Class, PRIORITY_DEFAULT};
-use crate::core::mechanism::{DisabledMechanisms, Mechanism};
+use crate::core::mechanism::{Mechanism, MechanismSwitches};
 use crate::core::names::ResourceName;
 
 new_key_type! {
@@ -80,7 +80,7 @@
         }
     }
 
-    fn place(&self, without: DisabledMechanisms) -> Place {
+    fn place(&self, without: MechanismSwitches) -> Place {
         let urgency = match self.urgency {
             Urgency::Call if without.is_enabled(Mechanism::NestedCallsFirst) => Urgency::Call,
             Urgency::Caller { rank } if without.is_enabled(Mechanism::PriorityOrder) => {
@@ -163,7 +163,7 @@
 /// microseconds of any steady clock.
 #[derive(Debug)]
 pub struct Admission<W> {
-    without: DisabledMechanisms,
+    without: MechanismSwitches,
     limits: Limits,
     closed: bool,
     waiting: SlotMap<Ticket, Waiter<W>>,
@@ -207,13 +207,13 @@
 
 impl<W> Default for Admission<W> {
     fn default() -> Self {
-        Self::new(DisabledMechanisms::default())
+        Self::new(MechanismSwitches::default())
     }
 }
 
 impl<W> Admission<W> {
     /// No slots yet.
-    pub fn new(without: DisabledMechanisms) -> Self {
+    pub fn new(without: MechanismSwitches) -> Self {
         Self {
             without,
             limits: Limits::default(),
--- a/src/decide/patience.rs
+++ b/src/decide/patience.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::core::configuration::Treatment;
-use crate::core::mechanism::{DisabledMechanisms, Mechanism};
+use crate::core::mechanism::{Mechanism, MechanismSwitches};
 
 /// Part of its target latency that a request waits for a slot at most. With a longer queue every answer would be
 /// late and no more would be given.
@@ -11,7 +11,7 @@
 
 /// How long a caller's request of this treatment waits for a slot, where the team has said how soon it
 /// wants the answer; without that, as long as the deadline allows.
-pub fn of_caller(treatment: &Treatment, without: DisabledMechanisms) -> Duration {
+pub fn of_caller(treatment: &Treatment, without: MechanismSwitches) -> Duration {
     let target_ms = treatment.target_latency_ms;
     match target_ms.filter(|_| without.is_enabled(Mechanism::QueueWaitLimit)) {
         None => whole(treatment),
--- a/src/decide/placement.rs
+++ b/src/decide/placement.rs
@@ -14,7 +14,7 @@
 use self::observation::{EJECTED_MOST_US, Seen};
 use super::intake::SMALL_BYTES;
 use crate::core::configuration::Spill;
-use crate::core::mechanism::{DisabledMechanisms, Mechanism};
+use crate::core::mechanism::{Mechanism, MechanismSwitches};
 use crate::core::member::{Distance, Member, NodeId, Place};
 use crate::core::names::ResourceName;
 
@@ -135,7 +135,7 @@
 /// What one entry has seen of endpoints. Times are microseconds of any steady clock.
 #[derive(Debug, Default)]
 pub struct Balancer {
-    without: DisabledMechanisms,
+    without: MechanismSwitches,
     seen: HashMap<NodeId, Seen>,
     /// Mean length of answers, by resource.
     answers_bytes: HashMap<ResourceName, f64>,
@@ -143,7 +143,7 @@
 
 impl Balancer {
     /// Nothing seen yet.
-    pub fn new(without: DisabledMechanisms) -> Self {
+    pub fn new(without: MechanismSwitches) -> Self {
         Self {
             without,
             ..Self::default()
--- a/src/decide/placement/cost.rs
+++ b/src/decide/placement/cost.rs
@@ -2,7 +2,7 @@
 //!
 //! Costs are compared with each other and mean little alone: 1 is a request that is not answered.
 
-use crate::core::mechanism::{DisabledMechanisms, Mechanism};
+use crate::core::mechanism::{Mechanism, MechanismSwitches};
 use crate::core::member::Distance;
 
 /// A late answer is worth about a third of one in time to the users, who weigh it so themselves.
@@ -72,7 +72,7 @@
 ///
 /// How long work takes scatters like an exponential, so the part that comes too late is taken from one with
 /// the endpoint's mean. The nearest endpoint does not go first by itself: a fast one elsewhere may answer sooner.
-pub(super) fn of(choice: &Choice, limits: Limits, without: DisabledMechanisms) -> f64 {
+pub(super) fn of(choice: &Choice, limits: Limits, without: MechanismSwitches) -> f64 {
     let slots = choice.slots.max(1.0);
     let queued = (choice.in_hand + 1.0 - slots).max(0.0);
     let waited = queued / slots;
--- a/src/decide/placement/search.rs
+++ b/src/decide/placement/search.rs
@@ -1,6 +1,6 @@
 //! How a request finds a free slot among endpoints whose load its entry hardly knows.
 
-use crate::core::mechanism::{DisabledMechanisms, Mechanism};
+use crate::core::mechanism::{Mechanism, MechanismSwitches};
 use crate::core::member::NodeId;
 
 /// Endpoints that a request asks for a slot that is free at once, before it waits at one.
@@ -12,13 +12,13 @@
 /// has a slot, so whoever has looked at some of them waits where the queue is known to be short.
 #[derive(Clone, Debug, Default)]
 pub struct Search {
-    without: DisabledMechanisms,
+    without: MechanismSwitches,
     busy: Vec<NodeId>,
 }
 
 impl Search {
     /// None looked at yet.
-    pub fn new(without: DisabledMechanisms) -> Self {
+    pub fn new(without: MechanismSwitches) -> Self {
         Self {
             without,
             busy: Vec::new(),
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 use crate::core::configuration::Treatment;
-use crate::core::mechanism::{DisabledMechanisms, Mechanism};
+use crate::core::mechanism::{Mechanism, MechanismSwitches};
 use crate::core::names::ServiceName;
 use crate::core::verdict::Verdict;
 
@@ -163,7 +163,7 @@
     }
 
     /// The same with some mechanisms switched off.
-    pub fn without(self, without: DisabledMechanisms) -> Self {
+    pub fn without(self, without: MechanismSwitches) -> Self {
         Self {
             reserve: match without.is_enabled(Mechanism::RetryBurst) {
                 true => self.reserve,
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -146,7 +146,7 @@
         stops.all.clone(),
     ));
     let without = node.proxy.without();
-    if !without.is_empty() {
+    if !without.all_enabled() {
         log::warn!(without:%; "mechanisms are switched off");
     }
     log::info!(
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -19,7 +19,7 @@
 use self::specs::default_of;
 pub use self::specs::{SPECS, Spec};
 use crate::core::dialect::Dialect;
-use crate::core::mechanism::DisabledMechanisms;
+use crate::core::mechanism::MechanismSwitches;
 use crate::core::member::Place;
 use crate::core::names::{DataCentreName, RegionName, ServiceName, is_name};
 use crate::core::token::MeshToken;
@@ -135,7 +135,7 @@
     pub link_kbit_per_s: Option<u32>,
     /// Mechanisms that are switched off.
     #[builder(default)]
-    pub without: DisabledMechanisms,
+    pub without: MechanismSwitches,
     /// How log lines are written.
     #[builder(default = default_of("log-format"))]
     pub log_format: LogFormat,
--- a/src/proxy/backend.rs
+++ b/src/proxy/backend.rs
@@ -17,7 +17,7 @@
 
 use super::answer::{Failure, Reason};
 use super::body::{self, Body, BoxError, Guarded};
-use crate::core::mechanism::{DisabledMechanisms, Mechanism};
+use crate::core::mechanism::{Mechanism, MechanismSwitches};
 use crate::util::dial::dial;
 
 #[cfg(test)]
@@ -57,7 +57,7 @@
     most: Arc<AtomicU32>,
     /// Told when a connection has been closed.
     closed: Arc<Notify>,
-    without: DisabledMechanisms,
+    without: MechanismSwitches,
 }
 
 /// Counts one open connection until it is closed.
@@ -75,7 +75,7 @@
 
 impl BackendPool {
     /// No connections yet.
-    pub(crate) fn new(without: DisabledMechanisms) -> Self {
+    pub(crate) fn new(without: MechanismSwitches) -> Self {
         Self {
             without,
             ..Self::default()
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -22,7 +22,7 @@
 use super::slots::{self, Wake};
 use super::view::View;
 use super::vocabulary::Vocabulary;
-use crate::core::mechanism::DisabledMechanisms;
+use crate::core::mechanism::MechanismSwitches;
 use crate::core::member::NodeId;
 use crate::core::names::ServiceName;
 use crate::decide::admission::{Admission, Limits};
@@ -144,7 +144,7 @@
     }
 
     /// Mechanisms that are switched off.
-    pub(crate) fn without(&self) -> DisabledMechanisms {
+    pub(crate) fn without(&self) -> MechanismSwitches {
         self.settings.without
     }
 
--- a/tests/testsuite/mechanisms.rs
+++ b/tests/testsuite/mechanisms.rs
@@ -1,7 +1,7 @@
 //! Mechanisms that an operator switches off: their names, and that each decision goes without.
 
 use dragonflywall::core::configuration::Class;
-use dragonflywall::core::mechanism::{DisabledMechanisms, Mechanism};
+use dragonflywall::core::mechanism::{Mechanism, MechanismSwitches};
 use dragonflywall::core::names::ServiceName;
 use dragonflywall::decide::admission::{Admission, Admitted, Ask, Limits, Urgency};
 use dragonflywall::decide::placement::Search;
@@ -15,7 +15,7 @@
 const LATE_US: u64 = u64::MAX / 4;
 
 /// The order in which four requests that wait for one slot get it: (rank, due) of each, in order of arrival.
-fn order(without: DisabledMechanisms, waiting: [(Urgency, u64); 4]) -> Vec<usize> {
+fn order(without: MechanismSwitches, waiting: [(Urgency, u64); 4]) -> Vec<usize> {
     let mut admission: Admission<usize> = Admission::new(without);
     admission.set_limits(Limits {
         slots: 1,
@@ -48,7 +48,7 @@
         (rank(1), 10),
         (Urgency::Call, 40),
     ];
-    assert_eq!(order(DisabledMechanisms::default(), waiting), [3, 2, 1, 0]);
+    assert_eq!(order(MechanismSwitches::default(), waiting), [3, 2, 1, 0]);
     let without = |names: &str| names.parse().expect("they are known");
     assert_eq!(order(without("due-order"), waiting), [3, 1, 2, 0]);
     assert_eq!(order(without("calls-first"), waiting), [2, 1, 3, 0]);
@@ -75,9 +75,9 @@
             .filter(|_| admission.admit(2, &bulk, || ()) == Admitted::Slot)
             .count()
     };
-    assert_eq!(bulk_slots(DisabledMechanisms::default()), 6);
+    assert_eq!(bulk_slots(MechanismSwitches::default()), 6);
     assert_eq!(
-        bulk_slots(DisabledMechanisms::only(Mechanism::BulkReserve)),
+        bulk_slots(MechanismSwitches::disabling(Mechanism::BulkReserve)),
         8
     );
 }
@@ -85,8 +85,10 @@
 #[test]
 fn a_request_waits_at_its_first_endpoint_without_looks() {
     let waits = |without| Search::new(without).waits_at(node(1));
-    assert!(!waits(DisabledMechanisms::default()));
-    assert!(waits(DisabledMechanisms::only(Mechanism::FreeSlotProbes)));
+    assert!(!waits(MechanismSwitches::default()));
+    assert!(waits(MechanismSwitches::disabling(
+        Mechanism::FreeSlotProbes
+    )));
 }
 
 #[test]
@@ -98,10 +100,13 @@
         let again = |_: &i32| Attempts::new(&treatment(true), 8).again(Failed::NotRun, of_service);
         (0..100).filter(again).count()
     };
-    assert_eq!(retries(DisabledMechanisms::default()), 10);
-    assert_eq!(retries(DisabledMechanisms::only(Mechanism::RetryBurst)), 1);
+    assert_eq!(retries(MechanismSwitches::default()), 10);
     assert_eq!(
-        retries(DisabledMechanisms::only(Mechanism::RetryBudget)),
+        retries(MechanismSwitches::disabling(Mechanism::RetryBurst)),
+        1
+    );
+    assert_eq!(
+        retries(MechanismSwitches::disabling(Mechanism::RetryBudget)),
         100
     );
 }
