--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -146,7 +146,7 @@
         shutdown.all.clone(),
     ));
     let disabled_mechanisms = node.proxy.without();
-    if !disabled_mechanisms.is_empty() {
+    if !disabled_mechanisms.all_enabled() {
         log::warn!(disabled_mechanisms:%; "mechanisms are switched off");
     }
     log::info!(
@@ -174,14 +174,14 @@
 fn node_store(settings: &Settings) -> NodeStore {
     let url = &settings.platform_url;
     match settings.dialect {
-        Dialect::Own => NodeStore::Own(HttpStore::new(url, settings.dial_from)),
+        Dialect::Native => NodeStore::Own(HttpStore::new(url, settings.dial_from)),
         Dialect::Platform => NodeStore::Platform(Client::new(url, settings.dial_from)),
     }
 }
 
 fn configuration_origin(settings: &Settings) -> ConfigurationOrigin {
     match settings.dialect {
-        Dialect::Own => {
+        Dialect::Native => {
             let store = HttpStore::new(&settings.platform_url, settings.dial_from);
             ConfigurationOrigin::Published(store)
         }
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -19,7 +19,7 @@
 use self::specs::default_value;
 pub use self::specs::{SPECS, Spec};
 use crate::core::dialect::Dialect;
-use crate::core::mechanism::Without;
+use crate::core::mechanism::MechanismSwitches;
 use crate::core::member::Place;
 use crate::core::names::{DataCentreName, RegionName, ServiceName, is_name};
 use crate::core::token::MeshToken;
@@ -135,7 +135,7 @@
     pub link_kbit_per_s: Option<u32>,
     /// Mechanisms that are switched off.
     #[builder(default)]
-    pub disabled_mechanisms: Without,
+    pub disabled_mechanisms: MechanismSwitches,
     /// How log lines are written.
     #[builder(default = default_value("log-format"))]
     pub log_format: LogFormat,
@@ -320,7 +320,7 @@
         }
         let checked = "no problems were found";
         Ok(Settings {
-            dialect: Dialect::Own,
+            dialect: Dialect::Native,
             ready_listen: None,
             announce_listen: None,
             backend_server_announces: false,
