--- a/src/node/changes.rs
+++ b/src/node/changes.rs
@@ -3,13 +3,17 @@
 use std::collections::HashMap;
 
 use crate::core::member::{Liveness, Member, NodeId};
-use crate::proxy::decisions::{Decisions, Weight};
-use crate::proxy::view::View;
+use crate::proxy::log_limiter::{LogClass, LogLimiter};
+use crate::proxy::view::MembershipView;
 
 /// Logs each member whose liveness is not what it was, with the state of its backend server.
 /// Suspicions come and go with every pause of a VM, and all members are new to a node that starts:
 /// both are routine. A death or a return is not.
-pub(crate) fn log_liveness(decisions: &Decisions, before: &View, after: &View) {
+pub(crate) fn log_liveness(
+    decisions: &LogLimiter,
+    before: &MembershipView,
+    after: &MembershipView,
+) {
     let known: HashMap<NodeId, Liveness> = before
         .members
         .iter()
@@ -18,12 +22,14 @@
     for member in &after.members {
         let (weight, what) = match (known.get(&member.node), member.liveness) {
             (Some(before), now) if *before == now => continue,
-            (None, _) => (Weight::Routine, "member joined"),
-            (Some(_), Liveness::Suspect) => (Weight::Routine, "member is suspect"),
-            (Some(Liveness::Suspect), Liveness::Alive) => (Weight::Routine, "member answers again"),
-            (Some(_), Liveness::Alive) => (Weight::Notable, "member is back"),
-            (Some(_), Liveness::Dead) => (Weight::Notable, "member is dead"),
-            (Some(_), Liveness::Left) => (Weight::Notable, "member left"),
+            (None, _) => (LogClass::Routine, "member joined"),
+            (Some(_), Liveness::Suspect) => (LogClass::Routine, "member is suspect"),
+            (Some(Liveness::Suspect), Liveness::Alive) => {
+                (LogClass::Routine, "member answers again")
+            }
+            (Some(_), Liveness::Alive) => (LogClass::Notable, "member is back"),
+            (Some(_), Liveness::Dead) => (LogClass::Notable, "member is dead"),
+            (Some(_), Liveness::Left) => (LogClass::Notable, "member left"),
         };
         if decisions.may_log(weight) {
             note(member, what);
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -129,8 +129,8 @@
 
 fn fetcher(node: &NodeState, origin: &Origin) -> Fetcher {
     match origin {
-        Origin::Published(_) => Fetcher::new(node.proxy.me),
-        Origin::Written(_) => Fetcher::followed(node.proxy.me, node.budget().hold_ms()),
+        Origin::Published(_) => Fetcher::new(node.proxy.local_id),
+        Origin::Written(_) => Fetcher::followed(node.proxy.local_id, node.budget().hold_ms()),
     }
 }
 
@@ -301,7 +301,7 @@
                 learning::measure(age_ms, self.longest_age_ms);
             }
             self.node.proxy.enforced.store(Some(applied));
-            self.node.proxy.refresh_slots();
+            self.node.proxy.update_slot_limits();
             self.tell(MembershipMsg::SetEnforced(stamp.version));
         }
     }
--- a/src/node/configuration/peers.rs
+++ b/src/node/configuration/peers.rs
@@ -33,7 +33,7 @@
             let Some(mut client) = self.node.control.client(peer.address) else {
                 continue;
             };
-            let me = self.node.proxy.me;
+            let me = self.node.proxy.local_id;
             let myself = myself.clone();
             tokio::spawn(async move {
                 if let Ok((reported, enforced)) = client.floor(me).await {
--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -98,7 +98,7 @@
     }
 
     fn next(&mut self) -> Ask {
-        let now_ms = self.node.proxy.age_ms();
+        let now_ms = self.node.proxy.uptime_ms();
         self.choice.set_leads(self.leads());
         self.choice.note_held(now_ms, *self.node.held.borrow());
         self.choice.next(now_ms, self.node.budget())
@@ -119,7 +119,9 @@
     async fn ask_lead(&mut self, lead: Peer, wait: Duration, answer: Duration) {
         let have = *self.node.held.borrow();
         let Some(mut client) = self.node.control.client(lead.address) else {
-            return self.choice.lead_silent(self.node.proxy.age_ms(), lead.node);
+            return self
+                .choice
+                .lead_silent(self.node.proxy.uptime_ms(), lead.node);
         };
         let began = Instant::now();
         let mut leads = self.node.leads.subscribe();
@@ -134,13 +136,15 @@
             Err(error) => {
                 log::info!(lead:% = lead.node, error:%, took_ms; "the lead gives no answer");
                 self.node.control.forget(lead.address);
-                return self.choice.lead_silent(self.node.proxy.age_ms(), lead.node);
+                return self
+                    .choice
+                    .lead_silent(self.node.proxy.uptime_ms(), lead.node);
             }
         };
         let offered = newer.offer.as_ref();
         let len_bytes = offered.map_or(0, |offer| offer.content.len_bytes());
         log_late("lead", took_ms, wait, len_bytes);
-        let (now_ms, budget) = (self.node.proxy.age_ms(), self.node.budget());
+        let (now_ms, budget) = (self.node.proxy.uptime_ms(), self.node.budget());
         let state = newer.state;
         if !self.choice.lead_answered(now_ms, lead.node, state, budget) {
             log::info!(
@@ -148,7 +152,7 @@
                 "the lead hears nothing of the store"
             );
         }
-        self.node.proxy.store_was_read(state.store_age_ms);
+        self.node.proxy.record_store_read(state.store_age_ms);
         if let Some(offer) = newer.offer {
             self.tell(ConfigurationMsg::FromLead { offer, have });
         }
@@ -165,7 +169,9 @@
         let (wait, read) = match recent {
             None => (Duration::ZERO, self.feed.newest(answer).await),
             Some((position, _)) => {
-                let wait_ms = self.choice.store_wait_ms(self.node.proxy.age_ms(), budget);
+                let wait_ms = self
+                    .choice
+                    .store_wait_ms(self.node.proxy.uptime_ms(), budget);
                 let wait = Duration::from_millis(wait_ms);
                 (wait, self.feed.after(position, wait, answer).await)
             }
@@ -187,7 +193,7 @@
     fn store_told(&mut self, told: Told, unwatched_ms: u64) {
         self.choice.store_answered();
         self.position = Some((told.position, Instant::now()));
-        self.node.proxy.store_was_read(0);
+        self.node.proxy.record_store_read(0);
         self.tell(ConfigurationMsg::Written {
             configuration: told.configuration.map(Box::new),
             unwatched_ms,
--- a/src/node/listeners/operators.rs
+++ b/src/node/listeners/operators.rs
@@ -10,7 +10,7 @@
 
 use crate::node::operator::Operator;
 use crate::proxy::body;
-use crate::proxy::listener::{Builder, may_speak, serve_all, unauthorized};
+use crate::proxy::listener::{Builder, has_valid_token, serve_listener, unauthorized};
 
 /// Answers operators and the backend server of the VM.
 pub(crate) async fn serve(listener: TcpListener, operator: Arc<Operator>, stop: CancellationToken) {
@@ -19,7 +19,7 @@
         async move {
             // Whoever restarts VMs asks for readiness and holds no secret of the mesh.
             let is_open = request.uri().path() == "/ready";
-            if !is_open && !may_speak(&operator.node.proxy, &request) {
+            if !is_open && !has_valid_token(&operator.node.proxy, &request) {
                 return unauthorized();
             }
             operator.handle(request).await.map(body::boxed)
@@ -28,7 +28,7 @@
     let mut builder = Builder::new(TokioExecutor::new());
     builder.http1().timer(TokioTimer::new());
     builder.http2().timer(TokioTimer::new());
-    serve_all(listener, builder, stop.clone(), stop, handle).await;
+    serve_listener(listener, builder, stop.clone(), stop, handle).await;
 }
 
 /// Answers the platform's questions for readiness and takes what the VM's backend server says, each
@@ -45,5 +45,5 @@
     let mut builder = Builder::new(TokioExecutor::new()).http1_only();
     // Asked once a second by whoever does, often on a new connection, and each holds 30 KB.
     builder.http1().timer(TokioTimer::new()).keep_alive(false);
-    serve_all(listener, builder, stop.clone(), stop, handle).await;
+    serve_listener(listener, builder, stop.clone(), stop, handle).await;
 }
--- a/src/node/local.rs
+++ b/src/node/local.rs
@@ -61,9 +61,9 @@
     /// answer the next announcement is the next occasion.
     async fn confirm(self: &Arc<Self>, announcement: &Announcement) {
         for _ in 0..HEALTH_TRIES {
-            match health::ask(&self.proxy, announcement).await {
+            match health::check(&self.proxy, announcement).await {
                 Health::Serving(instance) => return self.confirmed(&instance),
-                Health::Refusing => {
+                Health::NotServing => {
                     log::info!(instance:? = announcement.instance; "the backend server announced itself, but takes no work");
                     return;
                 }
@@ -103,7 +103,7 @@
         self.proxy
             .backend
             .store((state != BackendState::Gone).then(|| Arc::new(backend)));
-        self.proxy.refresh_slots();
+        self.proxy.update_slot_limits();
         match state {
             BackendState::Serving => self.proxy.open_gate(),
             BackendState::Draining | BackendState::Gone => self.proxy.close_gate(),
--- a/src/node/membership.rs
+++ b/src/node/membership.rs
@@ -17,7 +17,7 @@
 use crate::node::changes;
 use crate::node::configuration::{ConfigurationMsg, Role};
 use crate::node::state::NodeState;
-use crate::proxy::view::View;
+use crate::proxy::view::MembershipView;
 use crate::util::clock;
 
 /// How often due heartbeats and suspicions are looked for. News does not wait for it.
@@ -215,7 +215,9 @@
 
     fn leads(&self) -> Leads {
         let ranked = self.membership.leads();
-        let own_rank = ranked.iter().position(|node| *node == self.node.proxy.me);
+        let own_rank = ranked
+            .iter()
+            .position(|node| *node == self.node.proxy.local_id);
         let before = &ranked[..own_rank.unwrap_or(ranked.len())];
         Leads {
             before: before.iter().filter_map(|node| self.peer(*node)).collect(),
@@ -253,16 +255,20 @@
         self.node.control.retain(&wanted);
         metrics::gauge!("dragonflywall_neighbours").set(wanted.len() as f64);
         let members = self.membership.members_with_versions();
-        let mut view = View::new(members, self.node.proxy.me, &self.node.proxy.settings.place);
+        let mut view = MembershipView::new(
+            members,
+            self.node.proxy.local_id,
+            &self.node.proxy.settings.place,
+        );
         view.data_centres = self.membership.summaries();
-        metrics::gauge!("dragonflywall_members_alive").set(view.alive() as f64);
+        metrics::gauge!("dragonflywall_members_alive").set(view.alive_count() as f64);
         changes::log_liveness(
-            &self.node.proxy.decisions,
+            &self.node.proxy.log_limiter,
             &self.node.proxy.view.load(),
             &view,
         );
         self.node.proxy.view.store(Arc::new(view));
-        self.node.proxy.refresh_retries();
+        self.node.proxy.update_retry_policy();
     }
 }
 
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -53,7 +53,7 @@
         };
         metrics::gauge!("dragonflywall_gate_slots_in_use").set(in_use);
         metrics::gauge!("dragonflywall_gate_waiting").set(waiting);
-        let coming = self.node.proxy.bodies_coming.load(Ordering::Acquire);
+        let coming = self.node.proxy.incoming_uploads.load(Ordering::Acquire);
         metrics::gauge!("dragonflywall_uploads_coming").set(coming);
         self.metrics.render()
     }
@@ -95,7 +95,7 @@
             .cloned()
             .collect();
         Status {
-            node: self.node.proxy.me,
+            node: self.node.proxy.local_id,
             enforced: stamp.unwrap_or(Stamp::NONE),
             ready: self.why_not_ready().is_none(),
             lacking,
--- a/src/node/registration.rs
+++ b/src/node/registration.rs
@@ -156,7 +156,7 @@
     }
 
     fn is_alone(&self) -> bool {
-        self.node.proxy.view.load().alive() < 2
+        self.node.proxy.view.load().alive_count() < 2
     }
 
     async fn read_as_watcher(&self) {
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -94,7 +94,7 @@
     let changed = **before != now;
     let waiting = needs_restart(&node.proxy.settings, &read).join(", ");
     node.proxy.tunable.store(Arc::new(now));
-    node.proxy.refresh_retries();
+    node.proxy.update_retry_policy();
     log::info!(changed, needs_restart = waiting; "read the settings file again");
 }
 
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -216,7 +216,7 @@
     /// The node's addresses as one line of JSON, for whoever started it with port 0.
     pub fn addresses_json(&self) -> String {
         let addresses = serde_json::json!({
-            "node": self.node.proxy.me,
+            "node": self.node.proxy.local_id,
             "caller": self.caller,
             "peer": self.peer,
             "operator": self.operator,
@@ -269,8 +269,11 @@
         let least = Duration::from_millis(self.node.proxy.tunable.load().stop_least_ms);
         // Whatever the gate is asked from now on it refuses at once, so a request that comes
         // after the last one has ended cannot be lost by not being waited for.
-        self.node.proxy.in_gate.close();
-        tokio::join!(self.node.proxy.in_gate.wait(), tokio::time::sleep(least));
+        self.node.proxy.gate_requests.close();
+        tokio::join!(
+            self.node.proxy.gate_requests.wait(),
+            tokio::time::sleep(least)
+        );
         self.stops.callers.cancel();
         let _ = (&mut self.callers).await;
     }
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -17,8 +17,8 @@
 use crate::node::settings::Settings;
 use crate::peer::pool::PeerPool;
 use crate::platform;
-use crate::proxy::state::{ProxyState, lock};
-use crate::proxy::vocabulary::{self, Vocabulary};
+use crate::proxy::header_profile::{self, HeaderProfile};
+use crate::proxy::state::{ProxyState, lock_ignoring_poison};
 
 /// Shared by every task of the node; requests see [`ProxyState`] alone.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
         let control = PeerPool::new(settings.dial_options());
         let vocabulary = vocabulary_of(settings.dialect);
         let proxy = Arc::new(ProxyState::new(settings, vocabulary, me));
-        let announcements = match proxy.vocabulary.instance {
+        let announcements = match proxy.header_profile.instance {
             Some(_) => Announcements::doubtful(),
             None => Announcements::default(),
         };
@@ -77,7 +77,7 @@
     /// Lets [`Self::tell_membership`] and the request path reach the actor.
     pub(crate) fn set_membership(&self, membership: ActorRef<MembershipMsg>) {
         let lost = membership.clone();
-        self.proxy.backend_lost.set(move |service| {
+        self.proxy.on_backend_lost.set(move |service| {
             // The actor is gone only while the process ends.
             let _ = lost.cast(MembershipMsg::SetBackend(Some(service), BackendState::Gone));
         });
@@ -98,13 +98,13 @@
     }
 
     pub(crate) fn announcements(&self) -> MutexGuard<'_, Announcements> {
-        lock(&self.announcements)
+        lock_ignoring_poison(&self.announcements)
     }
 }
 
-fn vocabulary_of(dialect: Dialect) -> &'static Vocabulary {
+fn vocabulary_of(dialect: Dialect) -> &'static HeaderProfile {
     match dialect {
-        Dialect::Own => &vocabulary::OWN,
+        Dialect::Own => &header_profile::DEFAULT,
         Dialect::Platform => &platform::headers::VOCABULARY,
     }
 }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -2,23 +2,23 @@
 
 use http::HeaderName;
 
-use crate::proxy::vocabulary::Vocabulary;
+use crate::proxy::header_profile::HeaderProfile;
 
 /// With callers and backend servers.
-pub(crate) static VOCABULARY: Vocabulary = Vocabulary {
+pub(crate) static VOCABULARY: HeaderProfile = HeaderProfile {
     // An attempt of a caller: what a node sends once more keeps its id.
     request_id: HeaderName::from_static("x-dfw-attempt-id"),
     deadline_ms: HeaderName::from_static("x-dfw-deadline-ms"),
-    callers_say_deadline: true,
+    callers_set_deadline: true,
     // Calls of a backend server bear no token, but their ids tell which request led to them.
-    call: None,
-    calls_extend_ids: true,
+    call_token: None,
+    calls_extend_request_id: true,
     // The service of the VM where the request began, not of the caller.
     caller_service: Some(HeaderName::from_static("x-dfw-caller")),
     expected_instance: Some(HeaderName::from_static("x-dfw-expected-instance")),
     instance: Some(HeaderName::from_static("x-dfw-instance")),
     not_run: Some(HeaderName::from_static("x-dfw-not-executed")),
-    answers_repeat_id: true,
+    responses_repeat_id: true,
     seal: Some(HeaderName::from_static("x-dfw-response-seal")),
     retry_after_has_fractions: true,
 };
--- a/src/proxy/backend.rs
+++ b/src/proxy/backend.rs
@@ -15,8 +15,8 @@
 use hyper_util::rt::TokioIo;
 use tokio::sync::Notify;
 
-use super::answer::{Failure, Reason};
-use super::body::{self, Body, BoxError, Guarded};
+use super::body::{self, Body, BoxError, GuardedBody};
+use super::failure::{Failure, Reason};
 use crate::core::mechanism::{Mechanism, Without};
 use crate::util::dial::dial;
 
@@ -30,45 +30,45 @@
 const READ_BUFFER_MAX_BYTES: usize = 64 << 10;
 
 /// Longest wait for a connection that is being closed.
-const CLOSING_MAX: Duration = Duration::from_millis(50);
+const CLOSE_WAIT_MAX: Duration = Duration::from_millis(50);
 
 /// Longest rest after which a connection is used again for a request that may not run twice. A backend server, or
 /// what lies before it, may have forgotten it by then, and a request that meets a reset may have run.
-const REST_MAX: Duration = Duration::from_millis(100);
+const IDLE_REUSE_MAX: Duration = Duration::from_millis(100);
 
 /// The same for idempotent requests, which are tried again after a reset.
-const REST_MAX_IDEMPOTENT: Duration = Duration::from_secs(1);
+const IDLE_REUSE_MAX_IDEMPOTENT: Duration = Duration::from_secs(1);
 
 type Sender = http1::SendRequest<Body>;
 
 /// A connection that no request uses.
 #[derive(Debug)]
-struct Resting {
+struct IdleConnection {
     address: SocketAddr,
     sender: Sender,
-    since: Instant,
+    idle_since: Instant,
 }
 
 /// Connections to the backend server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BackendPool {
-    idle: Arc<Mutex<Vec<Resting>>>,
-    open: Arc<AtomicU32>,
-    most: Arc<AtomicU32>,
+    idle: Arc<Mutex<Vec<IdleConnection>>>,
+    open_count: Arc<AtomicU32>,
+    connections_max: Arc<AtomicU32>,
     /// Told when a connection has been closed.
     closed: Arc<Notify>,
     without: Without,
 }
 
 /// Counts one open connection until it is closed.
-struct Open {
-    open: Arc<AtomicU32>,
+struct OpenConnection {
+    open_count: Arc<AtomicU32>,
     closed: Arc<Notify>,
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.open.fetch_sub(1, Ordering::AcqRel);
+        self.open_count.fetch_sub(1, Ordering::AcqRel);
         self.closed.notify_waiters();
     }
 }
@@ -83,8 +83,9 @@
     }
 
     /// Sets how many connections the backend server accepts.
-    pub(crate) fn set_connections_max(&self, most: u32) {
-        self.most.store(most, Ordering::Release);
+    pub(crate) fn set_connections_max(&self, connections_max: u32) {
+        self.connections_max
+            .store(connections_max, Ordering::Release);
     }
 
     /// Sends a request, which may be `idempotent`, to the backend server at `address`.
@@ -95,24 +96,24 @@
         idempotent: bool,
     ) -> Result<Response<Body>, Failure> {
         let mut request = request;
-        let rest_max = match idempotent {
-            true => REST_MAX_IDEMPOTENT,
-            false => REST_MAX,
+        let idle_max = match idempotent {
+            true => IDLE_REUSE_MAX_IDEMPOTENT,
+            false => IDLE_REUSE_MAX,
         };
-        while let Some(sender) = self.take_idle(address, rest_max) {
+        while let Some(sender) = self.take_idle(address, idle_max) {
             match self.exchange(address, sender, request).await {
                 Ok(response) => return Ok(response),
                 // An idle connection that the backend server had closed: nothing was sent.
                 Err((_, Some(unsent))) => request = unsent,
                 Err((failure, None)) => {
-                    self.forget_idle();
+                    self.drop_idle();
                     return Err(failure);
                 }
             }
         }
-        let open = self.room().await;
-        let open = open.ok_or(Failure::not_run(Reason::Full))?;
-        let sender = connect(address, open).await.map_err(|error| {
+        let reservation = self.reserve_connection().await;
+        let reservation = reservation.ok_or(Failure::not_run(Reason::Full))?;
+        let sender = connect(address, reservation).await.map_err(|error| {
             log::debug!(backend:% = address, error:%; "backend server not reached");
             Failure::not_run(Reason::Unreachable)
         })?;
@@ -122,40 +123,40 @@
     }
 
     /// Uses no connection again that is idle now: what has broken one may have broken all.
-    fn forget_idle(&self) {
+    fn drop_idle(&self) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.clear();
     }
 
     /// Room for one more connection. Slots are never more than connections, so what is in the way are idle ones, or
     /// those of requests that were given up a moment ago.
-    async fn room(&self) -> Option<Open> {
-        if let Some(open) = self.open() {
-            return Some(open);
+    async fn reserve_connection(&self) -> Option<OpenConnection> {
+        if let Some(reservation) = self.try_reserve() {
+            return Some(reservation);
         }
-        self.forget_idle();
-        let room = async {
+        self.drop_idle();
+        let reserved = async {
             loop {
                 let mut closed = pin!(self.closed.notified());
                 closed.as_mut().enable();
-                if let Some(open) = self.open() {
-                    return open;
+                if let Some(reservation) = self.try_reserve() {
+                    return reservation;
                 }
                 closed.await;
             }
         };
-        tokio::time::timeout(CLOSING_MAX, room).await.ok()
+        tokio::time::timeout(CLOSE_WAIT_MAX, reserved).await.ok()
     }
 
-    fn open(&self) -> Option<Open> {
+    fn try_reserve(&self) -> Option<OpenConnection> {
         // One that is not known to take requests yet may be asked whether it does.
-        let most = self.most.load(Ordering::Acquire).max(1);
-        let one_more = |open| (open < most).then_some(open + 1);
-        let counted = self
-            .open
-            .fetch_update(Ordering::AcqRel, Ordering::Acquire, one_more);
-        counted.ok().map(|_| Open {
-            open: Arc::clone(&self.open),
+        let connections_max = self.connections_max.load(Ordering::Acquire).max(1);
+        let one_more = |open| (open < connections_max).then_some(open + 1);
+        let incremented =
+            self.open_count
+                .fetch_update(Ordering::AcqRel, Ordering::Acquire, one_more);
+        incremented.ok().map(|_| OpenConnection {
+            open_count: Arc::clone(&self.open_count),
             closed: Arc::clone(&self.closed),
         })
     }
@@ -167,7 +168,7 @@
         request: Request<Body>,
     ) -> Result<Response<Body>, (Failure, Option<Request<Body>>)> {
         match sender.try_send_request(request).await {
-            Ok(response) => Ok(self.keep_until_read(address, sender, response)),
+            Ok(response) => Ok(self.lease_until_read(address, sender, response)),
             Err(mut error) => match error.take_message() {
                 Some(unsent) => Err((Failure::not_run(Reason::Unreachable), Some(unsent))),
                 None => Err((Failure::may_have_run(Reason::Lost), None)),
@@ -175,7 +176,7 @@
         }
     }
 
-    fn keep_until_read(
+    fn lease_until_read(
         &self,
         address: SocketAddr,
         sender: Sender,
@@ -188,23 +189,24 @@
         };
         response.map(|incoming| {
             let inner = body::boxed(incoming);
-            body::boxed(Guarded::new(inner, lease))
+            body::boxed(GuardedBody::new(inner, lease))
         })
     }
 
-    /// The connection that has rested for the shortest time, if that is below `rest_max`.
-    fn take_idle(&self, address: SocketAddr, rest_max: Duration) -> Option<Sender> {
+    /// The connection that has rested for the shortest time, if that is below `idle_max`.
+    fn take_idle(&self, address: SocketAddr, idle_max: Duration) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let may_rest_long = !self.without.has(Mechanism::ShortRests);
-        idle.retain(|resting| {
-            let usable = resting.address == address && !resting.sender.is_closed();
-            usable && (may_rest_long || resting.since.elapsed() < REST_MAX_IDEMPOTENT)
+        let reuse_any_idle = !self.without.has(Mechanism::ShortRests);
+        idle.retain(|connection| {
+            let is_kept = connection.address == address && !connection.sender.is_closed();
+            is_kept
+                && (reuse_any_idle || connection.idle_since.elapsed() < IDLE_REUSE_MAX_IDEMPOTENT)
         });
-        let may_use = |resting: &Resting| {
-            let rested_briefly = may_rest_long || resting.since.elapsed() < rest_max;
-            rested_briefly && resting.sender.is_ready()
+        let is_usable = |connection: &IdleConnection| {
+            let recently_used = reuse_any_idle || connection.idle_since.elapsed() < idle_max;
+            recently_used && connection.sender.is_ready()
         };
-        let ready = idle.iter().rposition(may_use)?;
+        let ready = idle.iter().rposition(is_usable)?;
         Some(idle.remove(ready).sender)
     }
 }
@@ -225,23 +227,23 @@
                 .idle
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            idle.push(Resting {
+            idle.push(IdleConnection {
                 address: self.address,
                 sender,
-                since: Instant::now(),
+                idle_since: Instant::now(),
             });
         }
     }
 }
 
-async fn connect(address: SocketAddr, open: Open) -> Result<Sender, BoxError> {
+async fn connect(address: SocketAddr, reservation: OpenConnection) -> Result<Sender, BoxError> {
     let stream = dial(address, None, CONNECT_TIMEOUT).await?;
     let (sender, connection) = http1::Builder::new()
         .max_buf_size(READ_BUFFER_MAX_BYTES)
         .handshake(TokioIo::new(stream))
         .await?;
     tokio::spawn(async move {
-        let _open = open;
+        let _reservation = reservation;
         // Its end, good or bad, is seen by the request on it.
         let _ = connection.await;
     });
--- a/src/proxy/backend/tests.rs
+++ b/src/proxy/backend/tests.rs
@@ -12,45 +12,45 @@
 use super::*;
 
 const CONNECTIONS_MAX: u32 = 8;
-const OPEN_ANSWERS_MAX: usize = 5;
+const OPEN_RESPONSES_MAX: usize = 5;
 const CASES: u32 = 64;
 const SEED: u64 = 520;
 
 #[derive(Clone, Debug)]
-enum Step {
+enum Action {
     /// A request whose answer is not read yet.
-    Ask { answer_bytes: u64 },
+    Send { answer_bytes: u64 },
     /// A request whose caller hangs up before the answer.
-    GiveUp,
+    CancelRequest,
     /// A request whose answer breaks off.
-    Broken,
+    TruncatedResponse,
     /// The caller reads an open answer to its end.
-    Read(usize),
+    ReadResponse(usize),
     /// The caller hangs up on an open answer.
-    HangUp(usize),
+    DropResponse(usize),
     /// The VM's backend server is replaced by the other one.
-    Switch,
+    SwitchBackend,
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn action() -> impl Strategy<Value = Action> {
     prop_oneof![
-        4 => (0..200_000_u64).prop_map(|answer_bytes| Step::Ask { answer_bytes }),
-        2 => Just(Step::GiveUp),
-        1 => Just(Step::Broken),
-        4 => any::<usize>().prop_map(Step::Read),
-        2 => any::<usize>().prop_map(Step::HangUp),
-        1 => Just(Step::Switch),
+        4 => (0..200_000_u64).prop_map(|answer_bytes| Action::Send { answer_bytes }),
+        2 => Just(Action::CancelRequest),
+        1 => Just(Action::TruncatedResponse),
+        4 => any::<usize>().prop_map(Action::ReadResponse),
+        2 => any::<usize>().prop_map(Action::DropResponse),
+        1 => Just(Action::SwitchBackend),
     ]
 }
 
 /// An answer whose body has not been read.
-struct OpenAnswer {
+struct OpenResponse {
     id: String,
     answer_bytes: u64,
     response: Response<Body>,
 }
 
-impl OpenAnswer {
+impl OpenResponse {
     async fn read(self) {
         let body = self.response.into_body().collect().await;
         let body = body.expect("a whole answer").to_bytes();
@@ -61,12 +61,12 @@
 }
 
 /// The pool, the two backend servers, and what the oracle knows.
-struct Run {
+struct Harness {
     pool: BackendPool,
     backends: [Backend; 2],
     current: usize,
-    open: Vec<OpenAnswer>,
-    asked: u32,
+    open_responses: Vec<OpenResponse>,
+    request_count: u32,
 }
 
 fn request(path: &str, id: &str) -> Request<Body> {
@@ -77,7 +77,7 @@
         .expect("a valid request")
 }
 
-impl Run {
+impl Harness {
     async fn start() -> Self {
         let any_port: SocketAddr = "127.0.0.1:0".parse().expect("a constant address");
         let start = async |name| {
@@ -90,14 +90,14 @@
             pool,
             backends: [start("old").await, start("new").await],
             current: 0,
-            open: Vec::new(),
-            asked: 0,
+            open_responses: Vec::new(),
+            request_count: 0,
         }
     }
 
     fn next_id(&mut self) -> String {
-        self.asked += 1;
-        format!("look-up-{}", self.asked)
+        self.request_count += 1;
+        format!("look-up-{}", self.request_count)
     }
 
     async fn send(&self, path: &str, id: &str) -> Result<Response<Body>, Failure> {
@@ -105,16 +105,16 @@
         self.pool.send(address, request(path, id), true).await
     }
 
-    async fn step(&mut self, step: &Step) {
-        match step {
-            Step::Ask { answer_bytes } => self.ask(*answer_bytes).await,
-            Step::GiveUp => {
+    async fn action(&mut self, action: &Action) {
+        match action {
+            Action::Send { answer_bytes } => self.send_and_check(*answer_bytes).await,
+            Action::CancelRequest => {
                 let id = self.next_id();
-                let asking = self.send("/archive?work_ms=40", &id);
+                let pending = self.send("/archive?work_ms=40", &id);
                 // Whatever the moment, nothing of it may reach a later request.
-                let _ = tokio::time::timeout(Duration::from_millis(3), asking).await;
+                let _ = tokio::time::timeout(Duration::from_millis(3), pending).await;
             }
-            Step::Broken => {
+            Action::TruncatedResponse => {
                 let id = self.next_id();
                 let path = "/archive?answer_bytes=50000&break_after=20000";
                 if let Ok(response) = self.send(path, &id).await {
@@ -122,21 +122,21 @@
                     assert!(body.is_err(), "{id}: a broken answer looks whole");
                 }
             }
-            Step::Read(which) if !self.open.is_empty() => {
-                let which = which % self.open.len();
-                self.open.swap_remove(which).read().await;
+            Action::ReadResponse(index) if !self.open_responses.is_empty() => {
+                let index = index % self.open_responses.len();
+                self.open_responses.swap_remove(index).read().await;
             }
-            Step::HangUp(which) if !self.open.is_empty() => {
-                let which = which % self.open.len();
-                drop(self.open.swap_remove(which));
+            Action::DropResponse(index) if !self.open_responses.is_empty() => {
+                let index = index % self.open_responses.len();
+                drop(self.open_responses.swap_remove(index));
             }
-            Step::Read(_) | Step::HangUp(_) => (),
-            Step::Switch => self.current = 1 - self.current,
+            Action::ReadResponse(_) | Action::DropResponse(_) => (),
+            Action::SwitchBackend => self.current = 1 - self.current,
         }
     }
 
-    async fn ask(&mut self, answer_bytes: u64) {
-        if self.open.len() >= OPEN_ANSWERS_MAX {
+    async fn send_and_check(&mut self, answer_bytes: u64) {
+        if self.open_responses.len() >= OPEN_RESPONSES_MAX {
             return;
         }
         let id = self.next_id();
@@ -155,7 +155,7 @@
         assert_eq!(response.headers()["x-ran-id"], *id);
         let expected = ["old", "new"][self.current];
         assert_eq!(response.headers()["x-ran-by"], expected, "{id}");
-        self.open.push(OpenAnswer {
+        self.open_responses.push(OpenResponse {
             id,
             answer_bytes,
             response,
@@ -163,13 +163,13 @@
     }
 
     async fn finish(self) {
-        for answer in self.open {
-            answer.read().await;
+        for response in self.open_responses {
+            response.read().await;
         }
         for backend in &self.backends {
             let record = backend.record();
-            let doubled: Vec<_> = record.runs.iter().filter(|(_, runs)| **runs > 1).collect();
-            assert!(doubled.is_empty(), "{doubled:?}");
+            let ran_twice: Vec<_> = record.runs.iter().filter(|(_, runs)| **runs > 1).collect();
+            assert!(ran_twice.is_empty(), "{ran_twice:?}");
         }
     }
 }
@@ -185,17 +185,17 @@
         failure_persistence: None,
         ..Config::default()
     });
-    let steps = proptest::collection::vec(step(), 1..40);
-    let result = runner.run(&steps, |steps| {
+    let actions = proptest::collection::vec(action(), 1..40);
+    let result = runner.run(&actions, |actions| {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
         runtime.block_on(async {
-            let mut run = Run::start().await;
-            for step in &steps {
-                run.step(step).await;
+            let mut harness = Harness::start().await;
+            for action in &actions {
+                harness.action(action).await;
             }
-            run.finish().await;
+            harness.finish().await;
         });
         Ok(())
     });
@@ -205,16 +205,16 @@
 /// Guards against a payment that is refused because an idle connection takes the last place.
 #[tokio::test]
 async fn an_idle_connection_makes_room_for_a_request_that_may_not_use_it() {
-    let run = Run::start().await;
-    run.pool.set_connections_max(1);
-    let address = run.backends[0].address;
+    let harness = Harness::start().await;
+    harness.pool.set_connections_max(1);
+    let address = harness.backends[0].address;
     let send = async |id, idempotent| {
         let request = request("/archive?answer_bytes=10", id);
-        let sent = run.pool.send(address, request, idempotent).await;
-        let body = sent.expect("there is room").into_body();
+        let response = harness.pool.send(address, request, idempotent).await;
+        let body = response.expect("there is room").into_body();
         body.collect().await.expect("a whole answer");
     };
     send("look-up", true).await;
-    tokio::time::sleep(REST_MAX).await;
+    tokio::time::sleep(IDLE_REUSE_MAX).await;
     send("payment", false).await;
 }
--- a/src/proxy/body.rs
+++ b/src/proxy/body.rs
@@ -30,12 +30,12 @@
 }
 
 /// A body that keeps `guard` until it has been read to its end or dropped.
-pub(crate) struct Guarded<G> {
+pub(crate) struct GuardedBody<G> {
     inner: Body,
     _guard: G,
 }
 
-impl<G> Guarded<G> {
+impl<G> GuardedBody<G> {
     pub(crate) fn new(inner: Body, guard: G) -> Self {
         Self {
             inner,
@@ -44,7 +44,7 @@
     }
 }
 
-impl<G: Unpin> HttpBody for Guarded<G> {
+impl<G: Unpin> HttpBody for GuardedBody<G> {
     type Data = Bytes;
     type Error = BoxError;
 
--- a/src/proxy/callers.rs
+++ b/src/proxy/caller_connections.rs
@@ -10,7 +10,7 @@
 
 /// Connections by caller; see [`Connections`].
 #[derive(Clone, Debug)]
-pub(crate) struct Callers {
+pub(crate) struct CallerConnections {
     state: Arc<Mutex<State>>,
 }
 
@@ -18,14 +18,14 @@
 struct State {
     connections: Connections,
     /// Wakes the idle ones.
-    wakes: SecondaryMap<ConnectionKey, oneshot::Sender<()>>,
+    close_senders: SecondaryMap<ConnectionKey, oneshot::Sender<()>>,
 }
 
-impl Callers {
+impl CallerConnections {
     pub(crate) fn new(limits: ConnectionLimits) -> Self {
         let state = State {
             connections: Connections::new(limits),
-            wakes: SecondaryMap::new(),
+            close_senders: SecondaryMap::new(),
         };
         Self {
             state: Arc::new(Mutex::new(state)),
@@ -33,7 +33,7 @@
     }
 
     /// Counts one more connection and closes an idle one for it if need be; none if there is no room.
-    pub(crate) fn enter(&self, caller: IpAddr) -> Option<Counted> {
+    pub(crate) fn register(&self, caller: IpAddr) -> Option<ConnectionGuard> {
         let mut state = self.lock();
         let Some(entered) = state.connections.enter(caller) else {
             metrics::counter!("dragonflywall_caller_connections_refused_total").increment(1);
@@ -42,12 +42,12 @@
         if let Some(closed) = entered.closed {
             metrics::counter!("dragonflywall_caller_connections_closed_idle_total").increment(1);
             // Its task ends when the sender is dropped.
-            state.wakes.remove(closed);
+            state.close_senders.remove(closed);
         }
-        state.record();
-        Some(Counted {
-            callers: self.clone(),
-            connection: entered.connection,
+        state.record_count();
+        Some(ConnectionGuard {
+            registry: self.clone(),
+            key: entered.connection,
         })
     }
 
@@ -57,7 +57,7 @@
 }
 
 impl State {
-    fn record(&self) {
+    fn record_count(&self) {
         let count = self.connections.count();
         metrics::gauge!("dragonflywall_caller_connections").set(count as f64);
     }
@@ -65,53 +65,53 @@
 
 /// One connection of a caller.
 #[derive(Debug)]
-pub(crate) struct Counted {
-    callers: Callers,
-    connection: ConnectionKey,
+pub(crate) struct ConnectionGuard {
+    registry: CallerConnections,
+    key: ConnectionKey,
 }
 
-impl Counted {
+impl ConnectionGuard {
     /// The connection waits for a request, until what is returned is dropped.
-    pub(crate) fn idle(&self) -> Idle<'_> {
-        let (wake, needed) = oneshot::channel();
-        let mut state = self.callers.lock();
-        state.connections.idle(self.connection);
-        state.wakes.insert(self.connection, wake);
-        Idle {
-            counted: self,
-            needed,
+    pub(crate) fn mark_idle(&self) -> IdleGuard<'_> {
+        let (close_sender, close_receiver) = oneshot::channel();
+        let mut state = self.registry.lock();
+        state.connections.idle(self.key);
+        state.close_senders.insert(self.key, close_sender);
+        IdleGuard {
+            connection: self,
+            close_receiver,
         }
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        let mut state = self.callers.lock();
-        state.connections.leave(self.connection);
-        state.wakes.remove(self.connection);
-        state.record();
+        let mut state = self.registry.lock();
+        state.connections.leave(self.key);
+        state.close_senders.remove(self.key);
+        state.record_count();
     }
 }
 
 /// The time during which a connection is idle.
 #[derive(Debug)]
-pub(crate) struct Idle<'a> {
-    counted: &'a Counted,
-    needed: oneshot::Receiver<()>,
+pub(crate) struct IdleGuard<'a> {
+    connection: &'a ConnectionGuard,
+    close_receiver: oneshot::Receiver<()>,
 }
 
-impl Idle<'_> {
+impl IdleGuard<'_> {
     /// Waits until the place of the connection is needed for another one.
-    pub(crate) async fn place_needed(&mut self) {
+    pub(crate) async fn close_requested(&mut self) {
         // Nothing is ever sent: the sender is dropped.
-        let _ = (&mut self.needed).await;
+        let _ = (&mut self.close_receiver).await;
     }
 }
 
-impl Drop for Idle<'_> {
+impl Drop for IdleGuard<'_> {
     fn drop(&mut self) {
-        let mut state = self.counted.callers.lock();
-        state.connections.used(self.counted.connection);
-        state.wakes.remove(self.counted.connection);
+        let mut state = self.connection.registry.lock();
+        state.connections.used(self.connection.key);
+        state.close_senders.remove(self.connection.key);
     }
 }
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -9,13 +9,13 @@
 use http::uri::Authority;
 use tokio_util::sync::CancellationToken;
 
-use self::arrival::Arrival;
-use self::call::Call;
-use super::answer::{Failure, Reason};
+use self::request_log::RequestLog;
+use self::routed_request::RoutedRequest;
 use super::body::Body;
-use super::calls::{Inherited, RetryBudget};
+use super::failure::{Failure, Reason};
 use super::headers;
-use super::replay::Replay;
+use super::replay::ReplayableBody;
+use super::running_requests::{InheritedContext, RetryBudget};
 use crate::core::mechanism::Mechanism;
 use crate::core::routing::{Branch, Route};
 use crate::decide::retry::{self, Attempts};
@@ -23,8 +23,8 @@
 use crate::distribution::Applied;
 use crate::proxy::state::ProxyState;
 
-mod arrival;
-mod call;
+mod request_log;
+mod routed_request;
 
 /// Whether a request may be started before those that its caller sent ahead of it are answered:
 /// were the connection to end with one of them, the caller would send it again.
@@ -36,7 +36,7 @@
     let Some(applied) = applied.as_ref().filter(|_| !node.leaving.is_cancelled()) else {
         return false;
     };
-    let route = host_of(parts).and_then(|host| route_of(applied, parts, host.host()).ok());
+    let route = requested_host(parts).and_then(|host| find_route(applied, parts, host.host()).ok());
     route.is_some_and(|route| {
         let mut branches = route.branches.iter();
         branches.all(|branch| branch.treatment.idempotent)
@@ -47,67 +47,67 @@
 pub(crate) async fn serve(
     node: Arc<ProxyState>,
     mut parts: Parts,
-    replay: Replay,
+    body: ReplayableBody,
 ) -> Response<Body> {
     // The request keeps the snapshot that it was admitted under, whatever is enforced meanwhile.
     let applied = node.enforced.load_full();
     let version = applied
         .as_ref()
         .map_or(0, |applied| applied.stamp.version.0);
-    let origin = Origin::of(&node, &parts);
+    let context = RequestContext::from_request(&node, &parts);
     let id = request_id(&node, &parts);
     headers::strip_hop_by_hop(&mut parts.headers);
-    headers::strip_mesh(&mut parts.headers);
-    mark(&node, &mut parts, id.clone());
-    let arrival = Arrival::new(&node, &id, target(&parts), version);
+    headers::strip_mesh_headers(&mut parts.headers);
+    add_backend_headers(&node, &mut parts, id.clone());
+    let request_log = RequestLog::new(&node, &id, target(&parts), version);
     let result = match applied {
         _ if !node.is_fresh() => Err(Failure::not_run(Reason::Refreshing)),
         None => Err(Failure::not_run(Reason::NoConfiguration)),
-        Some(applied) => run(&node, &applied, &parts, &replay, origin).await,
+        Some(applied) => route_and_run(&node, &applied, &parts, &body, context).await,
     };
-    arrival.ended(&result);
+    request_log.finish(&result);
     let mut response = match result {
         Ok(mut response) => {
-            headers::strip_mesh(response.headers_mut());
+            headers::strip_mesh_headers(response.headers_mut());
             response
         }
-        Err(failure) => failure.into_response(node.vocabulary),
+        Err(failure) => failure.into_response(node.header_profile),
     };
     let headers = response.headers_mut();
     headers.insert(headers::VERSION, HeaderValue::from(version));
-    headers.insert(&node.vocabulary.request_id, id);
+    headers.insert(&node.header_profile.request_id, id);
     response
 }
 
 /// Puts in what the mesh tells the backend server of a caller's request.
-fn mark(node: &ProxyState, parts: &mut Parts, id: HeaderValue) {
-    let vocabulary = node.vocabulary;
-    vocabulary.strip_from_caller(&mut parts.headers);
-    parts.headers.insert(&vocabulary.request_id, id);
-    let own = node.settings.backend_server.as_ref();
-    if let (Some(name), Some(own)) = (&vocabulary.caller_service, own) {
-        let service = headers::value(own.service.as_str());
+fn add_backend_headers(node: &ProxyState, parts: &mut Parts, id: HeaderValue) {
+    let profile = node.header_profile;
+    profile.strip_reserved(&mut parts.headers);
+    parts.headers.insert(&profile.request_id, id);
+    let local_backend = node.settings.backend_server.as_ref();
+    if let (Some(name), Some(local_backend)) = (&profile.caller_service, local_backend) {
+        let service = headers::to_value(local_backend.service.as_str());
         parts.headers.insert(name, service);
     }
 }
 
 fn request_id(node: &ProxyState, parts: &Parts) -> HeaderValue {
-    let given = parts.headers.get(&node.vocabulary.request_id).cloned();
-    given.unwrap_or_else(|| headers::value(&format!("{:016x}", rand::random::<u64>())))
+    let caller_id = parts.headers.get(&node.header_profile.request_id).cloned();
+    caller_id.unwrap_or_else(|| headers::to_value(&format!("{:016x}", rand::random::<u64>())))
 }
 
 /// Where a request comes from: a caller outside, or a call that the local backend server runs.
-struct Origin {
+struct RequestContext {
     deadline: Option<Instant>,
     depth: u32,
-    given_up: CancellationToken,
+    cancellation: CancellationToken,
     budget: RetryBudget,
 }
 
-impl Origin {
-    fn of(node: &ProxyState, parts: &Parts) -> Self {
-        let deadline = node.vocabulary.deadline(&parts.headers);
-        match inherited(node, parts) {
+impl RequestContext {
+    fn from_request(node: &ProxyState, parts: &Parts) -> Self {
+        let deadline = node.header_profile.deadline(&parts.headers);
+        match inherited_context(node, parts) {
             Some(inherited) => Self {
                 deadline: Some(
                     inherited
@@ -115,79 +115,81 @@
                         .min(deadline.unwrap_or(inherited.deadline)),
                 ),
                 depth: inherited.depth,
-                given_up: inherited.given_up,
+                cancellation: inherited.cancellation,
                 budget: inherited.budget,
             },
             None => Self {
                 deadline,
                 depth: 0,
-                given_up: CancellationToken::new(),
-                budget: RetryBudget::fresh(retry::RETRIES_PER_TREE),
+                cancellation: CancellationToken::new(),
+                budget: RetryBudget::root(retry::RETRIES_PER_TREE),
             },
         }
     }
 }
 
 /// What the request has of one that the local backend server runs, if it is a call of that one.
-fn inherited(node: &ProxyState, parts: &Parts) -> Option<Inherited> {
-    let vocabulary = node.vocabulary;
-    let name = vocabulary.call.as_ref();
-    if let Some(token) = name.and_then(|name| headers::text(&parts.headers, name)) {
-        return node.calls.inherit(token);
+fn inherited_context(node: &ProxyState, parts: &Parts) -> Option<InheritedContext> {
+    let profile = node.header_profile;
+    let name = profile.call_token.as_ref();
+    if let Some(token) = name.and_then(|name| headers::get_str(&parts.headers, name)) {
+        return node.running_requests.inherit_by_token(token);
     }
-    let id = parts.headers.get(&vocabulary.request_id)?;
-    node.calls.inherit_by_id(vocabulary.parent_of(id)?)
+    let id = parts.headers.get(&profile.request_id)?;
+    node.running_requests.inherit_by_id(profile.parent_of(id)?)
 }
 
-async fn run(
+async fn route_and_run(
     node: &Arc<ProxyState>,
     applied: &Applied,
     parts: &Parts,
-    replay: &Replay,
-    mut origin: Origin,
+    body: &ReplayableBody,
+    mut context: RequestContext,
 ) -> Result<Response<Body>, Failure> {
-    let host = host_of(parts).ok_or(Failure::not_run(Reason::BadRequest))?;
-    let route = route_of(applied, parts, host.host())?;
-    if origin.depth > retry::DEPTH_MAX {
+    let host = requested_host(parts).ok_or(Failure::not_run(Reason::BadRequest))?;
+    let route = find_route(applied, parts, host.host())?;
+    if context.depth > retry::DEPTH_MAX {
         return Err(Failure::not_run(Reason::TooDeep));
     }
-    check_length(applied, replay)?;
-    let branch = branch_of(route);
-    let limits = applied.configuration.service(&branch.service);
+    check_body_len(applied, body)?;
+    let branch = choose_branch(route);
+    let service = applied.configuration.service(&branch.service);
     let timeout = Duration::from_millis(u64::from(branch.treatment.timeout_ms));
-    let own_deadline = Instant::now() + timeout;
-    let call = Call {
+    let route_deadline = Instant::now() + timeout;
+    let request = RoutedRequest {
         node,
         parts,
         host: &host,
         branch,
-        slots: limits.map_or(1, |service| service.slots_per_endpoint),
-        body_bytes: replay.least_len_bytes(),
-        began: Instant::now(),
-        deadline: origin
+        slots: service.map_or(1, |service| service.slots_per_endpoint),
+        body_bytes: body.min_len_bytes(),
+        started_at: Instant::now(),
+        deadline: context
             .deadline
-            .map_or(own_deadline, |above| above.min(own_deadline)),
-        depth: origin.depth,
+            .map_or(route_deadline, |inherited| inherited.min(route_deadline)),
+        depth: context.depth,
     };
-    let mut attempts = Attempts::new(&branch.treatment, origin.budget.retries);
-    let given_up = origin.given_up.clone();
+    let mut attempts = Attempts::new(&branch.treatment, context.budget.retries);
+    let cancellation = context.cancellation.clone();
     // Dropping the attempts cancels the exchange under way, down to the backend server.
-    let ended = given_up.run_until_cancelled(call.run(replay, &mut attempts));
-    match ended.await {
+    let outcome = cancellation.run_until_cancelled(request.run(body, &mut attempts));
+    match outcome.await {
         None => Err(Failure::may_have_run(Reason::GivenUp)),
         Some(Err(failure)) => {
-            origin.budget.retries = attempts.after_failure();
+            context.budget.retries = attempts.after_failure();
             Err(failure)
         }
         Some(Ok(response)) => {
-            let unspent = headers::number(response.headers(), &headers::RETRIES).unwrap_or(0);
-            origin.budget.retries = attempts.after_answer(u32::try_from(unspent).unwrap_or(0));
+            let unspent_retries =
+                headers::get_u64(response.headers(), &headers::RETRIES).unwrap_or(0);
+            context.budget.retries =
+                attempts.after_answer(u32::try_from(unspent_retries).unwrap_or(0));
             Ok(response)
         }
     }
 }
 
-fn route_of<'a>(applied: &'a Applied, parts: &Parts, host: &str) -> Result<&'a Route, Failure> {
+fn find_route<'a>(applied: &'a Applied, parts: &Parts, host: &str) -> Result<&'a Route, Failure> {
     let (method, path) = (parts.method.as_str(), parts.uri.path());
     if let Some(route) = applied.routes.find(host, method, path) {
         return Ok(route);
@@ -199,16 +201,16 @@
     Err(Failure::not_run(reason))
 }
 
-fn branch_of(route: &Route) -> &Branch {
+fn choose_branch(route: &Route) -> &Branch {
     let weights = route.branches.iter().map(|branch| branch.weight);
     &route.branches[split::branch(weights, route.next_turn())]
 }
 
-/// Refuses a body that says from the start that it is too long; see [`Replay`] for the others.
-fn check_length(applied: &Applied, replay: &Replay) -> Result<(), Failure> {
+/// Refuses a body that says from the start that it is too long; see [`ReplayableBody`] for the others.
+fn check_body_len(applied: &Applied, body: &ReplayableBody) -> Result<(), Failure> {
     let limits = applied.configuration.caller_limits();
-    let most = limits.map_or(u64::MAX, |limits| limits.body_max_bytes);
-    match replay.least_len_bytes() > most {
+    let body_max_bytes = limits.map_or(u64::MAX, |limits| limits.body_max_bytes);
+    match body.min_len_bytes() > body_max_bytes {
         true => Err(Failure::not_run(Reason::BodyTooLong)),
         false => Ok(()),
     }
@@ -216,15 +218,15 @@
 
 /// Host and path, as a log line shows them.
 fn target(parts: &Parts) -> String {
-    let host = host_of(parts);
+    let host = requested_host(parts);
     let host = host.as_ref().map_or("", Authority::host);
     format!("{host}{}", parts.uri.path())
 }
 
-fn host_of(parts: &Parts) -> Option<Authority> {
+fn requested_host(parts: &Parts) -> Option<Authority> {
     match parts.uri.authority() {
         Some(authority) => Some(authority.clone()),
-        None => headers::text(&parts.headers, &http::header::HOST)?
+        None => headers::get_str(&parts.headers, &http::header::HOST)?
             .parse()
             .ok(),
     }
--- a/src/proxy/entry/arrival.rs
+++ b/src/proxy/entry/request_log.rs
@@ -7,23 +7,23 @@
 use http::header::HeaderValue;
 
 use crate::core::verdict::Verdict;
-use crate::proxy::answer::Failure;
 use crate::proxy::body::Body;
-use crate::proxy::decisions::{self, Weight};
+use crate::proxy::failure::Failure;
+use crate::proxy::log_limiter::{self, LogClass};
 use crate::proxy::state::ProxyState;
 use crate::util::clock;
 
 /// A request that has come; its end is told once, also if its caller leaves.
-pub(super) struct Arrival {
+pub(super) struct RequestLog {
     node: Arc<ProxyState>,
     id: HeaderValue,
     target: String,
     version: u64,
-    began: Instant,
-    told: bool,
+    started_at: Instant,
+    recorded: bool,
 }
 
-impl Arrival {
+impl RequestLog {
     /// `target` is the host and path that it asked for, `version` the configuration it runs under.
     pub(super) fn new(
         node: &Arc<ProxyState>,
@@ -36,28 +36,28 @@
             id: id.clone(),
             target,
             version,
-            began: Instant::now(),
-            told: false,
+            started_at: Instant::now(),
+            recorded: false,
         }
     }
 
     /// Its answer goes out.
-    pub(super) fn ended(mut self, result: &Result<Response<Body>, Failure>) {
-        self.told = true;
+    pub(super) fn finish(mut self, result: &Result<Response<Body>, Failure>) {
+        self.recorded = true;
         let verdict = match result {
             Ok(_) => Verdict::Answered,
             Err(failure) => failure.verdict,
         };
-        self.count(verdict.as_str());
-        let weight = match result {
-            Ok(response) if !response.status().is_server_error() => Weight::Routine,
-            _ => Weight::Notable,
+        self.record_metrics(verdict.as_str());
+        let log_class = match result {
+            Ok(response) if !response.status().is_server_error() => LogClass::Routine,
+            _ => LogClass::Notable,
         };
-        if !self.node.decisions.may_log(weight) {
+        if !self.node.log_limiter.may_log(log_class) {
             return;
         }
-        let (request_id, version) = (decisions::shown(Some(&self.id)), self.version);
-        let (target, took_ms) = (&self.target, clock::since_ms(self.began));
+        let (request_id, version) = (log_limiter::id_text(Some(&self.id)), self.version);
+        let (target, took_ms) = (&self.target, clock::since_ms(self.started_at));
         match result {
             Ok(response) => log::info!(
                 request_id, target:%, version, took_ms, status = response.status().as_u16();
@@ -66,32 +66,32 @@
             Err(failure) => log::warn!(
                 request_id, target:%, version, took_ms,
                 verdict = verdict.as_str(),
-                reason = failure.reason.word(),
-                retry_after_ms = failure.wait_ms();
+                reason = failure.reason.code(),
+                retry_after_ms = failure.retry_after_ms();
                 "request failed: {}", failure.reason.as_str()
             ),
         }
     }
 
-    fn count(&self, verdict: &'static str) {
-        let took = self.began.elapsed();
+    fn record_metrics(&self, verdict: &'static str) {
+        let duration = self.started_at.elapsed();
         metrics::counter!("dragonflywall_requests_total", "verdict" => verdict).increment(1);
-        metrics::histogram!("dragonflywall_request_seconds", "verdict" => verdict).record(took);
+        metrics::histogram!("dragonflywall_request_seconds", "verdict" => verdict).record(duration);
     }
 }
 
-impl Drop for Arrival {
+impl Drop for RequestLog {
     fn drop(&mut self) {
-        if self.told {
+        if self.recorded {
             return;
         }
-        self.count("caller-left");
-        if self.node.decisions.may_log(Weight::Notable) {
+        self.record_metrics("caller-left");
+        if self.node.log_limiter.may_log(LogClass::Notable) {
             log::warn!(
-                request_id = decisions::shown(Some(&self.id)),
+                request_id = log_limiter::id_text(Some(&self.id)),
                 target:% = self.target,
                 version = self.version,
-                took_ms = clock::since_ms(self.began);
+                took_ms = clock::since_ms(self.started_at);
                 "the caller left before its answer"
             );
         }
--- a/src/proxy/entry/call.rs
+++ b/src/proxy/entry/routed_request.rs
@@ -18,17 +18,17 @@
 use crate::decide::patience;
 use crate::decide::placement::{Believed, Endpoint, Limits, LoadReport, Need, Observed, Search};
 use crate::decide::retry::Attempts;
-use crate::proxy::answer::{Failure, Reason};
-use crate::proxy::body::{self, Body, Guarded};
-use crate::proxy::decisions::{self, Weight};
+use crate::proxy::body::{self, Body, GuardedBody};
+use crate::proxy::failure::{Failure, Reason};
 use crate::proxy::hop::Hop;
-use crate::proxy::replay::Replay;
+use crate::proxy::log_limiter::{self, LogClass};
+use crate::proxy::replay::ReplayableBody;
 use crate::proxy::state::ProxyState;
-use crate::proxy::{gate, headers, intake};
+use crate::proxy::{gate, headers, uploads};
 use crate::util::clock;
 
 /// A routed request.
-pub(super) struct Call<'a> {
+pub(super) struct RoutedRequest<'a> {
     pub(super) node: &'a Arc<ProxyState>,
     pub(super) parts: &'a Parts,
     /// What the caller named as the host.
@@ -36,38 +36,38 @@
     pub(super) branch: &'a Branch,
     pub(super) slots: u32,
     pub(super) body_bytes: u64,
-    pub(super) began: Instant,
+    pub(super) started_at: Instant,
     pub(super) deadline: Instant,
     pub(super) depth: u32,
 }
 
-impl Call<'_> {
+impl RoutedRequest<'_> {
     fn service(&self) -> &ServiceName {
         &self.branch.service
     }
 
     pub(super) async fn run(
         &self,
-        replay: &Replay,
+        body: &ReplayableBody,
         attempts: &mut Attempts,
     ) -> Result<Response<Body>, Failure> {
         self.node.retry_tokens().entry_for(self.service()).earn();
         let mut tried: Vec<NodeId> = Vec::new();
         let mut search = Search::new(self.node.without());
         let mut verdict = Verdict::NotRun;
-        let mut last = None;
+        let mut last_failure = None;
         loop {
-            let Some(endpoint) = self.choose(&tried) else {
-                let none = Failure::not_run(Reason::NoEndpoint);
-                return Err(last.unwrap_or(none).after(verdict));
+            let Some(endpoint) = self.choose_endpoint(&tried) else {
+                let no_endpoint = Failure::not_run(Reason::NoEndpoint);
+                return Err(last_failure.unwrap_or(no_endpoint).after_attempt(verdict));
             };
-            let waits = self.is_call() || search.waits_at(endpoint.node);
+            let waits = self.is_nested() || search.waits_at(endpoint.node);
             let hop = self.hop(attempts.passed_down(), waits);
-            let failure = match self.attempt(endpoint, replay, hop).await {
+            let failure = match self.send_attempt(endpoint, body, hop).await {
                 Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
-            if !waits && failure.is_for_load() {
+            if !waits && failure.is_overload() {
                 search.busy(endpoint.node);
                 continue;
             }
@@ -76,24 +76,24 @@
             if failure.verdict != Verdict::NotRun {
                 verdict = Verdict::MayHaveRun;
             }
-            let failed = failure.failed();
-            let again = {
+            let retry_kind = failure.retry_kind();
+            let retry = {
                 let mut tokens = self.node.retry_tokens();
-                attempts.again(failed, tokens.entry_for(self.service()))
+                attempts.again(retry_kind, tokens.entry_for(self.service()))
             };
-            let again = again && replay.has_next() && Instant::now() < self.deadline;
-            self.log_attempt_failed(&endpoint, &failure, again);
-            if !again {
-                return Err(failure.after(verdict));
+            let retry = retry && body.can_replay() && Instant::now() < self.deadline;
+            self.log_attempt_failed(&endpoint, &failure, retry);
+            if !retry {
+                return Err(failure.after_attempt(verdict));
             }
             metrics::counter!("dragonflywall_retries_total").increment(1);
             tried.push(endpoint.node);
-            last = Some(failure);
+            last_failure = Some(failure);
         }
     }
 
     /// Whether a request that is running elsewhere waits for the answer.
-    fn is_call(&self) -> bool {
+    fn is_nested(&self) -> bool {
         self.depth > 0
     }
 
@@ -101,23 +101,23 @@
     fn due(&self) -> Instant {
         let target_ms = self.branch.treatment.target_latency_ms;
         let target_ms = target_ms.unwrap_or(self.branch.treatment.timeout_ms);
-        self.began + Duration::from_millis(u64::from(target_ms))
+        self.started_at + Duration::from_millis(u64::from(target_ms))
     }
 
     /// Until when an answer is of use, from now.
-    fn limits(&self) -> Limits {
-        let left_us = |until: Instant| {
-            let left = until.saturating_duration_since(Instant::now());
-            u64::try_from(left.as_micros()).unwrap_or(u64::MAX)
+    fn time_limits(&self) -> Limits {
+        let remaining_us = |until: Instant| {
+            let remaining = until.saturating_duration_since(Instant::now());
+            u64::try_from(remaining.as_micros()).unwrap_or(u64::MAX)
         };
-        let deadline_us = left_us(self.deadline);
+        let deadline_us = remaining_us(self.deadline);
         Limits {
-            target_us: left_us(self.due()).min(deadline_us),
+            target_us: remaining_us(self.due()).min(deadline_us),
             deadline_us,
         }
     }
 
-    fn choose(&self, tried: &[NodeId]) -> Option<Endpoint> {
+    fn choose_endpoint(&self, tried: &[NodeId]) -> Option<Endpoint> {
         let view = self.node.view.load();
         let Some(ranked) = view.endpoints.get(self.service()) else {
             self.log_not_placed(0, tried.len());
@@ -127,7 +127,7 @@
             spill: self.branch.treatment.spill,
             slots: self.slots,
             resource: &self.branch.resource,
-            limits: self.limits(),
+            limits: self.time_limits(),
             body_bytes: self.body_bytes,
             tried,
         };
@@ -146,64 +146,64 @@
         Some(endpoint)
     }
 
-    fn id(&self) -> &str {
-        let id = self.parts.headers.get(&self.node.vocabulary.request_id);
-        decisions::shown(id)
+    fn request_id(&self) -> &str {
+        let id = self.parts.headers.get(&self.node.header_profile.request_id);
+        log_limiter::id_text(id)
     }
 
-    fn left_ms(&self) -> u64 {
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        u64::try_from(left.as_millis()).unwrap_or(u64::MAX)
+    fn remaining_ms(&self) -> u64 {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn log_placed(&self, endpoint: &Endpoint, believed: &Believed, tried: usize) {
-        if !self.node.decisions.may_log(Weight::Routine) {
+    fn log_placed(&self, endpoint: &Endpoint, believed: &Believed, tried_endpoints: usize) {
+        if !self.node.log_limiter.may_log(LogClass::Routine) {
             return;
         }
         log::info!(
-            request_id = self.id(),
+            request_id = self.request_id(),
             service:% = self.service(),
             resource:% = self.branch.resource,
             node:% = endpoint.node,
-            tried,
+            tried_endpoints,
             in_hand = believed.in_hand,
             slots = believed.slots,
             held_us:? = believed.held_us,
             failing = believed.failing,
             report_age_us:? = believed.report_age_us,
-            left_ms = self.left_ms();
+            remaining_ms = self.remaining_ms();
             "placed the request"
         );
     }
 
-    fn log_not_placed(&self, known: usize, tried: usize) {
-        if !self.node.decisions.may_log(Weight::Notable) {
+    fn log_not_placed(&self, known_endpoints: usize, tried_endpoints: usize) {
+        if !self.node.log_limiter.may_log(LogClass::Notable) {
             return;
         }
         log::warn!(
-            request_id = self.id(),
+            request_id = self.request_id(),
             service:% = self.service(),
-            known,
-            tried,
+            known_endpoints,
+            tried_endpoints,
             store_age_ms:? = self.node.store_age_ms(),
-            left_ms = self.left_ms();
+            remaining_ms = self.remaining_ms();
             "no endpoint to place the request at"
         );
     }
 
-    fn log_attempt_failed(&self, endpoint: &Endpoint, failure: &Failure, again: bool) {
-        if !self.node.decisions.may_log(Weight::Notable) {
+    fn log_attempt_failed(&self, endpoint: &Endpoint, failure: &Failure, retry: bool) {
+        if !self.node.log_limiter.may_log(LogClass::Notable) {
             return;
         }
         log::warn!(
-            request_id = self.id(),
+            request_id = self.request_id(),
             service:% = self.service(),
             node:% = endpoint.node,
             verdict = failure.verdict.as_str(),
-            reason = failure.reason.word(),
+            reason = failure.reason.code(),
             idempotent = self.branch.treatment.idempotent,
-            again,
-            left_ms = self.left_ms();
+            retry,
+            remaining_ms = self.remaining_ms();
             "an attempt failed: {}", failure.reason.as_str()
         );
     }
@@ -212,7 +212,7 @@
     fn hop(&self, retries: u32, waits: bool) -> Hop {
         let treatment = &self.branch.treatment;
         let patience = match waits {
-            true if self.is_call() => patience::of_call(treatment),
+            true if self.is_nested() => patience::of_call(treatment),
             true => patience::of_caller(treatment, self.node.without()),
             false => Duration::ZERO,
         };
@@ -224,7 +224,7 @@
             rank: treatment.priority,
             idempotent: treatment.idempotent,
             patience,
-            came: now,
+            received_at: now,
             due_in: self.due().saturating_duration_since(now),
             deadline: self.deadline,
             depth: self.depth,
@@ -232,33 +232,34 @@
         }
     }
 
-    async fn attempt(
+    async fn send_attempt(
         &self,
         endpoint: Endpoint,
-        replay: &Replay,
+        body: &ReplayableBody,
         hop: Hop,
     ) -> Result<Response<Body>, Failure> {
-        let outstanding = Outstanding {
+        let outstanding = OutstandingRequest {
             node: Arc::clone(self.node),
             endpoint: endpoint.node,
         };
-        let result = if endpoint.node == self.node.me {
-            let request = self.request(replay.next());
-            let result = gate::run(self.node, &hop, request, intake::From::Here).await;
-            self.reported(&endpoint, self.node.load(&hop));
+        let result = if endpoint.node == self.node.local_id {
+            let request = self.build_request(body.next_attempt());
+            let result = gate::run(self.node, &hop, request, uploads::BodySource::Local).await;
+            self.record_load(&endpoint, self.node.load(&hop));
             result
         } else if self.is_large() {
-            self.send_large(&endpoint, hop, replay).await
+            self.send_large(&endpoint, hop, body).await
         } else {
-            self.send(&endpoint, &hop, self.request(replay.next()))
+            self.send(&endpoint, &hop, self.build_request(body.next_attempt()))
                 .await
         };
-        self.observe(&endpoint, &result);
+        self.record_outcome(&endpoint, &result);
         if let Ok(response) = &result {
             let bytes = response.body().size_hint().lower();
             self.node.balancer().answered(&self.branch.resource, bytes);
         }
-        result.map(|response| response.map(|inner| body::boxed(Guarded::new(inner, outstanding))))
+        result
+            .map(|response| response.map(|inner| body::boxed(GuardedBody::new(inner, outstanding))))
     }
 
     fn is_large(&self) -> bool {
@@ -270,18 +271,18 @@
         &self,
         endpoint: &Endpoint,
         hop: Hop,
-        replay: &Replay,
+        body: &ReplayableBody,
     ) -> Result<Response<Body>, Failure> {
-        let mut reservation = self.request(body::empty());
+        let mut reservation = self.build_request(body::empty());
         let headers = reservation.headers_mut();
         headers.remove(header::CONTENT_LENGTH);
         headers.insert(headers::RESERVE, HeaderValue::from(self.body_bytes));
-        let given = self.send(endpoint, &hop, reservation).await;
-        let given = given.map_err(Failure::before_sending)?;
-        let turn = given.headers().get(headers::TURN).cloned();
-        let mut request = self.request(replay.next());
-        if let Some(turn) = turn {
-            request.headers_mut().insert(headers::TURN, turn);
+        let granted = self.send(endpoint, &hop, reservation).await;
+        let granted = granted.map_err(Failure::of_reservation)?;
+        let permit = granted.headers().get(headers::TURN).cloned();
+        let mut request = self.build_request(body.next_attempt());
+        if let Some(permit) = permit {
+            request.headers_mut().insert(headers::TURN, permit);
         }
         // Once the body has used the link it is worth a wait.
         let hop = self.hop(hop.retries, true);
@@ -298,40 +299,40 @@
         let mut sender = tokio::time::timeout_at(self.deadline.into(), sender)
             .await
             .map_err(|_| Failure::not_run(Reason::TooLate))??;
-        hop.write(request.headers_mut());
+        hop.write_headers(request.headers_mut());
         let exchange = sender.send(request);
         let response = tokio::time::timeout_at(self.deadline.into(), exchange)
             .await
             .map_err(|_| Failure::may_have_run(Reason::Deadline))??;
-        let Some(load) = headers::load(response.headers()) else {
+        let Some(load) = headers::parse_load(response.headers()) else {
             log::warn!(peer:% = endpoint.node; "an answer came from no gate: look at the mesh token");
-            return Err(without_gate(response.headers()));
+            return Err(failure_without_load(response.headers()));
         };
-        self.reported(endpoint, load);
-        self.learn_held(endpoint, response.headers());
+        self.record_load(endpoint, load);
+        self.record_hold_times(endpoint, response.headers());
         match Failure::from_headers(response.headers()) {
             None => Ok(response.map(body::boxed)),
             Some(failure) => Err(failure),
         }
     }
 
-    fn reported(&self, endpoint: &Endpoint, load: LoadReport) {
+    fn record_load(&self, endpoint: &Endpoint, load: LoadReport) {
         let now_us = clock::since_us(self.node.started);
         let resource = &self.branch.resource;
         let mut balancer = self.node.balancer();
         balancer.reported(now_us, endpoint.node, resource, load);
     }
 
-    fn learn_held(&self, endpoint: &Endpoint, headers: &HeaderMap) {
+    fn record_hold_times(&self, endpoint: &Endpoint, headers: &HeaderMap) {
         let now_us = clock::since_us(self.node.started);
         let mut balancer = self.node.balancer();
-        for (resource, held_us) in headers::held(headers) {
+        for (resource, held_us) in headers::parse_hold_times(headers) {
             balancer.learnt_held(now_us, endpoint.node, &resource, held_us);
         }
     }
 
     /// Tells the balancer what this attempt has shown of its endpoint.
-    fn observe(&self, endpoint: &Endpoint, result: &Result<Response<Body>, Failure>) {
+    fn record_outcome(&self, endpoint: &Endpoint, result: &Result<Response<Body>, Failure>) {
         let observed = match result {
             Ok(response) => Observed::Answered {
                 server_error: response.status().is_server_error(),
@@ -350,10 +351,10 @@
             .observed(now_us, endpoint.node, observed);
     }
 
-    fn request(&self, body: Body) -> Request<Body> {
+    fn build_request(&self, body: Body) -> Request<Body> {
         let mut request = Request::new(body);
         *request.method_mut() = self.parts.method.clone();
-        *request.uri_mut() = absolute(self.parts, self.host);
+        *request.uri_mut() = absolute_uri(self.parts, self.host);
         *request.version_mut() = http::Version::HTTP_2;
         *request.headers_mut() = self.parts.headers.clone();
         request.headers_mut().remove(http::header::HOST);
@@ -364,7 +365,7 @@
 /// Only a gate says its load. An answer without it is a peer listener's refusal of the mesh token, which says itself
 /// that nothing ran, or comes from a program that is no node: a VM's address may have passed to one. Only the
 /// mesh's own words prove "not run".
-fn without_gate(headers: &HeaderMap) -> Failure {
+fn failure_without_load(headers: &HeaderMap) -> Failure {
     match Failure::from_headers(headers) {
         Some(failure) if failure.verdict == Verdict::NotRun => {
             Failure::not_run(Reason::Unreachable)
@@ -373,7 +374,7 @@
     }
 }
 
-fn absolute(parts: &Parts, host: &Authority) -> Uri {
+fn absolute_uri(parts: &Parts, host: &Authority) -> Uri {
     let path = parts.uri.path_and_query();
     let path = path.map_or("/", |path| path.as_str());
     let uri = Uri::builder()
@@ -385,12 +386,12 @@
 }
 
 /// Counts one request at its endpoint until its answer has been passed on or given up.
-struct Outstanding {
+struct OutstandingRequest {
     node: Arc<ProxyState>,
     endpoint: NodeId,
 }
 
-impl Drop for Outstanding {
+impl Drop for OutstandingRequest {
     fn drop(&mut self) {
         self.node.balancer().ended(self.endpoint);
     }
--- a/src/proxy/answer.rs
+++ b/src/proxy/failure.rs
@@ -4,8 +4,8 @@
 use http::{Response, StatusCode};
 
 use super::body::{self, Body};
+use super::header_profile::{self, HeaderProfile};
 use super::headers;
-use super::vocabulary::{self, Vocabulary};
 use crate::core::verdict::Verdict;
 use crate::decide::retry::Failed;
 
@@ -13,7 +13,7 @@
 /// to learn of a change.
 const RETRY_AFTER_DEFAULT_MS: u64 = 100;
 /// Longest wait that is told: beyond half a minute an estimate says nothing.
-const RETRY_AFTER_MOST_MS: u64 = 30_000;
+const RETRY_AFTER_MAX_MS: u64 = 30_000;
 
 /// Why a request got no answer from a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -79,7 +79,7 @@
     ];
 
     /// The word used in [`headers::REASON`].
-    pub(crate) fn word(self) -> &'static str {
+    pub(crate) fn code(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no-configuration",
             Self::Refreshing => "refreshing",
@@ -102,8 +102,8 @@
         }
     }
 
-    fn from_word(word: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|reason| reason.word() == word)
+    fn from_code(code: &str) -> Option<Self> {
+        Self::ALL.into_iter().find(|reason| reason.code() == code)
     }
 
     pub(crate) fn as_str(self) -> &'static str {
@@ -177,18 +177,18 @@
     }
 
     /// Sets when asking again may help.
-    pub(crate) fn retry_after_ms(mut self, ms: u64) -> Self {
-        self.retry_after_ms = ms.clamp(RETRY_AFTER_DEFAULT_MS, RETRY_AFTER_MOST_MS);
+    pub(crate) fn with_retry_after_ms(mut self, ms: u64) -> Self {
+        self.retry_after_ms = ms.clamp(RETRY_AFTER_DEFAULT_MS, RETRY_AFTER_MAX_MS);
         self
     }
 
     /// When asking again may help, in milliseconds.
-    pub(crate) fn wait_ms(&self) -> u64 {
+    pub(crate) fn retry_after_ms(&self) -> u64 {
         self.retry_after_ms
     }
 
     /// The same failure of a request that an earlier attempt may have run.
-    pub(crate) fn after(mut self, earlier: Verdict) -> Self {
+    pub(crate) fn after_attempt(mut self, earlier: Verdict) -> Self {
         if earlier != Verdict::NotRun {
             self.verdict = Verdict::MayHaveRun;
         }
@@ -197,7 +197,7 @@
 
     /// The same failure of a request of which nothing has been sent to a backend server's node but the
     /// question whether it may come.
-    pub(crate) fn before_sending(self) -> Self {
+    pub(crate) fn of_reservation(self) -> Self {
         match self.verdict {
             Verdict::NotRun => self,
             Verdict::MayHaveRun | Verdict::Answered => Self::not_run(Reason::Unreachable),
@@ -205,13 +205,13 @@
     }
 
     /// Whether a gate refused the request because of its load alone; no backend server has seen it.
-    pub(crate) fn is_for_load(&self) -> bool {
-        let for_load = matches!(self.reason, Reason::Full | Reason::TooLate);
-        for_load && self.verdict == Verdict::NotRun
+    pub(crate) fn is_overload(&self) -> bool {
+        let overload = matches!(self.reason, Reason::Full | Reason::TooLate);
+        overload && self.verdict == Verdict::NotRun
     }
 
     /// How it counts for a retry.
-    pub(crate) fn failed(&self) -> Failed {
+    pub(crate) fn retry_kind(&self) -> Failed {
         match (self.verdict, self.reason) {
             (Verdict::NotRun, Reason::Draining | Reason::NoEndpoint) => Failed::Draining,
             (Verdict::NotRun, _) => Failed::NotRun,
@@ -221,37 +221,37 @@
 
     /// Reads the failure that another node answered; none if a backend server answered.
     pub(crate) fn from_headers(headers: &HeaderMap) -> Option<Self> {
-        let verdict = headers::text(headers, &headers::VERDICT)?;
-        let reason = headers::text(headers, &headers::REASON).and_then(Reason::from_word);
+        let verdict = headers::get_str(headers, &headers::VERDICT)?;
+        let reason = headers::get_str(headers, &headers::REASON).and_then(Reason::from_code);
         let failure = match Verdict::from_word(verdict) {
             Verdict::NotRun => Self::not_run(reason.unwrap_or(Reason::Full)),
             _ => Self::may_have_run(reason.unwrap_or(Reason::Lost)),
         };
-        let retry_after_ms = headers::number(headers, &headers::RETRY_AFTER_MS).unwrap_or(0);
-        Some(failure.retry_after_ms(retry_after_ms))
+        let retry_after_ms = headers::get_u64(headers, &headers::RETRY_AFTER_MS).unwrap_or(0);
+        Some(failure.with_retry_after_ms(retry_after_ms))
     }
 
     /// The answer of a gate to an entry.
-    pub(crate) fn into_hop_response(self) -> Response<Body> {
+    pub(crate) fn into_peer_response(self) -> Response<Body> {
         let retry_after_ms = HeaderValue::from(self.retry_after_ms);
-        let mut response = self.into_response(&vocabulary::OWN);
+        let mut response = self.into_response(&header_profile::DEFAULT);
         let headers = response.headers_mut();
         headers.insert(headers::RETRY_AFTER_MS, retry_after_ms);
         response
     }
 
     /// The answer to a caller, given at once.
-    pub(crate) fn into_response(self, vocabulary: &Vocabulary) -> Response<Body> {
+    pub(crate) fn into_response(self, profile: &HeaderProfile) -> Response<Body> {
         let mut response = Response::new(body::full(format!("{}\n", self.reason.as_str())));
         let status = self.reason.status();
         *response.status_mut() = status;
         let headers = response.headers_mut();
         let verdict = HeaderValue::from_static(self.verdict.as_str());
         headers.insert(headers::VERDICT, verdict);
-        let reason = HeaderValue::from_static(self.reason.word());
+        let reason = HeaderValue::from_static(self.reason.code());
         headers.insert(headers::REASON, reason);
         if status == StatusCode::SERVICE_UNAVAILABLE {
-            headers.insert(RETRY_AFTER, vocabulary.retry_after(self.retry_after_ms));
+            headers.insert(RETRY_AFTER, profile.retry_after_value(self.retry_after_ms));
         }
         response
     }
--- a/src/proxy/vocabulary.rs
+++ b/src/proxy/header_profile.rs
@@ -1,6 +1,6 @@
 //! Names of the headers that a node exchanges with callers and backend servers.
 //!
-//! The product has names of its own ([`OWN`]); [`crate::platform`] has those of the users' platform.
+//! The product has names of its own ([`DEFAULT`]); [`crate::platform`] has those of the users' platform.
 //! Headers between nodes are the same under both, see [`super::headers`].
 
 use std::time::{Duration, Instant};
@@ -12,18 +12,18 @@
 
 /// One set of names, and what goes with them.
 #[derive(Debug)]
-pub(crate) struct Vocabulary {
+pub(crate) struct HeaderProfile {
     /// Names a request. A caller that tries again gives each try a name of its own.
     pub(crate) request_id: HeaderName,
     /// Milliseconds until nobody waits for the answer any more.
     pub(crate) deadline_ms: HeaderName,
     /// Callers say themselves until when they wait; else only their route's timeout counts.
-    pub(crate) callers_say_deadline: bool,
+    pub(crate) callers_set_deadline: bool,
     /// To a backend server: names the running call, to be copied to the calls that it makes.
-    pub(crate) call: Option<HeaderName>,
+    pub(crate) call_token: Option<HeaderName>,
     /// A backend server's call has an id of its own that begins with that of the running request and
     /// [`CALL_ID_SEPARATOR`].
-    pub(crate) calls_extend_ids: bool,
+    pub(crate) calls_extend_request_id: bool,
     /// To a backend server: the service on whose VM the request began.
     pub(crate) caller_service: Option<HeaderName>,
     /// To a backend server: the only instance that may run the request.
@@ -34,7 +34,7 @@
     pub(crate) not_run: Option<HeaderName>,
     /// Backend servers repeat `request_id` in their answers, so an answer to another request is
     /// known as such.
-    pub(crate) answers_repeat_id: bool,
+    pub(crate) responses_repeat_id: bool,
     /// From a backend server: on each success, the mark that it is whole and its own.
     pub(crate) seal: Option<HeaderName>,
     /// `Retry-After` may have fractions of a second.
@@ -45,73 +45,83 @@
 pub(crate) const CALL_ID_SEPARATOR: char = '.';
 
 /// The product's own names.
-pub(crate) static OWN: Vocabulary = Vocabulary {
+pub(crate) static DEFAULT: HeaderProfile = HeaderProfile {
     request_id: headers::REQUEST_ID,
     deadline_ms: headers::DEADLINE_MS,
-    callers_say_deadline: false,
-    call: Some(headers::CALL),
-    calls_extend_ids: false,
+    callers_set_deadline: false,
+    call_token: Some(headers::CALL),
+    calls_extend_request_id: false,
     caller_service: None,
     expected_instance: None,
     instance: None,
     not_run: None,
-    answers_repeat_id: false,
+    responses_repeat_id: false,
     seal: None,
     retry_after_has_fractions: false,
 };
 
-impl Vocabulary {
+impl HeaderProfile {
     /// The id of the request that led to the one with this id, if it is a call's.
-    pub(crate) fn parent_of<'a>(&self, id: &'a HeaderValue) -> Option<&'a str> {
-        let text = id.to_str().ok().filter(|_| self.calls_extend_ids)?;
-        text.rsplit_once(CALL_ID_SEPARATOR)
-            .map(|(parent, _)| parent)
+    pub(crate) fn parent_of<'a>(&self, request_id: &'a HeaderValue) -> Option<&'a str> {
+        let id = request_id
+            .to_str()
+            .ok()
+            .filter(|_| self.calls_extend_request_id)?;
+        id.rsplit_once(CALL_ID_SEPARATOR).map(|(parent, _)| parent)
     }
 
     /// Until when a caller waits, if it says so.
-    pub(crate) fn deadline(&self, from: &HeaderMap) -> Option<Instant> {
-        if !self.callers_say_deadline {
+    pub(crate) fn deadline(&self, headers: &HeaderMap) -> Option<Instant> {
+        if !self.callers_set_deadline {
             return None;
         }
-        let remaining_ms = headers::number(from, &self.deadline_ms)?;
-        Instant::now().checked_add(Duration::from_millis(remaining_ms))
+        let timeout_ms = headers::get_u64(headers, &self.deadline_ms)?;
+        Instant::now().checked_add(Duration::from_millis(timeout_ms))
     }
 
     /// The value of `Retry-After`: whole seconds, rounded up, unless fractions are understood.
-    pub(crate) fn retry_after(&self, ms: u64) -> HeaderValue {
+    pub(crate) fn retry_after_value(&self, ms: u64) -> HeaderValue {
         if !self.retry_after_has_fractions {
             return HeaderValue::from(ms.div_ceil(1_000));
         }
-        headers::value(&format!("{}.{:03}", ms / 1_000, ms % 1_000))
+        headers::to_value(&format!("{}.{:03}", ms / 1_000, ms % 1_000))
     }
 
     /// Drops from a caller's request what only the mesh may say to a backend server.
-    pub(crate) fn strip_from_caller(&self, from: &mut HeaderMap) {
-        let reserved = [&self.call, &self.caller_service, &self.expected_instance];
+    pub(crate) fn strip_reserved(&self, headers: &mut HeaderMap) {
+        let reserved = [
+            &self.call_token,
+            &self.caller_service,
+            &self.expected_instance,
+        ];
         for name in reserved.into_iter().flatten() {
-            from.remove(name);
+            headers.remove(name);
         }
     }
 
     /// Whether a backend server says that it has not run the request of this answer.
-    pub(crate) fn says_not_run(&self, answer: &HeaderMap) -> bool {
+    pub(crate) fn is_not_run(&self, headers: &HeaderMap) -> bool {
         let name = self.not_run.as_ref();
-        name.is_some_and(|name| answer.contains_key(name))
+        name.is_some_and(|name| headers.contains_key(name))
     }
 
     /// Whether an answer is a backend server's to the request with this id, as far as answers say. A
     /// backend server may answer twice, the second time where the next request's answer is expected;
     /// only the right answer has the id.
-    pub(crate) fn answers(&self, id: Option<&HeaderValue>, answer: &http::response::Parts) -> bool {
-        if !self.answers_repeat_id {
+    pub(crate) fn is_response_to(
+        &self,
+        id: Option<&HeaderValue>,
+        response: &http::response::Parts,
+    ) -> bool {
+        if !self.responses_repeat_id {
             return true;
         }
-        let success = answer.status.is_success();
-        let sealed = self.seal.as_ref();
-        let sealed = sealed.is_none_or(|name| answer.headers.contains_key(name));
-        match answer.headers.get(&self.request_id) {
-            Some(of) => Some(of) == id && (sealed || !success),
-            None => !success,
+        let is_success = response.status.is_success();
+        let is_sealed = self.seal.as_ref();
+        let is_sealed = is_sealed.is_none_or(|name| response.headers.contains_key(name));
+        match response.headers.get(&self.request_id) {
+            Some(answered_id) => Some(answered_id) == id && (is_sealed || !is_success),
+            None => !is_success,
         }
     }
 }
--- a/src/proxy/headers.rs
+++ b/src/proxy/headers.rs
@@ -77,27 +77,27 @@
 }
 
 /// Drops the mesh's own headers.
-pub(crate) fn strip_mesh(headers: &mut HeaderMap) {
-    let own: Vec<HeaderName> = headers
+pub(crate) fn strip_mesh_headers(headers: &mut HeaderMap) {
+    let names: Vec<HeaderName> = headers
         .keys()
         .filter(|name| name.as_str().starts_with(MESH_PREFIX))
         .cloned()
         .collect();
-    for name in own {
+    for name in names {
         headers.remove(name);
     }
 }
 
-pub(crate) fn number(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
+pub(crate) fn get_u64(headers: &HeaderMap, name: &HeaderName) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+pub(crate) fn get_str<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
 /// Writes a load for [`LOAD`].
-pub(crate) fn load_value(load: &LoadReport) -> HeaderValue {
+pub(crate) fn format_load(load: &LoadReport) -> HeaderValue {
     let LoadReport {
         in_use,
         ahead,
@@ -106,14 +106,14 @@
         resource_held_us,
         intake_us,
     } = load;
-    value(&format!(
+    to_value(&format!(
         "{in_use} {ahead} {slots} {mean_held_us} {resource_held_us} {intake_us}"
     ))
 }
 
-/// Reads what [`load_value`] wrote.
-pub(crate) fn load(headers: &HeaderMap) -> Option<LoadReport> {
-    let mut numbers = text(headers, &LOAD)?.split(' ').map(str::parse::<u64>);
+/// Reads what [`format_load`] wrote.
+pub(crate) fn parse_load(headers: &HeaderMap) -> Option<LoadReport> {
+    let mut numbers = get_str(headers, &LOAD)?.split(' ').map(str::parse::<u64>);
     let mut next = || numbers.next()?.ok();
     Some(LoadReport {
         in_use: u32::try_from(next()?).ok()?,
@@ -127,17 +127,17 @@
 }
 
 /// Writes how long requests for some resources hold a slot, for [`HELD`].
-pub(crate) fn held_value(times: &[(&ResourceName, u64)]) -> HeaderValue {
+pub(crate) fn format_hold_times(times: &[(&ResourceName, u64)]) -> HeaderValue {
     let times = times.iter();
     let times: Vec<String> = times
         .map(|(resource, held_us)| format!("{resource} {held_us}"))
         .collect();
-    value(&times.join(","))
+    to_value(&times.join(","))
 }
 
-/// Reads what [`held_value`] wrote.
-pub(crate) fn held(headers: &HeaderMap) -> Vec<(ResourceName, u64)> {
-    let times = text(headers, &HELD).unwrap_or("").split(',');
+/// Reads what [`format_hold_times`] wrote.
+pub(crate) fn parse_hold_times(headers: &HeaderMap) -> Vec<(ResourceName, u64)> {
+    let times = get_str(headers, &HELD).unwrap_or("").split(',');
     let times = times.filter_map(|time| {
         let (resource, held_us) = time.split_once(' ')?;
         let held_us = held_us.parse().ok().filter(|held_us| *held_us > 0)?;
@@ -147,6 +147,6 @@
 }
 
 /// A header value from text that the mesh itself made.
-pub(crate) fn value(text: &str) -> HeaderValue {
+pub(crate) fn to_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or_else(|_| HeaderValue::from_static("?"))
 }
--- a/src/proxy/health.rs
+++ b/src/proxy/health.rs
@@ -11,7 +11,7 @@
 use crate::proxy::state::ProxyState;
 
 /// Longest wait for its answer: it is on the same VM, and the question waits for a slot like any request.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What a backend server says of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,13 +19,13 @@
     /// This instance takes work.
     Serving(InstanceName),
     /// It is leaving, or fails.
-    Refusing,
+    NotServing,
     /// It cannot be asked yet, or gave no answer that says it.
     Unknown,
 }
 
 /// Asks the backend server that `announcement` tells of.
-pub(crate) async fn ask(node: &ProxyState, announcement: &Announcement) -> Health {
+pub(crate) async fn check(node: &ProxyState, announcement: &Announcement) -> Health {
     let enforced = node.enforced.load_full();
     let Some(applied) = enforced else {
         return Health::Unknown;
@@ -33,37 +33,37 @@
     let service = applied.configuration.service(&announcement.service);
     let path = service.and_then(|service| service.health_path.as_deref());
     let Some(path) = path else {
-        return unasked(announcement);
+        return from_announcement(announcement);
     };
     let request = Request::get(path)
         .header(http::header::HOST, announcement.service.as_str())
         .body(body::empty());
     let Ok(request) = request else {
         log::warn!(path; "the health path of the service is no path");
-        return unasked(announcement);
+        return from_announcement(announcement);
     };
     let exchange = node.pool.send(announcement.address, request, false);
-    match tokio::time::timeout(ANSWER_TIMEOUT, exchange).await {
-        Ok(Ok(response)) => judge(node, response.status(), response.headers()),
+    match tokio::time::timeout(CHECK_TIMEOUT, exchange).await {
+        Ok(Ok(response)) => from_response(node, response.status(), response.headers()),
         Ok(Err(_)) | Err(_) => Health::Unknown,
     }
 }
 
 /// Where nobody can be asked, the announcement is all there is.
-fn unasked(announcement: &Announcement) -> Health {
+fn from_announcement(announcement: &Announcement) -> Health {
     let instance = announcement.instance.clone();
     instance.map_or(Health::Unknown, Health::Serving)
 }
 
-fn judge(node: &ProxyState, status: StatusCode, answer: &HeaderMap) -> Health {
-    if node.vocabulary.says_not_run(answer) {
+fn from_response(node: &ProxyState, status: StatusCode, response_headers: &HeaderMap) -> Health {
+    if node.header_profile.is_not_run(response_headers) {
         return Health::Unknown;
     }
-    let name = node.vocabulary.instance.as_ref();
-    let instance = name.and_then(|name| headers::text(answer, name));
+    let name = node.header_profile.instance.as_ref();
+    let instance = name.and_then(|name| headers::get_str(response_headers, name));
     match (status.is_success(), instance) {
         (true, Some(instance)) => Health::Serving(InstanceName::new(instance)),
         (true, None) => Health::Unknown,
-        (false, _) => Health::Refusing,
+        (false, _) => Health::NotServing,
     }
 }
--- a/src/proxy/hop.rs
+++ b/src/proxy/hop.rs
@@ -10,11 +10,11 @@
 use crate::decide::admission::{Ask, Urgency};
 use crate::util::clock;
 
-/// Part of the remaining time, at most [`MARGIN_MAX`], that a request does not spend in the queue:
+/// Part of the remaining time, at most [`QUEUE_MARGIN_MAX`], that a request does not spend in the queue:
 /// the gate's proof that it did not run has to reach the entry before the entry's own deadline
 /// passes, which proves nothing.
-const MARGIN_DIVISOR: u32 = 8;
-const MARGIN_MAX: Duration = Duration::from_millis(100);
+const QUEUE_MARGIN_DIVISOR: u32 = 8;
+const QUEUE_MARGIN_MAX: Duration = Duration::from_millis(100);
 
 /// Deadline of a request that carries none: only a node of another release sends such.
 const DEADLINE_DEFAULT_MS: u64 = 10_000;
@@ -32,7 +32,7 @@
     pub(crate) idempotent: bool,
     /// How long it is willing to wait for a slot.
     pub(crate) patience: Duration,
-    pub(crate) came: Instant,
+    pub(crate) received_at: Instant,
     /// How long from then its answer is worth most.
     pub(crate) due_in: Duration,
     pub(crate) deadline: Instant,
@@ -44,47 +44,50 @@
 
 impl Hop {
     /// Writes it for a gate on another node.
-    pub(crate) fn write(&self, to: &mut HeaderMap) {
-        to.insert(headers::DATA, HeaderValue::from(clock::boot_us()));
-        to.insert(headers::SERVICE, headers::value(self.service.as_str()));
-        to.insert(headers::RESOURCE, headers::value(self.resource.as_str()));
-        to.insert(headers::CLASS, self.class_value());
-        to.insert(headers::DEADLINE_MS, self.remaining_ms());
-        to.insert(headers::DEPTH, HeaderValue::from(self.depth));
-        to.insert(headers::RETRIES, HeaderValue::from(self.retries));
+    pub(crate) fn write_headers(&self, headers: &mut HeaderMap) {
+        headers.insert(headers::DATA, HeaderValue::from(clock::boot_us()));
+        headers.insert(headers::SERVICE, headers::to_value(self.service.as_str()));
+        headers.insert(headers::RESOURCE, headers::to_value(self.resource.as_str()));
+        headers.insert(headers::CLASS, self.class_value());
+        headers.insert(headers::DEADLINE_MS, self.remaining_ms());
+        headers.insert(headers::DEPTH, HeaderValue::from(self.depth));
+        headers.insert(headers::RETRIES, HeaderValue::from(self.retries));
     }
 
     /// Reads what another node's entry wrote, of a request that was held up for `delay` on its way.
-    pub(crate) fn read(from: &HeaderMap, delay: Duration) -> Option<Self> {
-        let service = headers::text(from, &headers::SERVICE).filter(|name| is_name(name))?;
-        let deadline_ms = headers::number(from, &headers::DEADLINE_MS);
+    pub(crate) fn read_headers(headers: &HeaderMap, delay: Duration) -> Option<Self> {
+        let service = headers::get_str(headers, &headers::SERVICE).filter(|name| is_name(name))?;
+        let deadline_ms = headers::get_u64(headers, &headers::DEADLINE_MS);
         let deadline_ms = deadline_ms.unwrap_or(DEADLINE_DEFAULT_MS);
-        let small = |name| {
-            let number = headers::number(from, name).unwrap_or(0);
+        let u32_header = |name| {
+            let number = headers::get_u64(headers, name).unwrap_or(0);
             u32::try_from(number).unwrap_or(u32::MAX)
         };
         let now = Instant::now();
-        let asked = Asked::read(headers::text(from, &headers::CLASS).unwrap_or(""));
+        let class_fields =
+            ClassFields::parse(headers::get_str(headers, &headers::CLASS).unwrap_or(""));
         Some(Self {
             service: ServiceName::new(service),
-            resource: ResourceName::new(headers::text(from, &headers::RESOURCE).unwrap_or("")),
-            class: asked.class,
-            rank: asked.rank,
-            idempotent: asked.idempotent,
-            patience: asked.patience,
-            came: now,
-            due_in: asked.due_in.saturating_sub(delay),
+            resource: ResourceName::new(
+                headers::get_str(headers, &headers::RESOURCE).unwrap_or(""),
+            ),
+            class: class_fields.class,
+            rank: class_fields.rank,
+            idempotent: class_fields.idempotent,
+            patience: class_fields.patience,
+            received_at: now,
+            due_in: class_fields.due_in.saturating_sub(delay),
             deadline: now + Duration::from_millis(deadline_ms).saturating_sub(delay),
-            depth: small(&headers::DEPTH),
-            retries: small(&headers::RETRIES),
+            depth: u32_header(&headers::DEPTH),
+            retries: u32_header(&headers::RETRIES),
         })
     }
 
     fn class_value(&self) -> HeaderValue {
         let due_in = self.due().saturating_duration_since(Instant::now());
-        headers::value(&format!(
+        headers::to_value(&format!(
             "{} {} {} {} {}",
-            word(self.class),
+            class_word(self.class),
             self.rank,
             self.patience.as_millis(),
             due_in.as_millis(),
@@ -94,33 +97,34 @@
 
     /// Until when its answer is worth most.
     fn due(&self) -> Instant {
-        self.came + self.due_in
+        self.received_at + self.due_in
     }
 
     /// What another request like it would ask of the gate if it came now.
-    pub(crate) fn ask_anew(&self, started: Instant) -> Ask {
+    pub(crate) fn fresh_admission_request(&self, started: Instant) -> Ask {
         let now = Instant::now();
         Self {
-            came: now,
-            deadline: now + self.deadline.saturating_duration_since(self.came),
+            received_at: now,
+            deadline: now + self.deadline.saturating_duration_since(self.received_at),
             ..self.clone()
         }
-        .ask(started)
+        .admission_request(started)
     }
 
     /// What it asks of the gate, by the microseconds since `started`.
-    pub(crate) fn ask(&self, started: Instant) -> Ask {
-        let us = |duration: Duration| u64::try_from(duration.as_micros()).unwrap_or(u64::MAX / 2);
+    pub(crate) fn admission_request(&self, started: Instant) -> Ask {
+        let to_us =
+            |duration: Duration| u64::try_from(duration.as_micros()).unwrap_or(u64::MAX / 2);
         Ask {
             class: self.class,
             urgency: match self.depth {
                 0 => Urgency::Caller { rank: self.rank },
                 _ => Urgency::Call,
             },
-            due_us: us(self.due().saturating_duration_since(started)),
+            due_us: to_us(self.due().saturating_duration_since(started)),
             held_us: None,
-            deadline_us: us(self.queue_deadline().saturating_duration_since(started)),
-            patience_us: us(self.patience),
+            deadline_us: to_us(self.queue_deadline().saturating_duration_since(started)),
+            patience_us: to_us(self.patience),
         }
     }
 
@@ -128,23 +132,23 @@
     pub(crate) fn queue_deadline(&self) -> Instant {
         let now = Instant::now();
         let remaining = self.deadline.saturating_duration_since(now);
-        now + remaining - (remaining / MARGIN_DIVISOR).min(MARGIN_MAX)
+        now + remaining - (remaining / QUEUE_MARGIN_DIVISOR).min(QUEUE_MARGIN_MAX)
     }
 
     /// Milliseconds that remain, as a header value.
     pub(crate) fn remaining_ms(&self) -> HeaderValue {
-        millis(self.deadline.saturating_duration_since(Instant::now()))
+        millis_value(self.deadline.saturating_duration_since(Instant::now()))
     }
 }
 
-fn millis(duration: Duration) -> HeaderValue {
+fn millis_value(duration: Duration) -> HeaderValue {
     HeaderValue::from(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
 }
 
 /// Says of a request that it may run twice.
 const IDEMPOTENT: &str = "idempotent";
 
-fn word(class: Class) -> &'static str {
+fn class_word(class: Class) -> &'static str {
     match class {
         Class::Interactive => "interactive",
         Class::Bulk => "bulk",
@@ -152,7 +156,7 @@
 }
 
 /// What [`Hop::class_value`] wrote.
-struct Asked {
+struct ClassFields {
     class: Class,
     rank: u8,
     patience: Duration,
@@ -160,19 +164,19 @@
     idempotent: bool,
 }
 
-impl Asked {
-    fn read(text: &str) -> Self {
+impl ClassFields {
+    fn parse(text: &str) -> Self {
         let mut words = text.split(' ');
         let class = match words.next() {
             Some("bulk") => Class::Bulk,
             _ => Class::Interactive,
         };
         let rank = words.next().and_then(|rank| rank.parse().ok());
-        let mut time = || {
+        let mut next_duration = || {
             let ms = words.next().and_then(|ms| ms.parse().ok());
             Duration::from_millis(ms.unwrap_or(DEADLINE_DEFAULT_MS))
         };
-        let (patience, due_in) = (time(), time());
+        let (patience, due_in) = (next_duration(), next_duration());
         Self {
             class,
             rank: rank.unwrap_or(PRIORITY_DEFAULT),
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -33,15 +33,15 @@
 /// Buffer of one connection or stream towards a caller or node that reads slowly.
 const SEND_BUFFER_MAX_BYTES: usize = 128 << 10;
 /// A silent HTTP/2 connection is asked whether it is still there.
-const KEEP_ALIVE: Duration = Duration::from_secs(20);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(20);
 
 pub(crate) type Builder = auto::Builder<TokioExecutor>;
 
 /// Whether a request to the peer or operator listener shows the mesh token; else nothing of it is looked at.
-pub(crate) fn may_speak(node: &ProxyState, request: &Request<Incoming>) -> bool {
-    let given = request.headers().get(headers::TOKEN);
+pub(crate) fn has_valid_token(node: &ProxyState, request: &Request<Incoming>) -> bool {
+    let received = request.headers().get(headers::TOKEN);
     let token = &node.settings.mesh_token;
-    token.accepts(given.map(|value| value.as_bytes()))
+    token.accepts(received.map(|value| value.as_bytes()))
 }
 
 pub(crate) fn unauthorized() -> Response<Body> {
@@ -52,53 +52,53 @@
     response
 }
 
-/// Accepts until `polite` or `stop`. `polite` also asks each connection to end after the requests
-/// that it is serving; `stop` drops it.
-pub(crate) async fn serve_all<H, F>(
+/// Accepts until `graceful_stop` or `hard_stop`. `graceful_stop` also asks each connection to end after the requests
+/// that it is serving; `hard_stop` drops it.
+pub(crate) async fn serve_listener<H, F>(
     listener: TcpListener,
     builder: Builder,
-    polite: CancellationToken,
-    stop: CancellationToken,
-    handle: H,
+    graceful_stop: CancellationToken,
+    hard_stop: CancellationToken,
+    handler: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
-    let connections = TaskTracker::new();
-    while let Some((stream, _)) = accept(&listener, &polite, &stop).await {
-        let handle = infallible(handle.clone());
-        let serving = serve_connection(builder.clone(), stream, polite.clone(), handle);
-        let stop = stop.clone();
-        connections.spawn(async move { stop.run_until_cancelled(serving).await });
+    let tasks = TaskTracker::new();
+    while let Some((stream, _)) = accept(&listener, &graceful_stop, &hard_stop).await {
+        let handler = infallible(handler.clone());
+        let serving = serve_connection(builder.clone(), stream, graceful_stop.clone(), handler);
+        let hard_stop = hard_stop.clone();
+        tasks.spawn(async move { hard_stop.run_until_cancelled(serving).await });
     }
-    connections.close();
-    connections.wait().await;
+    tasks.close();
+    tasks.wait().await;
 }
 
-type Answering = Pin<Box<dyn Future<Output = Result<Response<Body>, Infallible>> + Send>>;
+type ResponseFuture = Pin<Box<dyn Future<Output = Result<Response<Body>, Infallible>> + Send>>;
 
 /// A handler that always has an answer, in the form that the HTTP library wants.
-fn infallible<H, F>(handle: H) -> impl Fn(Request<Incoming>) -> Answering
+fn infallible<H, F>(handler: H) -> impl Fn(Request<Incoming>) -> ResponseFuture
 where
     H: Fn(Request<Incoming>) -> F,
     F: Future<Output = Response<Body>> + Send + 'static,
 {
     move |request| {
-        let answer = handle(request);
-        Box::pin(async move { Ok(answer.await) })
+        let response = handler(request);
+        Box::pin(async move { Ok(response.await) })
     }
 }
 
 /// The next connection; none once a token is cancelled.
 async fn accept(
     listener: &TcpListener,
-    polite: &CancellationToken,
-    stop: &CancellationToken,
+    graceful_stop: &CancellationToken,
+    hard_stop: &CancellationToken,
 ) -> Option<(TcpStream, IpAddr)> {
     loop {
         let accepted = tokio::select! {
-            () = polite.cancelled() => return None,
-            () = stop.cancelled() => return None,
+            () = graceful_stop.cancelled() => return None,
+            () = hard_stop.cancelled() => return None,
             accepted = listener.accept() => accepted,
         };
         match accepted {
@@ -118,33 +118,33 @@
 async fn serve_connection<H, F, S, E>(
     builder: Builder,
     stream: S,
-    polite: CancellationToken,
-    handle: H,
+    graceful_stop: CancellationToken,
+    handler: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Send + 'static,
     F: Future<Output = Result<Response<Body>, E>> + Send + 'static,
     S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
     E: std::error::Error + Send + Sync + 'static,
 {
-    let connection = builder.serve_connection(TokioIo::new(stream), service_fn(handle));
-    run(connection, polite).await;
+    let connection = builder.serve_connection(TokioIo::new(stream), service_fn(handler));
+    run_connection(connection, graceful_stop).await;
 }
 
-/// Runs a connection to its end; `polite` asks it to end after the requests that it is serving.
-async fn run<C>(connection: C, polite: CancellationToken)
+/// Runs a connection to its end; `graceful_stop` asks it to end after the requests that it is serving.
+async fn run_connection<C>(connection: C, graceful_stop: CancellationToken)
 where
     C: GracefulConnection,
     C::Error: std::fmt::Display,
 {
     tokio::pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
-        () = polite.cancelled() => {
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
+        () = graceful_stop.cancelled() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         log::trace!(error:%; "connection ended");
     }
 }
--- a/src/proxy/listener/http1.rs
+++ b/src/proxy/listener/http1.rs
@@ -18,15 +18,15 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::callers::{caller_request, limits};
-use crate::proxy::callers::Counted;
+use super::callers::{http_limits, serve_caller_request};
+use crate::proxy::caller_connections::ConnectionGuard;
 use crate::proxy::pipeline::Pipeline;
 use crate::proxy::stall::StallGuard;
 use crate::proxy::state::ProxyState;
 
 /// What a caller may send on one connection, and how long it may take.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Limits {
+pub(super) struct HttpLimits {
     pub(super) head_max_bytes: usize,
     /// From the first byte of a request to the end of its head.
     pub(super) head_timeout: Duration,
@@ -35,81 +35,81 @@
 }
 
 /// An idle connection.
-struct Idle {
+struct IdleConnection {
     stream: StallGuard,
     /// Bytes of the caller's next request that were read already.
     unread: Bytes,
 }
 
 /// Serves a connection until its caller closes it, it is idle for too long, its place is needed, or
-/// `polite` asks it to end after the requests that it is serving.
+/// `graceful_stop` asks it to end after the requests that it is serving.
 pub(super) async fn serve(
     node: Arc<ProxyState>,
     stream: StallGuard,
-    counted: &Counted,
-    polite: CancellationToken,
+    connection_guard: &ConnectionGuard,
+    graceful_stop: CancellationToken,
 ) {
     let unread = Bytes::new();
-    let mut idle = Idle { stream, unread };
-    while is_used(&node, &idle, counted, &polite).await {
+    let mut idle = IdleConnection { stream, unread };
+    while wait_for_request(&node, &idle, connection_guard, &graceful_stop).await {
         // Boxed, so that an idle connection does not hold the room for it.
-        match Box::pin(serve_requests(&node, idle, &polite)).await {
-            Some(again) => idle = again,
+        match Box::pin(serve_until_idle(&node, idle, &graceful_stop)).await {
+            Some(next_idle) => idle = next_idle,
             None => return,
         }
     }
 }
 
 /// Waits until the caller sends something; false if the connection is to be closed instead.
-async fn is_used(
+async fn wait_for_request(
     node: &ProxyState,
-    idle: &Idle,
-    counted: &Counted,
-    polite: &CancellationToken,
+    idle: &IdleConnection,
+    connection_guard: &ConnectionGuard,
+    graceful_stop: &CancellationToken,
 ) -> bool {
     if !idle.unread.is_empty() {
         return true;
     }
-    let mut place = counted.idle();
+    let mut idle_guard = connection_guard.mark_idle();
     tokio::select! {
         biased;
         readable = idle.stream.readable() => readable.is_ok(),
-        () = place.place_needed() => false,
-        () = idle_for_too_long(node) => false,
-        () = polite.cancelled() => false,
+        () = idle_guard.close_requested() => false,
+        () = wait_idle_timeout(node) => false,
+        () = graceful_stop.cancelled() => false,
     }
 }
 
 /// Waits for as long as a connection may be idle. Operators may allow a longer time meanwhile, so it is looked up
 /// again when it seems to be over.
-async fn idle_for_too_long(node: &ProxyState) {
-    let since = Instant::now();
+async fn wait_idle_timeout(node: &ProxyState) {
+    let idle_since = Instant::now();
     loop {
-        let most = limits(node).idle_timeout;
-        if since.elapsed() >= most {
+        let idle_timeout = http_limits(node).idle_timeout;
+        if idle_since.elapsed() >= idle_timeout {
             return;
         }
-        tokio::time::sleep_until(since + most).await;
+        tokio::time::sleep_until(idle_since + idle_timeout).await;
     }
 }
 
 /// Serves requests until the connection is idle again, and returns it; none if it has ended.
-async fn serve_requests(
+async fn serve_until_idle(
     node: &Arc<ProxyState>,
-    idle: Idle,
-    polite: &CancellationToken,
-) -> Option<Idle> {
-    let limits = limits(node);
-    let (pipeline, watched) = Pipeline::new(idle.stream, idle.unread, limits.head_max_bytes);
-    let handle = {
+    idle: IdleConnection,
+    graceful_stop: &CancellationToken,
+) -> Option<IdleConnection> {
+    let limits = http_limits(node);
+    let (pipeline, watched_stream) = Pipeline::new(idle.stream, idle.unread, limits.head_max_bytes);
+    let handler = {
         let (node, pipeline) = (Arc::clone(node), pipeline.clone());
         move |request| {
-            let used = pipeline.begin();
-            Box::pin(caller_request(
+            let active_request = pipeline.begin_request();
+            Box::pin(serve_caller_request(
                 Arc::clone(&node),
                 request,
                 pipeline.clone(),
-                used,
+                active_request,
             ))
         }
     };
@@ -117,35 +117,35 @@
         .timer(TokioTimer::new())
         .header_read_timeout(limits.head_timeout)
         .max_buf_size(limits.head_max_bytes)
-        .serve_connection(TokioIo::new(watched), service_fn(handle));
-    let mut released = false;
-    let mut stopping = false;
-    let ended = loop {
+        .serve_connection(TokioIo::new(watched_stream), service_fn(handler));
+    let mut became_idle = false;
+    let mut stop_requested = false;
+    let result = loop {
         let progress = poll_fn(|context| match connection.poll_without_shutdown(context) {
-            Poll::Ready(ended) => Poll::Ready(Some(ended)),
-            Poll::Pending if !released && pipeline.is_idle() => Poll::Ready(None),
+            Poll::Ready(result) => Poll::Ready(Some(result)),
+            Poll::Pending if !became_idle && pipeline.is_idle() => Poll::Ready(None),
             Poll::Pending => Poll::Pending,
         });
         tokio::select! {
             biased;
             progress = progress => match progress {
-                Some(ended) => break ended,
-                None => released = true,
+                Some(result) => break result,
+                None => became_idle = true,
             },
-            () = polite.cancelled(), if !stopping => stopping = true,
+            () = graceful_stop.cancelled(), if !stop_requested => stop_requested = true,
         }
         // An idle connection ends with this at once and keeps its stream; another one ends after the
         // request that it is serving.
         Pin::new(&mut connection).graceful_shutdown();
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         log::trace!(error:%; "connection ended");
         return None;
     }
     let parts = connection.into_parts();
     let (mut stream, unread) = pipeline.into_stream(parts.io.into_inner(), parts.read_buf)?;
-    if released && !stopping {
-        return Some(Idle { stream, unread });
+    if became_idle && !stop_requested {
+        return Some(IdleConnection { stream, unread });
     }
     // The answer has been written whole; that the caller is gone already is its affair.
     let _ = stream.shutdown().await;
--- a/src/proxy/listener/peers.rs
+++ b/src/proxy/listener/peers.rs
@@ -14,7 +14,7 @@
 use tonic::codegen::Service;
 
 use super::{REQUEST_WINDOW_BYTES, SEND_BUFFER_MAX_BYTES};
-use super::{accept, infallible, may_speak, run, unauthorized};
+use super::{accept, has_valid_token, infallible, run_connection, unauthorized};
 use crate::core::mechanism::Mechanism;
 use crate::decide::transit::Transit;
 use crate::peer::generated::control_server::{Control, ControlServer};
@@ -31,35 +31,35 @@
 /// As much as all streams together, so that one stalled upload never holds up another.
 const PEER_WINDOW_BYTES: u32 = PEER_STREAMS_MAX * REQUEST_WINDOW_BYTES;
 
-/// Serves other nodes until `polite`, after which each connection ends with its last answer. A
+/// Serves other nodes until `graceful_stop`, after which each connection ends with its last answer. A
 /// draining node still gossips, so its peers' connections stay until the end.
 pub(crate) async fn serve<C: Control>(
     listener: TcpListener,
     node: Arc<ProxyState>,
     control: C,
-    polite: CancellationToken,
-    stop: CancellationToken,
+    graceful_stop: CancellationToken,
+    hard_stop: CancellationToken,
 ) {
     let control = ControlServer::new(control)
         .max_decoding_message_size(CONTROL_MESSAGE_MAX_BYTES)
         .max_encoding_message_size(CONTROL_MESSAGE_MAX_BYTES);
     let builder = builder(node.link_share.window_bytes);
-    let connections = TaskTracker::new();
-    while let Some((stream, _)) = accept(&listener, &polite, &stop).await {
+    let tasks = TaskTracker::new();
+    while let Some((stream, _)) = accept(&listener, &graceful_stop, &hard_stop).await {
         let node = Arc::clone(&node);
         let control = control.clone();
         let transit = Arc::new(Mutex::new(Transit::default()));
-        let handle = infallible(move |request| {
+        let handler = infallible(move |request| {
             let (node, control) = (Arc::clone(&node), control.clone());
-            peer_request(node, control, Arc::clone(&transit), request)
+            serve_peer_request(node, control, Arc::clone(&transit), request)
         });
-        let connection = builder.serve_connection(TokioIo::new(stream), service_fn(handle));
-        let serving = run(connection, polite.clone());
-        let stop = stop.clone();
-        connections.spawn(async move { stop.run_until_cancelled(serving).await });
+        let connection = builder.serve_connection(TokioIo::new(stream), service_fn(handler));
+        let serving = run_connection(connection, graceful_stop.clone());
+        let hard_stop = hard_stop.clone();
+        tasks.spawn(async move { hard_stop.run_until_cancelled(serving).await });
     }
-    connections.close();
-    connections.wait().await;
+    tasks.close();
+    tasks.wait().await;
 }
 
 /// `window_bytes` of each request's body come without being asked for.
@@ -74,29 +74,29 @@
     builder
 }
 
-async fn peer_request<C: Control>(
+async fn serve_peer_request<C: Control>(
     node: Arc<ProxyState>,
     mut control: ControlServer<C>,
     transit: Arc<Mutex<Transit>>,
     request: Request<Incoming>,
 ) -> Response<Body> {
-    if !may_speak(&node, &request) {
+    if !has_valid_token(&node, &request) {
         return unauthorized();
     }
     // Only nodes set this header: an entry drops it from what callers send.
-    let Some(sent_us) = headers::number(request.headers(), &headers::DATA) else {
+    let Some(sent_us) = headers::get_u64(request.headers(), &headers::DATA) else {
         return match control.call(request).await {
             Ok(response) => response.map(body::boxed),
             Err(never) => match never {},
         };
     };
-    let checked = node.without().has(Mechanism::TransitCheck);
+    let check_enabled = node.without().has(Mechanism::TransitCheck);
     let delay = {
         let mut transit = transit.lock().unwrap_or_else(PoisonError::into_inner);
         let delay_us = transit.delay_us(clock::boot_us(), sent_us);
-        Duration::from_micros(if checked { delay_us } else { 0 })
+        Duration::from_micros(if check_enabled { delay_us } else { 0 })
     };
-    let token = node.in_gate.token();
+    let token = node.gate_requests.token();
     let response = gate::serve(node, request.map(body::boxed), delay).await;
-    response.map(|inner| body::boxed(body::Guarded::new(inner, token)))
+    response.map(|inner| body::boxed(body::GuardedBody::new(inner, token)))
 }
--- a/src/proxy/local_backend.rs
+++ b/src/proxy/local_backend.rs
@@ -20,10 +20,10 @@
 }
 
 impl From<&BackendServer> for LocalBackend {
-    fn from(known: &BackendServer) -> Self {
+    fn from(configured: &BackendServer) -> Self {
         Self {
-            service: known.service.clone(),
-            address: known.address,
+            service: configured.service.clone(),
+            address: configured.address,
             instance: None,
             slots: None,
         }
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -11,8 +11,8 @@
 use hyper::client::conn::http2;
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 
-use super::answer::{Failure, Reason};
 use super::body::Body;
+use super::failure::{Failure, Reason};
 use super::headers;
 use crate::peer::client::DialOptions;
 use crate::util::dial::dial;
@@ -21,26 +21,26 @@
 /// nearer than its retransmission.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// A frozen or cut-off peer is noticed within two of these while requests wait on it.
-const KEEP_ALIVE: Duration = Duration::from_secs(2);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Bytes of one answer that may be under way and unread, so that a slow reader does not make it pile up here.
-const ANSWER_WINDOW_BYTES: u32 = 128 << 10;
+const RESPONSE_WINDOW_BYTES: u32 = 128 << 10;
 /// Window of the whole connection: as much as all of its streams together may have under way, so
 /// that slow readers of some answers never hold up the others on the connection.
-const CONNECTION_WINDOW_BYTES: u32 = 1_024 * ANSWER_WINDOW_BYTES;
+const CONNECTION_WINDOW_BYTES: u32 = 1_024 * RESPONSE_WINDOW_BYTES;
 
 /// Addresses known before those without a connection are forgotten: above the subsets of all
 /// services that a node calls.
-const KNOWN_MAX: usize = 512;
+const ADDRESSES_MAX: usize = 512;
 
 /// A connection to another node's gate.
 #[derive(Clone, Debug)]
-pub(crate) struct Sender {
+pub(crate) struct PeerSender {
     requests: http2::SendRequest<Body>,
     token: Option<HeaderValue>,
 }
 
-impl Sender {
+impl PeerSender {
     /// Sends a request.
     pub(crate) async fn send(
         &mut self,
@@ -72,39 +72,39 @@
 
 #[derive(Debug)]
 pub(crate) struct PeerConnections {
-    options: DialOptions,
-    slots: Mutex<HashMap<SocketAddr, Arc<tokio::sync::Mutex<Slot>>>>,
+    dial_options: DialOptions,
+    connections: Mutex<HashMap<SocketAddr, Arc<tokio::sync::Mutex<ConnectionState>>>>,
 }
 
 /// Locked across the handshake, so that a burst opens one connection and not one per request.
 #[derive(Debug, Default)]
-struct Slot {
-    sender: Option<Sender>,
+struct ConnectionState {
+    sender: Option<PeerSender>,
     failed_at: Option<Instant>,
 }
 
-fn is_open(slot: &tokio::sync::Mutex<Slot>) -> bool {
-    let slot = slot.try_lock();
-    slot.is_ok_and(|slot| {
-        let sender = slot.sender.as_ref();
+fn is_open(connection: &tokio::sync::Mutex<ConnectionState>) -> bool {
+    let connection = connection.try_lock();
+    connection.is_ok_and(|connection| {
+        let sender = connection.sender.as_ref();
         sender.is_some_and(|sender| !sender.requests.is_closed())
     })
 }
 
 impl PeerConnections {
-    pub(crate) fn new(options: DialOptions) -> Self {
+    pub(crate) fn new(dial_options: DialOptions) -> Self {
         Self {
-            options,
-            slots: Mutex::default(),
+            dial_options,
+            connections: Mutex::default(),
         }
     }
 
     /// A connection to the gate at `address`; nothing has been sent if there is none.
-    pub(crate) async fn sender(&self, address: SocketAddr) -> Result<Sender, Failure> {
-        let asked_at = Instant::now();
-        let slot = self.slot(address);
-        let mut slot = slot.lock().await;
-        let open = slot
+    pub(crate) async fn sender(&self, address: SocketAddr) -> Result<PeerSender, Failure> {
+        let requested_at = Instant::now();
+        let connection = self.connection_state(address);
+        let mut connection = connection.lock().await;
+        let open = connection
             .sender
             .as_ref()
             .filter(|sender| !sender.requests.is_closed());
@@ -112,43 +112,50 @@
             return Ok(sender.clone());
         }
         // Those that waited while one dial failed take its result; else each would dial for the whole timeout.
-        if slot.failed_at.is_some_and(|failed_at| failed_at > asked_at) {
+        if connection
+            .failed_at
+            .is_some_and(|failed_at| failed_at > requested_at)
+        {
             return Err(Failure::not_run(Reason::Unreachable));
         }
         match self.connect(address).await {
             Ok(sender) => {
-                slot.sender = Some(sender.clone());
+                connection.sender = Some(sender.clone());
                 Ok(sender)
             }
             Err(error) => {
                 log::debug!(peer:% = address, error:%; "peer not reached");
-                slot.failed_at = Some(Instant::now());
+                connection.failed_at = Some(Instant::now());
                 Err(Failure::not_run(Reason::Unreachable))
             }
         }
     }
 
-    fn slot(&self, address: SocketAddr) -> Arc<tokio::sync::Mutex<Slot>> {
-        let mut slots = self.slots.lock().unwrap_or_else(PoisonError::into_inner);
-        if slots.len() >= KNOWN_MAX {
+    fn connection_state(&self, address: SocketAddr) -> Arc<tokio::sync::Mutex<ConnectionState>> {
+        let mut connections = self
+            .connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if connections.len() >= ADDRESSES_MAX {
             // VMs come and go all year, and each address would stay.
-            slots.retain(|_, slot| Arc::strong_count(slot) > 1 || is_open(slot));
+            connections
+                .retain(|_, connection| Arc::strong_count(connection) > 1 || is_open(connection));
         }
-        Arc::clone(slots.entry(address).or_default())
+        Arc::clone(connections.entry(address).or_default())
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<Sender, super::body::BoxError> {
-        let stream = dial(address, self.options.dial_from, CONNECT_TIMEOUT).await?;
+    async fn connect(&self, address: SocketAddr) -> Result<PeerSender, super::body::BoxError> {
+        let stream = dial(address, self.dial_options.dial_from, CONNECT_TIMEOUT).await?;
         let (requests, connection) = http2::Builder::new(TokioExecutor::new())
             .timer(TokioTimer::new())
-            .keep_alive_interval(KEEP_ALIVE)
-            .keep_alive_timeout(KEEP_ALIVE)
-            .initial_stream_window_size(ANSWER_WINDOW_BYTES)
+            .keep_alive_interval(KEEP_ALIVE_INTERVAL)
+            .keep_alive_timeout(KEEP_ALIVE_INTERVAL)
+            .initial_stream_window_size(RESPONSE_WINDOW_BYTES)
             .initial_connection_window_size(CONNECTION_WINDOW_BYTES)
             .handshake(TokioIo::new(stream))
             .await?;
         tokio::spawn(connection);
-        let token = self.options.token.to_send().map(headers::value);
-        Ok(Sender { requests, token })
+        let token = self.dial_options.token.to_send().map(headers::to_value);
+        Ok(PeerSender { requests, token })
     }
 }
--- a/src/proxy/pipeline.rs
+++ b/src/proxy/pipeline.rs
@@ -1,9 +1,9 @@
 //! Callers that send further requests before the first one is answered.
 //!
 //! The HTTP library takes the requests of a connection one after the other, so each would wait for the answers to all
-//! before it. Therefore the bytes are looked at as they pass to the library ([`Watched`]), further requests without a
+//! before it. Therefore the bytes are looked at as they pass to the library ([`WatchedStream`]), further requests without a
 //! body are [started early](Pipeline::start_early), and when the library comes to one of them it is given the answer
-//! that is under way ([`Pipeline::take`]). Answers keep their order, as the library still writes them.
+//! that is under way ([`Pipeline::take_early_response`]). Answers keep their order, as the library still writes them.
 //!
 //! The bytes are looked at by the parser that the library itself uses. A request that the two were to read
 //! differently is started anew; only requests that may run twice are started early.
@@ -24,7 +24,7 @@
 
 /// Requests of one connection that are known ahead of the one being answered. A caller's library
 /// sends a handful; each holds memory for its head and its answer.
-const AHEAD_MAX: usize = 16;
+const PIPELINED_MAX: usize = 16;
 
 /// Bytes read from a connection ahead of the library: heads of a few requests.
 const BUFFER_MAX_BYTES: usize = 16 << 10;
@@ -33,39 +33,42 @@
 const HEADERS_MAX: usize = 100;
 
 /// A request known ahead: the library will come to it.
-struct Ahead {
+struct PipelinedRequest {
     parts: Parts,
-    answer: Option<AbortOnDropHandle<Response<Body>>>,
+    response_task: Option<AbortOnDropHandle<Response<Body>>>,
 }
 
 /// What is known of the requests of one connection.
 #[derive(Default)]
-struct Requests {
+struct PipelinedRequests {
     /// Bytes of a head that is not complete yet.
     partial: BytesMut,
-    ahead: VecDeque<Ahead>,
+    pending: VecDeque<PipelinedRequest>,
     /// Something was sent that is not looked at, such as a body; nothing is known from then on.
-    blind: bool,
+    stopped_parsing: bool,
 }
 
-impl Requests {
-    fn saw(&mut self, bytes: &[u8], head_max_bytes: usize) {
-        if self.blind {
+impl PipelinedRequests {
+    fn parse_bytes(&mut self, bytes: &[u8], head_max_bytes: usize) {
+        if self.stopped_parsing {
             return;
         }
         self.partial.extend_from_slice(bytes);
         while !self.partial.is_empty() {
-            let full = self.ahead.len() >= AHEAD_MAX || self.partial.len() > head_max_bytes;
+            let full = self.pending.len() >= PIPELINED_MAX || self.partial.len() > head_max_bytes;
             match parse(&self.partial) {
                 Parsed::Head(parts, len_bytes) if !full => {
                     self.partial.advance(len_bytes);
-                    let answer = None;
+                    let response_task = None;
                     let parts = *parts;
-                    self.ahead.push_back(Ahead { parts, answer });
+                    self.pending.push_back(PipelinedRequest {
+                        parts,
+                        response_task,
+                    });
                 }
                 Parsed::Partial if !full => return,
                 _ => {
-                    self.blind = true;
+                    self.stopped_parsing = true;
                     self.partial = BytesMut::new();
                     return;
                 }
@@ -80,7 +83,7 @@
     Head(Box<Parts>, usize),
     Partial,
     /// A body follows, or it is no request.
-    Other,
+    Unsupported,
 }
 
 fn parse(bytes: &[u8]) -> Parsed {
@@ -89,35 +92,37 @@
     let len_bytes = match request.parse(bytes) {
         Ok(httparse::Status::Complete(len_bytes)) => len_bytes,
         Ok(httparse::Status::Partial) => return Parsed::Partial,
-        Err(_) => return Parsed::Other,
+        Err(_) => return Parsed::Unsupported,
     };
     match to_parts(&request) {
-        Some(parts) if is_plain(&parts) => Parsed::Head(Box::new(parts), len_bytes),
-        _ => Parsed::Other,
+        Some(parts) if has_no_body(&parts) => Parsed::Head(Box::new(parts), len_bytes),
+        _ => Parsed::Unsupported,
     }
 }
 
 fn to_parts(request: &httparse::Request<'_, '_>) -> Option<Parts> {
-    let mut built = Request::builder()
+    let mut builder = Request::builder()
         .method(request.method?)
         .uri(request.path?);
     for field in request.headers.iter() {
         let value = HeaderValue::from_bytes(field.value).ok()?;
-        built = built.header(field.name, value);
+        builder = builder.header(field.name, value);
     }
-    let (parts, ()) = built.body(()).ok()?.into_parts();
+    let (parts, ()) = builder.body(()).ok()?.into_parts();
     Some(parts)
 }
 
 /// Whether nothing but the next request follows the head.
-fn is_plain(parts: &Parts) -> bool {
-    let other = [
+fn has_no_body(parts: &Parts) -> bool {
+    let body_headers = [
         header::CONTENT_LENGTH,
         header::TRANSFER_ENCODING,
         header::UPGRADE,
         header::EXPECT,
     ];
-    other.iter().all(|name| !parts.headers.contains_key(name))
+    body_headers
+        .iter()
+        .all(|name| !parts.headers.contains_key(name))
 }
 
 struct Shared<S> {
@@ -128,16 +133,16 @@
     buffer: BytesMut,
     /// The caller has closed, or the connection broke.
     ended: bool,
-    requests: Requests,
+    requests: PipelinedRequests,
     /// Requests whose answers the library has not taken whole yet.
-    used: usize,
+    active_requests: usize,
     /// Whether there was a request at all.
-    began: bool,
+    had_request: bool,
     /// The library has written all that it was given.
     flushed: bool,
     /// The library has looked for a request and found nothing.
-    hungry: bool,
-    /// The library has read something since [`Pipeline::poll_more`] last said so.
+    read_pending: bool,
+    /// The library has read something since [`Pipeline::poll_read_ahead`] last said so.
     library_read: bool,
 }
 
@@ -151,11 +156,11 @@
 }
 
 /// A request that is being served, up to the end of its answer.
-pub(crate) struct Used<S>(Pipeline<S>);
+pub(crate) struct ActiveRequest<S>(Pipeline<S>);
 
-impl<S> Drop for Used<S> {
+impl<S> Drop for ActiveRequest<S> {
     fn drop(&mut self) {
-        self.0.lock().used -= 1;
+        self.0.lock().active_requests -= 1;
     }
 }
 
@@ -175,9 +180,9 @@
 impl<S> Pipeline<S> {
     /// Watches `stream`, of which `unread` was read already; heads are at most `head_max_bytes`
     /// long. The library gets the second half.
-    pub(crate) fn new(stream: S, unread: Bytes, head_max_bytes: usize) -> (Self, Watched<S>) {
-        let mut requests = Requests::default();
-        requests.saw(&unread, head_max_bytes);
+    pub(crate) fn new(stream: S, unread: Bytes, head_max_bytes: usize) -> (Self, WatchedStream<S>) {
+        let mut requests = PipelinedRequests::default();
+        requests.parse_bytes(&unread, head_max_bytes);
         let pipeline = Self {
             shared: Arc::new(Mutex::new(Shared {
                 stream: Some(stream),
@@ -185,14 +190,14 @@
                 buffer: BytesMut::from(&unread[..]),
                 ended: false,
                 requests,
-                used: 0,
-                began: false,
+                active_requests: 0,
+                had_request: false,
                 flushed: true,
-                hungry: false,
+                read_pending: false,
                 library_read: false,
             })),
         };
-        (pipeline.clone(), Watched(pipeline))
+        (pipeline.clone(), WatchedStream(pipeline))
     }
 
     /// Longest head of a request, in bytes.
@@ -201,26 +206,30 @@
     }
 
     /// Notes that a request is being served.
-    pub(crate) fn begin(&self) -> Used<S> {
+    pub(crate) fn begin_request(&self) -> ActiveRequest<S> {
         let mut shared = self.lock();
-        shared.used += 1;
-        shared.began = true;
-        Used(self.clone())
+        shared.active_requests += 1;
+        shared.had_request = true;
+        ActiveRequest(self.clone())
     }
 
     /// Whether requests were served, all are answered, and the caller has sent nothing more. The library flushes the
     /// stream only once it has nothing left to write; before that, letting go of the connection would cut an answer.
     pub(crate) fn is_idle(&self) -> bool {
         let shared = self.lock();
-        let answered = shared.began && shared.used == 0 && shared.flushed;
-        let waiting = shared.hungry && shared.buffer.is_empty() && !shared.ended;
-        answered && waiting && shared.requests.ahead.is_empty()
+        let answered = shared.had_request && shared.active_requests == 0 && shared.flushed;
+        let waiting = shared.read_pending && shared.buffer.is_empty() && !shared.ended;
+        answered && waiting && shared.requests.pending.is_empty()
     }
 
     /// The stream back from the library, and what was read of the next request: `unread` is what the
     /// library has of it. None if the caller has closed.
-    pub(crate) fn into_stream(self, watched: Watched<S>, unread: Bytes) -> Option<(S, Bytes)> {
-        drop(watched);
+    pub(crate) fn into_stream(
+        self,
+        watched_stream: WatchedStream<S>,
+        unread: Bytes,
+    ) -> Option<(S, Bytes)> {
+        drop(watched_stream);
         let mut shared = self.lock();
         if shared.ended {
             return None;
@@ -229,9 +238,9 @@
         if shared.buffer.is_empty() {
             return Some((stream, unread));
         }
-        let mut all = BytesMut::from(&unread[..]);
-        all.extend_from_slice(&shared.buffer);
-        Some((stream, all.freeze()))
+        let mut combined = BytesMut::from(&unread[..]);
+        combined.extend_from_slice(&shared.buffer);
+        Some((stream, combined.freeze()))
     }
 
     fn lock(&self) -> MutexGuard<'_, Shared<S>> {
@@ -239,19 +248,22 @@
     }
 
     /// The answer that was started early for the request that the library has come to, if any.
-    pub(crate) fn take(&self, parts: &Parts) -> Option<AbortOnDropHandle<Response<Body>>> {
+    pub(crate) fn take_early_response(
+        &self,
+        parts: &Parts,
+    ) -> Option<AbortOnDropHandle<Response<Body>>> {
         let mut shared = self.lock();
-        let known = shared.requests.ahead.pop_front()?;
-        let same = known.parts.method == parts.method
-            && known.parts.uri == parts.uri
-            && known.parts.headers == parts.headers;
+        let request = shared.requests.pending.pop_front()?;
+        let same = request.parts.method == parts.method
+            && request.parts.uri == parts.uri
+            && request.parts.headers == parts.headers;
         if !same {
             log::debug!(uri:% = parts.uri; "a request was read in two ways; none is started early");
-            shared.requests.ahead.clear();
-            shared.requests.blind = true;
+            shared.requests.pending.clear();
+            shared.requests.stopped_parsing = true;
             return None;
         }
-        known.answer
+        request.response_task
     }
 
     /// Starts the requests that are known ahead and not started yet. `start` declines what may not
@@ -261,11 +273,11 @@
         mut start: impl FnMut(&Parts) -> Option<AbortOnDropHandle<Response<Body>>>,
     ) {
         let mut shared = self.lock();
-        for known in &mut shared.requests.ahead {
-            if known.answer.is_none() {
-                known.answer = start(&known.parts);
+        for request in &mut shared.requests.pending {
+            if request.response_task.is_none() {
+                request.response_task = start(&request.parts);
             }
-            if known.answer.is_none() {
+            if request.response_task.is_none() {
                 return;
             }
         }
@@ -279,7 +291,7 @@
     /// The library looks for the end of a connection only while it holds no bytes of a further request, so a caller that
     /// pipelines and leaves would go unnoticed. While it looks it reads one further request itself, which counts as well.
     /// It reads before it polls the answer that this is a part of, in the same task, so nobody has to be woken.
-    pub(crate) fn poll_more(&self, context: &mut Context<'_>) -> Poll<bool> {
+    pub(crate) fn poll_read_ahead(&self, context: &mut Context<'_>) -> Poll<bool> {
         let mut shared = self.lock();
         if shared.ended {
             return Poll::Ready(false);
@@ -290,8 +302,8 @@
         if shared.buffer.len() >= BUFFER_MAX_BYTES {
             return Poll::Pending;
         }
-        let mut space = [0; 4_096];
-        let mut read = ReadBuf::new(&mut space);
+        let mut chunk = [0; 4_096];
+        let mut read = ReadBuf::new(&mut chunk);
         let stream = match shared.stream() {
             Ok(stream) => stream,
             Err(_) => return Poll::Ready(false),
@@ -304,15 +316,15 @@
         }
         shared.buffer.extend_from_slice(bytes);
         let head_max_bytes = shared.head_max_bytes;
-        shared.requests.saw(bytes, head_max_bytes);
+        shared.requests.parse_bytes(bytes, head_max_bytes);
         Poll::Ready(true)
     }
 }
 
 /// The connection as the library reads and writes it.
-pub(crate) struct Watched<S>(Pipeline<S>);
+pub(crate) struct WatchedStream<S>(Pipeline<S>);
 
-impl<S: AsyncRead + Unpin> AsyncRead for Watched<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for WatchedStream<S> {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -332,18 +344,18 @@
         }
         let before = buffer.filled().len();
         let polled = shared.stream()?.poll_read(context, buffer);
-        shared.hungry = polled.is_pending();
+        shared.read_pending = polled.is_pending();
         ready!(polled)?;
         shared.library_read = true;
         let head_max_bytes = shared.head_max_bytes;
         shared
             .requests
-            .saw(&buffer.filled()[before..], head_max_bytes);
+            .parse_bytes(&buffer.filled()[before..], head_max_bytes);
         Poll::Ready(Ok(()))
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Watched<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for WatchedStream<S> {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/src/proxy/replay.rs
+++ b/src/proxy/replay.rs
@@ -16,38 +16,38 @@
 /// nothing before it has admitted the request, and until then takes a window of 64 KiB; with one read
 /// of the caller's connection on top this is enough for an upload of any size that was refused or had to
 /// wait.
-pub(crate) const KEPT_MAX_BYTES: usize = 192 << 10;
+pub(crate) const REPLAY_BUFFER_MAX_BYTES: usize = 192 << 10;
 
 /// A request body, and whether it can be sent again.
 #[derive(Debug)]
-pub(crate) enum Replay {
+pub(crate) enum ReplayableBody {
     Empty,
-    Streamed(Arc<Mutex<Source>>),
+    Streamed(Arc<Mutex<SharedBody>>),
 }
 
 #[derive(Debug)]
-pub(crate) struct Source {
+pub(crate) struct SharedBody {
     incoming: Incoming,
-    size: SizeHint,
-    kept: Vec<Bytes>,
-    kept_bytes: usize,
+    size_hint: SizeHint,
+    buffered: Vec<Bytes>,
+    buffered_bytes: usize,
     /// More was read than is kept.
-    outgrown: bool,
+    unreplayable: bool,
     ended: bool,
     /// The attempt that may read.
     attempt: u32,
-    stall: Stall,
+    stall_timer: StallTimer,
 }
 
 /// Bounds how long a caller may send nothing while its body is waited for.
 #[derive(Debug)]
-struct Stall {
+struct StallTimer {
     limit: Duration,
     timer: Option<Pin<Box<Sleep>>>,
 }
 
-impl Stall {
-    fn poll_passed(&mut self, context: &mut Context<'_>) -> Poll<()> {
+impl StallTimer {
+    fn poll_expired(&mut self, context: &mut Context<'_>) -> Poll<()> {
         let limit = self.limit;
         let timer = self
             .timer
@@ -55,31 +55,31 @@
         timer.as_mut().poll(context)
     }
 
-    fn restart(&mut self) {
+    fn reset(&mut self) {
         if let Some(timer) = &mut self.timer {
             timer.as_mut().reset(Instant::now() + self.limit);
         }
     }
 }
 
-fn lock(source: &Mutex<Source>) -> MutexGuard<'_, Source> {
+fn lock(source: &Mutex<SharedBody>) -> MutexGuard<'_, SharedBody> {
     source.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Replay {
+impl ReplayableBody {
     pub(crate) fn new(incoming: Incoming, stall_limit: Duration) -> Self {
         if incoming.is_end_stream() {
             return Self::Empty;
         }
-        Self::Streamed(Arc::new(Mutex::new(Source {
-            size: incoming.size_hint(),
+        Self::Streamed(Arc::new(Mutex::new(SharedBody {
+            size_hint: incoming.size_hint(),
             incoming,
-            kept: Vec::new(),
-            kept_bytes: 0,
-            outgrown: false,
+            buffered: Vec::new(),
+            buffered_bytes: 0,
+            unreplayable: false,
             ended: false,
             attempt: 0,
-            stall: Stall {
+            stall_timer: StallTimer {
                 limit: stall_limit,
                 timer: None,
             },
@@ -92,47 +92,47 @@
     }
 
     /// How long the body is at least, as far as its caller says.
-    pub(crate) fn least_len_bytes(&self) -> u64 {
+    pub(crate) fn min_len_bytes(&self) -> u64 {
         match self {
             Self::Empty => 0,
-            Self::Streamed(source) => lock(source).size.lower(),
+            Self::Streamed(source) => lock(source).size_hint.lower(),
         }
     }
 
     /// The body from its beginning. An earlier one reads nothing from now on: were it still to
     /// read, as a request that was given up a moment ago might, both would get half a body.
-    pub(crate) fn next(&self) -> Body {
+    pub(crate) fn next_attempt(&self) -> Body {
         match self {
             Self::Empty => body::empty(),
             Self::Streamed(source) => {
                 let mut locked = lock(source);
                 locked.attempt += 1;
-                body::boxed(Attempt {
+                body::boxed(AttemptBody {
                     number: locked.attempt,
                     source: Arc::clone(source),
-                    sent: 0,
+                    next_chunk: 0,
                 })
             }
         }
     }
 
     /// Whether the whole body can still be sent.
-    pub(crate) fn has_next(&self) -> bool {
+    pub(crate) fn can_replay(&self) -> bool {
         match self {
             Self::Empty => true,
-            Self::Streamed(source) => !lock(source).outgrown,
+            Self::Streamed(source) => !lock(source).unreplayable,
         }
     }
 }
 
 /// One attempt's reading of the body.
-struct Attempt {
-    source: Arc<Mutex<Source>>,
+struct AttemptBody {
+    source: Arc<Mutex<SharedBody>>,
     number: u32,
-    sent: usize,
+    next_chunk: usize,
 }
 
-impl HttpBody for Attempt {
+impl HttpBody for AttemptBody {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -145,29 +145,29 @@
         if source.attempt != self.number {
             return Poll::Ready(Some(Err("a later attempt sends this body".into())));
         }
-        if let Some(kept) = source.kept.get(self.sent) {
-            self.sent += 1;
-            return Poll::Ready(Some(Ok(Frame::data(kept.clone()))));
+        if let Some(buffered) = source.buffered.get(self.next_chunk) {
+            self.next_chunk += 1;
+            return Poll::Ready(Some(Ok(Frame::data(buffered.clone()))));
         }
         let frame = ready!(source.poll_frame(context));
-        self.sent = source.kept.len();
+        self.next_chunk = source.buffered.len();
         Poll::Ready(frame)
     }
 
     fn is_end_stream(&self) -> bool {
         let source = lock(&self.source);
-        source.ended && self.sent >= source.kept.len()
+        source.ended && self.next_chunk >= source.buffered.len()
     }
 
     fn size_hint(&self) -> SizeHint {
-        match self.sent {
-            0 => lock(&self.source).size,
+        match self.next_chunk {
+            0 => lock(&self.source).size_hint,
             _ => SizeHint::default(),
         }
     }
 }
 
-impl Source {
+impl SharedBody {
     fn poll_frame(
         &mut self,
         context: &mut Context<'_>,
@@ -176,39 +176,39 @@
             return Poll::Ready(None);
         }
         let Poll::Ready(frame) = Pin::new(&mut self.incoming).poll_frame(context) else {
-            ready!(self.stall.poll_passed(context));
-            self.outgrown = true;
+            ready!(self.stall_timer.poll_expired(context));
+            self.unreplayable = true;
             return Poll::Ready(Some(Err("the caller stopped sending".into())));
         };
-        self.stall.restart();
+        self.stall_timer.reset();
         match frame {
             None => {
                 self.ended = true;
                 Poll::Ready(None)
             }
             Some(Ok(frame)) => {
-                self.keep(&frame);
+                self.buffer(&frame);
                 Poll::Ready(Some(Ok(frame)))
             }
             Some(Err(error)) => {
-                self.outgrown = true;
+                self.unreplayable = true;
                 Poll::Ready(Some(Err(error.into())))
             }
         }
     }
 
-    fn keep(&mut self, frame: &Frame<Bytes>) {
-        let data = frame.data_ref().filter(|_| !self.outgrown);
-        let room = KEPT_MAX_BYTES - self.kept_bytes;
+    fn buffer(&mut self, frame: &Frame<Bytes>) {
+        let data = frame.data_ref().filter(|_| !self.unreplayable);
+        let room = REPLAY_BUFFER_MAX_BYTES - self.buffered_bytes;
         match data.filter(|data| data.len() <= room) {
             Some(data) => {
-                self.kept_bytes += data.len();
-                self.kept.push(data.clone());
+                self.buffered_bytes += data.len();
+                self.buffered.push(data.clone());
             }
             None => {
-                self.outgrown = true;
-                self.kept.clear();
-                self.kept_bytes = 0;
+                self.unreplayable = true;
+                self.buffered.clear();
+                self.buffered_bytes = 0;
             }
         }
     }
--- a/src/proxy/calls.rs
+++ b/src/proxy/running_requests.rs
@@ -21,39 +21,39 @@
 
 new_key_type! {
     /// Names a call that the local backend server is running.
-    struct CallKey;
+    struct RequestKey;
 }
 
 #[derive(Debug)]
-struct Call {
+struct RunningRequest {
     secret: u128,
     deadline: Instant,
     depth: u32,
     retries: u32,
-    given_up: CancellationToken,
+    cancellation: CancellationToken,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    running: SlotMap<CallKey, Call>,
+    running: SlotMap<RequestKey, RunningRequest>,
     /// Those whose calls are known by their ids.
-    by_id: HashMap<Box<str>, CallKey>,
+    by_id: HashMap<Box<str>, RequestKey>,
 }
 
 /// All calls that the local backend server is running.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Calls {
+pub(crate) struct RunningRequests {
     state: Arc<Mutex<State>>,
 }
 
 /// What a call inherits from the call that led to it.
 #[derive(Debug)]
-pub(crate) struct Inherited {
+pub(crate) struct InheritedContext {
     pub(crate) deadline: Instant,
     /// Calls above the new one.
     pub(crate) depth: u32,
     /// Cancelled when nobody waits for the call above any more.
-    pub(crate) given_up: CancellationToken,
+    pub(crate) cancellation: CancellationToken,
     pub(crate) budget: RetryBudget,
 }
 
@@ -61,52 +61,55 @@
 /// the same time do not share one retry: the first takes all, so none is spent twice.
 #[derive(Debug, Default)]
 pub(crate) struct RetryBudget {
-    of: Option<(Calls, CallKey)>,
+    parent: Option<(RunningRequests, RequestKey)>,
     pub(crate) retries: u32,
 }
 
 impl RetryBudget {
     /// For a call that none led to.
-    pub(crate) fn fresh(retries: u32) -> Self {
-        Self { of: None, retries }
+    pub(crate) fn root(retries: u32) -> Self {
+        Self {
+            parent: None,
+            retries,
+        }
     }
 }
 
 impl Drop for RetryBudget {
     fn drop(&mut self) {
-        let Some((calls, key)) = self.of.take() else {
+        let Some((registry, key)) = self.parent.take() else {
             return;
         };
-        if let Some(call) = calls.lock().running.get_mut(key) {
-            call.retries += self.retries;
+        if let Some(request) = registry.lock().running.get_mut(key) {
+            request.retries += self.retries;
         }
     }
 }
 
-impl Calls {
+impl RunningRequests {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Notes a call that the backend server is about to run; `id` is the one that its own calls will
     /// begin with, if they do.
-    pub(crate) fn begin(&self, hop: &Hop, id: Option<&str>) -> Running {
+    pub(crate) fn register(&self, hop: &Hop, id: Option<&str>) -> RunningGuard {
         let secret = rand::random();
-        let call = Call {
+        let request = RunningRequest {
             secret,
             deadline: hop.deadline,
             depth: hop.depth,
             retries: hop.retries,
-            given_up: CancellationToken::new(),
+            cancellation: CancellationToken::new(),
         };
         let mut state = self.lock();
-        let key = state.running.insert(call);
+        let key = state.running.insert(request);
         let id: Option<Box<str>> = id.map(Into::into);
         if let Some(id) = id.clone() {
             state.by_id.insert(id, key);
         }
-        Running {
-            calls: self.clone(),
+        RunningGuard {
+            registry: self.clone(),
             key,
             id,
             secret,
@@ -115,32 +118,32 @@
     }
 
     /// What a call with `token` inherits; none if the token names no running call.
-    pub(crate) fn inherit(&self, token: &str) -> Option<Inherited> {
+    pub(crate) fn inherit_by_token(&self, token: &str) -> Option<InheritedContext> {
         let (key, secret) = token.split_once('-')?;
         let key = u64::from_str_radix(key, 16).ok()?;
         let secret = u128::from_str_radix(secret, 16).ok()?;
-        let key = CallKey::from(KeyData::from_ffi(key));
+        let key = RequestKey::from(KeyData::from_ffi(key));
         let mut state = self.lock();
-        let call = state.running.get_mut(key)?;
-        (call.secret == secret).then(|| self.inherited(key, call))
+        let request = state.running.get_mut(key)?;
+        (request.secret == secret).then(|| self.inherited_context(key, request))
     }
 
     /// What a call inherits that the running request `id` has made; none if no such request runs.
-    pub(crate) fn inherit_by_id(&self, id: &str) -> Option<Inherited> {
+    pub(crate) fn inherit_by_id(&self, id: &str) -> Option<InheritedContext> {
         let mut state = self.lock();
         let key = *state.by_id.get(id)?;
-        let call = state.running.get_mut(key)?;
-        Some(self.inherited(key, call))
+        let request = state.running.get_mut(key)?;
+        Some(self.inherited_context(key, request))
     }
 
-    fn inherited(&self, key: CallKey, call: &mut Call) -> Inherited {
-        Inherited {
-            deadline: call.deadline,
-            depth: call.depth + 1,
-            given_up: call.given_up.clone(),
+    fn inherited_context(&self, key: RequestKey, request: &mut RunningRequest) -> InheritedContext {
+        InheritedContext {
+            deadline: request.deadline,
+            depth: request.depth + 1,
+            cancellation: request.cancellation.clone(),
             budget: RetryBudget {
-                of: Some((self.clone(), key)),
-                retries: std::mem::take(&mut call.retries),
+                parent: Some((self.clone(), key)),
+                retries: std::mem::take(&mut request.retries),
             },
         }
     }
@@ -148,42 +151,42 @@
 
 /// A call that the backend server runs; forgotten when dropped.
 #[derive(Debug)]
-pub(crate) struct Running {
-    calls: Calls,
-    key: CallKey,
+pub(crate) struct RunningGuard {
+    registry: RunningRequests,
+    key: RequestKey,
     id: Option<Box<str>>,
     secret: u128,
     answered: bool,
 }
 
-impl Running {
+impl RunningGuard {
     /// The token for the backend server.
     pub(crate) fn token(&self) -> String {
         format!("{:x}-{:x}", self.key.data().as_ffi(), self.secret)
     }
 
     /// The backend server answered: takes the retries that were not spent.
-    pub(crate) fn answered(&mut self) -> u32 {
+    pub(crate) fn mark_answered(&mut self) -> u32 {
         self.answered = true;
-        let mut state = self.calls.lock();
-        let call = state.running.get_mut(self.key);
-        call.map_or(0, |call| std::mem::take(&mut call.retries))
+        let mut state = self.registry.lock();
+        let request = state.running.get_mut(self.key);
+        request.map_or(0, |request| std::mem::take(&mut request.retries))
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
-        let mut state = self.calls.lock();
+        let mut state = self.registry.lock();
         if let Some(id) = &self.id {
             // The same request may run here again by now.
             if state.by_id.get(id) == Some(&self.key) {
                 state.by_id.remove(id);
             }
         }
-        let call = state.running.remove(self.key);
+        let request = state.running.remove(self.key);
         drop(state);
-        if let Some(call) = call.filter(|_| !self.answered) {
-            call.given_up.cancel();
+        if let Some(request) = request.filter(|_| !self.answered) {
+            request.cancellation.cancel();
         }
     }
 }
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -1,14 +1,14 @@
 //! Slots of the local backend server: taken, waited for, given back.
 //!
 //! A waiting request parks on a channel whose other end the admission state holds. Whoever
-//! changes that state calls [`settle`], which wakes those whose turn has come.
+//! changes that state calls [`notify_queued`], which wakes those whose turn has come.
 
 use std::sync::Arc;
 use std::time::Instant;
 
 use tokio::sync::oneshot;
 
-use super::answer::{Failure, Reason};
+use super::failure::{Failure, Reason};
 use super::hop::Hop;
 use crate::core::configuration::Class;
 use crate::core::names::ResourceName;
@@ -17,14 +17,14 @@
 use crate::util::clock;
 
 /// Wakes a waiting request.
-pub(crate) type Wake = oneshot::Sender<Turn>;
+pub(crate) type DecisionSender = oneshot::Sender<Turn>;
 
 /// A slot of the backend server, given back when the answer has been passed on or given up.
 pub(crate) struct Slot {
     node: Arc<ProxyState>,
     class: Class,
     resource: ResourceName,
-    since: Instant,
+    acquired_at: Instant,
     answered: bool,
 }
 
@@ -34,49 +34,49 @@
             node: Arc::clone(node),
             class: hop.class,
             resource: hop.resource.clone(),
-            since: Instant::now(),
+            acquired_at: Instant::now(),
             answered: false,
         }
     }
 
     /// The backend server has answered the request that holds the slot.
-    pub(crate) fn answered(&mut self) {
+    pub(crate) fn mark_answered(&mut self) {
         self.answered = true;
     }
 
     /// Takes a slot, waiting for it as long as the deadline allows.
-    pub(crate) async fn take(node: &Arc<ProxyState>, hop: &Hop) -> Result<Self, Failure> {
+    pub(crate) async fn acquire(node: &Arc<ProxyState>, hop: &Hop) -> Result<Self, Failure> {
         let deadline = hop.queue_deadline();
         let mut receiver = None;
-        let wake = || {
-            let (sender, turn) = oneshot::channel();
-            receiver = Some(turn);
+        let new_sender = || {
+            let (sender, decision) = oneshot::channel();
+            receiver = Some(decision);
             sender
         };
         let now_us = clock::since_us(node.started);
         let admitted = {
             let mut admission = node.admission();
-            let ask = ask(node, &admission, hop);
-            admission.admit(now_us, &ask, wake)
+            let request = admission_request(node, &admission, hop);
+            admission.admit(now_us, &request, new_sender)
         };
         let ticket = match admitted {
             Admitted::Slot => return Ok(Self::new(node, hop)),
-            Admitted::Refused(refusal) => return Err(refused(refusal)),
+            Admitted::Refused(refusal) => return Err(refusal_failure(refusal)),
             Admitted::Queued(ticket) => ticket,
         };
         // Another class may have been put out of the queue to make room.
-        settle(node);
-        let mut waiting = Waiting {
+        notify_queued(node);
+        let mut queued = QueuedRequest {
             node,
             hop,
             ticket,
-            turn: receiver.expect("a queued request has a channel"),
+            decision: receiver.expect("a queued request has a channel"),
         };
-        let turn = tokio::time::timeout_at(deadline.into(), &mut waiting.turn).await;
-        match turn {
+        let decision = tokio::time::timeout_at(deadline.into(), &mut queued.decision).await;
+        match decision {
             Ok(Ok(Turn::Slot)) => Ok(Self::new(node, hop)),
-            Ok(Ok(Turn::Refused(refusal))) => Err(refused(refusal)),
-            // The drop of `waiting` takes it out of the queue: it will not run.
+            Ok(Ok(Turn::Refused(refusal))) => Err(refusal_failure(refusal)),
+            // The drop of `queued` takes it out of the queue: it will not run.
             Ok(Err(_)) | Err(_) => Err(Failure::not_run(Reason::TooLate)),
         }
     }
@@ -87,32 +87,32 @@
         let released = Released {
             class: self.class,
             resource: &self.resource,
-            held_us: clock::since_us(self.since),
+            held_us: clock::since_us(self.acquired_at),
             answered: self.answered,
         };
         let now_us = clock::since_us(self.node.started);
         self.node.admission().release(now_us, &released);
-        settle(&self.node);
+        notify_queued(&self.node);
     }
 }
 
 /// A request in the queue. If its caller hangs up, this is dropped at an await, and a slot may have been granted at
 /// the same moment. The turn is sent under the admission lock, so after `cancel` says that it was too late the turn
 /// is in the channel, and the slot is given back.
-struct Waiting<'a> {
+struct QueuedRequest<'a> {
     node: &'a Arc<ProxyState>,
     hop: &'a Hop,
     ticket: Ticket,
-    turn: oneshot::Receiver<Turn>,
+    decision: oneshot::Receiver<Turn>,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueuedRequest<'_> {
     fn drop(&mut self) {
         if self.node.admission().cancel(self.ticket) {
             return;
         }
         // Nothing is there if the turn was received; then the slot has its owner.
-        if let Ok(Turn::Slot) = self.turn.try_recv() {
+        if let Ok(Turn::Slot) = self.decision.try_recv() {
             drop(Slot::new(self.node, self.hop));
         }
     }
@@ -122,33 +122,35 @@
 pub(crate) fn would_refuse(node: &ProxyState, hop: &Hop) -> Option<Failure> {
     let now_us = clock::since_us(node.started);
     let admission = node.admission();
-    let ask = ask(node, &admission, hop);
-    admission.would_refuse(now_us, &ask).map(refused)
+    let request = admission_request(node, &admission, hop);
+    admission
+        .would_refuse(now_us, &request)
+        .map(refusal_failure)
 }
 
 /// What a request asks, with what its gate knows of others like it.
-fn ask(node: &ProxyState, admission: &Admission<Wake>, hop: &Hop) -> Ask {
+fn admission_request(node: &ProxyState, admission: &Admission<DecisionSender>, hop: &Hop) -> Ask {
     Ask {
         held_us: admission.held_of(&hop.resource),
-        ..hop.ask(node.started)
+        ..hop.admission_request(node.started)
     }
 }
 
 /// Wakes the waiting requests whose turn has come.
-pub(crate) fn settle(node: &ProxyState) {
+pub(crate) fn notify_queued(node: &ProxyState) {
     let now_us = clock::since_us(node.started);
     let mut admission = node.admission();
-    while let Some((wake, turn)) = admission.next(now_us) {
-        // The receiver outlives its place in the queue, see `Waiting`.
-        let _ = wake.send(turn);
+    while let Some((sender, decision)) = admission.next(now_us) {
+        // The receiver outlives its place in the queue, see `QueuedRequest`.
+        let _ = sender.send(decision);
     }
 }
 
-fn refused(refusal: Refusal) -> Failure {
+fn refusal_failure(refusal: Refusal) -> Failure {
     let reason = match refusal.cause {
         Cause::Full | Cause::TooLong => Reason::Full,
         Cause::TooLate => Reason::TooLate,
         Cause::Closed => Reason::Draining,
     };
-    Failure::not_run(reason).retry_after_ms(refusal.retry_after_ms)
+    Failure::not_run(reason).with_retry_after_ms(refusal.retry_after_ms)
 }
--- a/src/proxy/stall.rs
+++ b/src/proxy/stall.rs
@@ -16,19 +16,19 @@
 pub(crate) struct StallGuard {
     stream: TcpStream,
     limit: Duration,
-    timer: Option<Pin<Box<Sleep>>>,
-    opening: Option<Opening>,
+    stall_timer: Option<Pin<Box<Sleep>>>,
+    preface: Option<PrefaceTimeout>,
 }
 
 /// The first bytes of a connection.
 #[derive(Debug)]
-struct Opening {
-    missing_bytes: usize,
+struct PrefaceTimeout {
+    remaining_bytes: usize,
     timer: Pin<Box<Sleep>>,
 }
 
 /// Length of the HTTP/2 preface.
-const OPENING_BYTES: usize = 24;
+const HTTP2_PREFACE_BYTES: usize = 24;
 
 impl StallGuard {
     /// Writes may be pending for `limit`.
@@ -36,15 +36,15 @@
         Self {
             stream,
             limit,
-            timer: None,
-            opening: None,
+            stall_timer: None,
+            preface: None,
         }
     }
 
     /// The preface of HTTP/2 is to come within `limit`.
-    pub(crate) fn opening_within(mut self, limit: Duration) -> Self {
-        self.opening = Some(Opening {
-            missing_bytes: OPENING_BYTES,
+    pub(crate) fn with_preface_timeout(mut self, limit: Duration) -> Self {
+        self.preface = Some(PrefaceTimeout {
+            remaining_bytes: HTTP2_PREFACE_BYTES,
             timer: Box::pin(tokio::time::sleep(limit)),
         });
         self
@@ -55,20 +55,20 @@
         self.stream.readable().await
     }
 
-    fn watch<T>(
+    fn check_write<T>(
         &mut self,
-        written: Poll<io::Result<T>>,
+        result: Poll<io::Result<T>>,
         context: &mut Context<'_>,
     ) -> Poll<io::Result<T>> {
-        if written.is_ready() {
-            self.timer = None;
-            return written;
+        if result.is_ready() {
+            self.stall_timer = None;
+            return result;
         }
         let limit = self.limit;
-        let timer = self
-            .timer
+        let stall_timer = self
+            .stall_timer
             .get_or_insert_with(|| Box::pin(tokio::time::sleep(limit)));
-        match timer.as_mut().poll(context) {
+        match stall_timer.as_mut().poll(context) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
@@ -83,17 +83,17 @@
     ) -> Poll<io::Result<()>> {
         let filled_before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
-        let Some(opening) = &mut self.opening else {
+        let Some(preface) = &mut self.preface else {
             return read;
         };
         if read.is_pending() {
-            ready!(opening.timer.as_mut().poll(context));
+            ready!(preface.timer.as_mut().poll(context));
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
         let read_bytes = buffer.filled().len() - filled_before;
-        opening.missing_bytes = opening.missing_bytes.saturating_sub(read_bytes);
-        if opening.missing_bytes == 0 {
-            self.opening = None;
+        preface.remaining_bytes = preface.remaining_bytes.saturating_sub(read_bytes);
+        if preface.remaining_bytes == 0 {
+            self.preface = None;
         }
         read
     }
@@ -105,8 +105,8 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.watch(written, context)
+        let result = Pin::new(&mut self.stream).poll_write(context, bytes);
+        self.check_write(result, context)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -122,8 +122,8 @@
         context: &mut Context<'_>,
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.watch(written, context)
+        let result = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
+        self.check_write(result, context)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -12,16 +12,16 @@
 use tokio_util::task::TaskTracker;
 
 use super::backend::BackendPool;
-use super::calls::Calls;
-use super::decisions::Decisions;
+use super::header_profile::HeaderProfile;
 use super::headers;
 use super::hop::Hop;
-use super::intake::turns::{self, Granted};
 use super::local_backend::LocalBackend;
+use super::log_limiter::LogLimiter;
 use super::peers::PeerConnections;
-use super::slots::{self, Wake};
-use super::view::View;
-use super::vocabulary::Vocabulary;
+use super::running_requests::RunningRequests;
+use super::slots::{self, DecisionSender};
+use super::uploads::permits::{self, ReservedPermits};
+use super::view::MembershipView;
 use crate::core::mechanism::Without;
 use crate::core::member::NodeId;
 use crate::core::names::ServiceName;
@@ -42,32 +42,32 @@
     pub(crate) settings: Settings,
     /// What of the settings may change meanwhile, as it stands now.
     pub(crate) tunable: ArcSwap<Tunable>,
-    pub(crate) vocabulary: &'static Vocabulary,
-    pub(crate) me: NodeId,
+    pub(crate) header_profile: &'static HeaderProfile,
+    pub(crate) local_id: NodeId,
     pub(crate) started: Instant,
     pub(crate) enforced: ArcSwapOption<Applied>,
-    pub(crate) view: ArcSwap<View>,
+    pub(crate) view: ArcSwap<MembershipView>,
     /// What this node, as an entry, has seen of endpoints.
     balancer: Mutex<Balancer>,
     retry_tokens: Mutex<ServiceTokens>,
-    admission: Mutex<Admission<Wake>>,
+    admission: Mutex<Admission<DecisionSender>>,
     /// What the link of this VM takes at a time.
     pub(crate) link_share: LinkShare,
     intake: Mutex<Intake>,
     /// One for each large body that may come in at a time.
-    pub(crate) intake_turns: Arc<Semaphore>,
+    pub(crate) upload_permits: Arc<Semaphore>,
     /// Large bodies that come in, from other nodes and from callers of this VM.
-    pub(crate) bodies_coming: AtomicU32,
+    pub(crate) incoming_uploads: AtomicU32,
     /// Turns that entries were given and whose bodies are still to come.
-    pub(crate) granted: Granted,
+    pub(crate) reserved_permits: ReservedPermits,
     /// The backend server that may be sent requests, if one is known.
     pub(crate) backend: ArcSwapOption<LocalBackend>,
     /// Told when it turns out that something else is at its address.
-    pub(crate) backend_lost: BackendLost,
+    pub(crate) on_backend_lost: BackendLostCallback,
     pub(crate) pool: BackendPool,
-    pub(crate) calls: Calls,
+    pub(crate) running_requests: RunningRequests,
     /// What is logged of requests.
-    pub(crate) decisions: Decisions,
+    pub(crate) log_limiter: LogLimiter,
     pub(crate) peers: PeerConnections,
     /// The process was frozen and has not caught up yet.
     pub(crate) refreshing: AtomicBool,
@@ -79,50 +79,54 @@
     /// Cancelled when the node itself is about to leave.
     pub(crate) leaving: CancellationToken,
     /// Requests of other nodes in flight at this node's gate.
-    pub(crate) in_gate: TaskTracker,
+    pub(crate) gate_requests: TaskTracker,
 }
 
 /// Whom to tell that the local backend server of a service is lost; set once, when the node starts.
 #[derive(Default)]
-pub(crate) struct BackendLost(OnceLock<Box<dyn Fn(ServiceName) + Send + Sync>>);
+pub(crate) struct BackendLostCallback(OnceLock<Box<dyn Fn(ServiceName) + Send + Sync>>);
 
-impl BackendLost {
-    pub(crate) fn set(&self, tell: impl Fn(ServiceName) + Send + Sync + 'static) {
+impl BackendLostCallback {
+    pub(crate) fn set(&self, callback: impl Fn(ServiceName) + Send + Sync + 'static) {
         // A second call would be of a second start, which there is not.
-        let _ = self.0.set(Box::new(tell));
+        let _ = self.0.set(Box::new(callback));
     }
 
-    fn tell(&self, service: ServiceName) {
-        if let Some(tell) = self.0.get() {
-            tell(service);
+    fn call(&self, service: ServiceName) {
+        if let Some(callback) = self.0.get() {
+            callback(service);
         }
     }
 }
 
-impl fmt::Debug for BackendLost {
+impl fmt::Debug for BackendLostCallback {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("BackendLost")
     }
 }
 
 impl ProxyState {
-    pub(crate) fn new(settings: Settings, vocabulary: &'static Vocabulary, me: NodeId) -> Self {
+    pub(crate) fn new(
+        settings: Settings,
+        header_profile: &'static HeaderProfile,
+        local_id: NodeId,
+    ) -> Self {
         // One that announces itself has nothing to do before it has.
-        let known = settings.backend_server.as_ref();
-        let known = known.filter(|_| !settings.backend_server_announces);
-        let backend = known.map(|known| Arc::new(LocalBackend::from(known)));
+        let configured = settings.backend_server.as_ref();
+        let configured = configured.filter(|_| !settings.backend_server_announces);
+        let backend = configured.map(|configured| Arc::new(LocalBackend::from(configured)));
         let link_share = LinkShare::of_link(settings.link_kbit_per_s);
         let without = settings.without;
         Self {
             link_share,
             intake: Mutex::new(Intake::new(link_share)),
-            intake_turns: turns::turns(link_share.at_a_time),
-            bodies_coming: AtomicU32::new(0),
-            granted: Granted::default(),
-            vocabulary,
+            upload_permits: permits::new_semaphore(link_share.at_a_time),
+            incoming_uploads: AtomicU32::new(0),
+            reserved_permits: ReservedPermits::default(),
+            header_profile,
             tunable: ArcSwap::from_pointee(settings.tunable()),
             peers: PeerConnections::new(settings.dial_options()),
-            me,
+            local_id,
             started: Instant::now(),
             enforced: ArcSwapOption::empty(),
             view: ArcSwap::default(),
@@ -130,15 +134,15 @@
             retry_tokens: Mutex::default(),
             admission: Mutex::new(Admission::new(without)),
             backend: ArcSwapOption::from(backend),
-            backend_lost: BackendLost::default(),
+            on_backend_lost: BackendLostCallback::default(),
             pool: BackendPool::new(without),
-            calls: Calls::default(),
-            decisions: Decisions::default(),
+            running_requests: RunningRequests::default(),
+            log_limiter: LogLimiter::default(),
             refreshing: AtomicBool::new(false),
             last_tick_ms: AtomicU64::new(0),
             store_read_ms: AtomicU64::new(0),
             leaving: CancellationToken::new(),
-            in_gate: TaskTracker::new(),
+            gate_requests: TaskTracker::new(),
             settings,
         }
     }
@@ -149,78 +153,78 @@
     }
 
     /// Milliseconds since the process was started.
-    pub(crate) fn age_ms(&self) -> u64 {
+    pub(crate) fn uptime_ms(&self) -> u64 {
         clock::since_ms(self.started)
     }
 
-    /// Notes that the store told what is newest, `age_ms` ago.
-    pub(crate) fn store_was_read(&self, age_ms: u64) {
-        let read_ms = self.age_ms().saturating_sub(age_ms);
-        self.store_read_ms.fetch_max(read_ms, Ordering::AcqRel);
+    /// Notes that the store told what is newest, `uptime_ms` ago.
+    pub(crate) fn record_store_read(&self, age_ms: u64) {
+        let last_read_ms = self.uptime_ms().saturating_sub(age_ms);
+        self.store_read_ms.fetch_max(last_read_ms, Ordering::AcqRel);
     }
 
     /// How long ago the store told what is newest, if it ever did.
     pub(crate) fn store_age_ms(&self) -> Option<u64> {
         match self.store_read_ms.load(Ordering::Acquire) {
             0 => None,
-            read_ms => Some(self.age_ms().saturating_sub(read_ms)),
+            last_read_ms => Some(self.uptime_ms().saturating_sub(last_read_ms)),
         }
     }
 
     /// Whether the process has gone on without a freeze since it last caught up.
     pub(crate) fn is_fresh(&self) -> bool {
         let since_tick_ms = self
-            .age_ms()
+            .uptime_ms()
             .saturating_sub(self.last_tick_ms.load(Ordering::Acquire));
         since_tick_ms < FREEZE_GAP_MS && !self.refreshing.load(Ordering::Acquire)
     }
 
     pub(crate) fn balancer(&self) -> MutexGuard<'_, Balancer> {
-        lock(&self.balancer)
+        lock_ignoring_poison(&self.balancer)
     }
 
     /// Brings the retries of this entry in line with the settings and the size of the mesh.
-    pub(crate) fn refresh_retries(&self) {
+    pub(crate) fn update_retry_policy(&self) {
         let tunable = self.tunable.load();
         let (percent, reserve) = (tunable.retry_percent, tunable.retry_reserve);
-        let policy = RetryPolicy::of_entry(percent, reserve, self.view.load().alive());
+        let policy = RetryPolicy::of_entry(percent, reserve, self.view.load().alive_count());
         self.retry_tokens()
             .set_policy(policy.without(self.without()));
     }
 
     pub(crate) fn retry_tokens(&self) -> MutexGuard<'_, ServiceTokens> {
-        lock(&self.retry_tokens)
+        lock_ignoring_poison(&self.retry_tokens)
     }
 
-    pub(crate) fn admission(&self) -> MutexGuard<'_, Admission<Wake>> {
-        lock(&self.admission)
+    pub(crate) fn admission(&self) -> MutexGuard<'_, Admission<DecisionSender>> {
+        lock_ignoring_poison(&self.admission)
     }
 
     /// What this node's gate says of its load with the answer to `hop`.
     pub(crate) fn load(&self, hop: &Hop) -> LoadReport {
         let now_us = clock::since_us(self.started);
-        let ask = hop.ask_anew(self.started);
+        let request = hop.fresh_admission_request(self.started);
         let intake_us = self.intake().taken_us();
-        let load = self.admission().load(now_us, &ask, &hop.resource);
+        let load = self.admission().load(now_us, &request, &hop.resource);
         LoadReport { intake_us, ..load }
     }
 
     /// What this node's gate says, with the answer to `hop`, of how long other requests hold a slot.
-    pub(crate) fn other_held(&self, hop: &Hop) -> HeaderValue {
+    pub(crate) fn other_hold_times(&self, hop: &Hop) -> HeaderValue {
         let admission = self.admission();
         let now_us = clock::since_us(self.started);
-        headers::held_value(&admission.other_held(now_us, &hop.resource))
+        headers::format_hold_times(&admission.other_held(now_us, &hop.resource))
     }
 
     pub(crate) fn intake(&self) -> MutexGuard<'_, Intake> {
-        lock(&self.intake)
+        lock_ignoring_poison(&self.intake)
     }
 
     /// Lets the backend server have no new work; what waits for a slot is refused at once, so
     /// that its entry takes it elsewhere.
     pub(crate) fn close_gate(&self) {
         self.admission().close();
-        slots::settle(self);
+        slots::notify_queued(self);
     }
 
     /// Lets the backend server have new work again.
@@ -229,33 +233,33 @@
     }
 
     /// Brings the limits in line with what is enforced and which service is local.
-    pub(crate) fn refresh_slots(&self) {
+    pub(crate) fn update_slot_limits(&self) {
         let backend = self.backend.load_full();
         let applied = self.enforced.load_full();
         let (limits, connections) = match backend.as_ref().zip(applied.as_ref()) {
-            Some((backend, applied)) => limits_of(backend, applied),
+            Some((backend, applied)) => backend_limits(backend, applied),
             None => (Limits::default(), 0),
         };
         self.pool.set_connections_max(connections);
         self.admission().set_limits(limits);
-        slots::settle(self);
+        slots::notify_queued(self);
     }
 
     /// Another instance has answered in `backend`'s place, as an address may pass to another service: the
     /// gate is closed until something announces itself.
-    pub(crate) fn mistaken(&self, backend: &LocalBackend) {
+    pub(crate) fn handle_wrong_instance(&self, backend: &LocalBackend) {
         let current = self.backend.load_full();
         if current.as_deref() != Some(backend) {
             return;
         }
         log::warn!(instance:? = backend.instance; "another instance answers at the backend server's address");
         self.backend.store(None);
-        self.backend_lost.tell(backend.service.clone());
+        self.on_backend_lost.call(backend.service.clone());
     }
 }
 
 /// How much a backend server takes, and how many connections.
-fn limits_of(backend: &LocalBackend, applied: &Applied) -> (Limits, u32) {
+fn backend_limits(backend: &LocalBackend, applied: &Applied) -> (Limits, u32) {
     let Some(service) = applied.configuration.service(&backend.service) else {
         return (Limits::default(), 0);
     };
@@ -270,6 +274,6 @@
 }
 
 /// A lock that a panic elsewhere does not take away.
-pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+pub(crate) fn lock_ignoring_poison<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/proxy/intake.rs
+++ b/src/proxy/uploads.rs
@@ -1,9 +1,9 @@
 //! Takes in the large bodies that come to a gate; see [`crate::decide::intake`].
 //!
 //! An entry asks for a turn before it sends any byte of a large body to another node ([`reserve`]); the
-//! body then comes with the turn that it was given ([`take`]).
+//! body then comes with the turn that it was given ([`receive`]).
 
-pub(crate) mod turns;
+pub(crate) mod permits;
 
 use std::collections::VecDeque;
 use std::pin::Pin;
@@ -16,37 +16,40 @@
 use http_body::{Body as HttpBody, Frame, SizeHint};
 use http_body_util::BodyExt;
 
-use super::answer::{Failure, Reason};
-use super::body::{self, Body, BoxError, Guarded};
+use super::body::{self, Body, BoxError, GuardedBody};
+use super::failure::{Failure, Reason};
 use super::hop::Hop;
 use super::replay;
 use crate::core::mechanism::Mechanism;
 use crate::decide::intake::SMALL_BYTES;
 use crate::proxy::state::ProxyState;
 
-use self::turns::Turn;
+use self::permits::UploadPermit;
 
 /// Most of a body that is kept here if nobody says how long it is. With the window of its request and
 /// one read of the caller's connection on top it stays below what its entry keeps.
-const KEPT_UNSAID_BYTES: u64 = 64 << 10;
+const UNKNOWN_LEN_BUFFER_BYTES: u64 = 64 << 10;
 
 /// Longest turn of one body. A sender that is slower than this keeps no other from coming: at 7 Mbit/s
 /// 800 KB come in this time.
-const TURN_MAX: Duration = Duration::from_secs(1);
+const PERMIT_HOLD_MAX: Duration = Duration::from_secs(1);
 
 /// Where a body comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum From {
+pub(crate) enum BodySource {
     /// Over the link, with the turn that its entry was given, if it has asked for one.
-    Peer(Option<turns::Key>),
+    Peer(Option<permits::PermitKey>),
     /// From a caller of this VM: it does not use the link.
-    Here,
+    Local,
 }
 
 /// Gives a turn to a request whose body is still with its entry.
-pub(crate) async fn reserve(node: &Arc<ProxyState>, hop: &Hop) -> Result<turns::Key, Failure> {
-    let turn = Turn::wait(node, hop).await?;
-    Ok(turns::keep(node, turn))
+pub(crate) async fn reserve(
+    node: &Arc<ProxyState>,
+    hop: &Hop,
+) -> Result<permits::PermitKey, Failure> {
+    let permit = UploadPermit::acquire(node, hop).await?;
+    Ok(permits::hold_for_body(node, permit))
 }
 
 /// Takes in `body` as far as it is kept, if it is a large one.
@@ -54,34 +57,34 @@
 /// What is kept here is still with its entry, too: a request that gets no slot after all goes to
 /// another endpoint, whole. So of a body that its entry cannot keep nothing is read before its slot; its
 /// turn ends with it.
-pub(crate) async fn take(
+pub(crate) async fn receive(
     node: &Arc<ProxyState>,
     hop: &Hop,
     body: Body,
-    from: From,
+    source: BodySource,
 ) -> Result<Body, Failure> {
-    let len = body.size_hint().upper();
-    let by_turns = node.without().has(Mechanism::UploadTurns);
-    if !by_turns || len.is_some_and(|len| len <= SMALL_BYTES) {
+    let len_bytes = body.size_hint().upper();
+    let uses_permits = node.without().has(Mechanism::UploadTurns);
+    if !uses_permits || len_bytes.is_some_and(|len_bytes| len_bytes <= SMALL_BYTES) {
         return Ok(body);
     }
-    let turn = match from {
-        From::Here => None,
-        From::Peer(key) => match key.and_then(|key| node.granted.take(key)) {
-            Some(turn) => Some(turn),
-            None => Some(Turn::wait(node, hop).await?),
+    let permit = match source {
+        BodySource::Local => None,
+        BodySource::Peer(key) => match key.and_then(|key| node.reserved_permits.take(key)) {
+            Some(permit) => Some(permit),
+            None => Some(UploadPermit::acquire(node, hop).await?),
         },
     };
-    if len.is_some_and(|len| len > replay::KEPT_MAX_BYTES as u64) {
-        return Ok(body::boxed(Guarded::new(body, turn)));
+    if len_bytes.is_some_and(|len_bytes| len_bytes > replay::REPLAY_BUFFER_MAX_BYTES as u64) {
+        return Ok(body::boxed(GuardedBody::new(body, permit)));
     }
-    let _coming = Coming::new(&node.bodies_coming);
-    let mut kept = Kept::new(body, len.unwrap_or(KEPT_UNSAID_BYTES));
-    let within = tokio::time::timeout(TURN_MAX, kept.fill()).await;
-    drop(turn);
-    let filled = match within {
+    let _count_guard = UploadCountGuard::new(&node.incoming_uploads);
+    let mut buffered = BufferedBody::new(body, len_bytes.unwrap_or(UNKNOWN_LEN_BUFFER_BYTES));
+    let filled_in_time = tokio::time::timeout(PERMIT_HOLD_MAX, buffered.fill()).await;
+    drop(permit);
+    let filled = match filled_in_time {
         Ok(filled) => filled,
-        Err(_) => tokio::time::timeout_at(hop.deadline.into(), kept.fill())
+        Err(_) => tokio::time::timeout_at(hop.deadline.into(), buffered.fill())
             .await
             .map_err(|_| Failure::not_run(Reason::TooLate))?,
     };
@@ -89,62 +92,62 @@
         log::debug!(error:% = error; "a body broke off before it was passed on");
         Failure::not_run(Reason::Lost)
     })?;
-    Ok(body::boxed(kept))
+    Ok(body::boxed(buffered))
 }
 
 /// Counts a large body until it is there.
-struct Coming<'a>(&'a AtomicU32);
+struct UploadCountGuard<'a>(&'a AtomicU32);
 
-impl<'a> Coming<'a> {
-    fn new(bodies: &'a AtomicU32) -> Self {
-        bodies.fetch_add(1, Ordering::AcqRel);
-        Self(bodies)
+impl<'a> UploadCountGuard<'a> {
+    fn new(count: &'a AtomicU32) -> Self {
+        count.fetch_add(1, Ordering::AcqRel);
+        Self(count)
     }
 }
 
-impl Drop for Coming<'_> {
+impl Drop for UploadCountGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 /// A body of which the beginning, or all, is here.
-struct Kept {
+struct BufferedBody {
     frames: VecDeque<Frame<Bytes>>,
-    kept_bytes: u64,
-    most_bytes: u64,
-    size: SizeHint,
+    buffered_bytes: u64,
+    buffer_max_bytes: u64,
+    size_hint: SizeHint,
     ended: bool,
-    rest: Body,
+    inner: Body,
 }
 
-impl Kept {
-    fn new(body: Body, most_bytes: u64) -> Self {
+impl BufferedBody {
+    fn new(body: Body, buffer_max_bytes: u64) -> Self {
         Self {
             frames: VecDeque::new(),
-            kept_bytes: 0,
-            most_bytes,
-            size: body.size_hint(),
+            buffered_bytes: 0,
+            buffer_max_bytes,
+            size_hint: body.size_hint(),
             ended: false,
-            rest: body,
+            inner: body,
         }
     }
 
     async fn fill(&mut self) -> Result<(), BoxError> {
-        while !self.rest.is_end_stream() && self.kept_bytes < self.most_bytes {
-            let Some(frame) = self.rest.frame().await else {
+        while !self.inner.is_end_stream() && self.buffered_bytes < self.buffer_max_bytes {
+            let Some(frame) = self.inner.frame().await else {
                 self.ended = true;
                 break;
             };
             let frame = frame?;
-            self.kept_bytes += frame.data_ref().map_or(0, |data| data.len() as u64);
+            self.buffered_bytes += frame.data_ref().map_or(0, |data| data.len() as u64);
             self.frames.push_back(frame);
         }
         Ok(())
     }
 }
 
-impl HttpBody for Kept {
+impl HttpBody for BufferedBody {
     type Data = Bytes;
     type Error = BoxError;
 
@@ -158,15 +161,15 @@
         if self.ended {
             return Poll::Ready(None);
         }
-        Pin::new(&mut self.rest).poll_frame(context)
+        Pin::new(&mut self.inner).poll_frame(context)
     }
 
     fn is_end_stream(&self) -> bool {
-        self.frames.is_empty() && (self.ended || self.rest.is_end_stream())
+        self.frames.is_empty() && (self.ended || self.inner.is_end_stream())
     }
 
     /// What the sender said before any of it was read; it is not asked for again after that.
     fn size_hint(&self) -> SizeHint {
-        self.size
+        self.size_hint
     }
 }
--- a/src/proxy/intake/turns.rs
+++ b/src/proxy/uploads/permits.rs
@@ -6,132 +6,136 @@
 use slotmap::{Key as _, KeyData, SlotMap, new_key_type};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-use crate::proxy::answer::{Failure, Reason};
+use crate::proxy::failure::{Failure, Reason};
 use crate::proxy::hop::Hop;
 use crate::proxy::state::ProxyState;
 use crate::util::clock;
 
 new_key_type! {
     /// Names a turn that waits for its body.
-    pub(crate) struct Key;
+    pub(crate) struct PermitKey;
 }
 
-impl Key {
+impl PermitKey {
     /// The number that travels to the entry and back.
     pub(crate) fn number(self) -> u64 {
         self.data().as_ffi()
     }
 
     /// The key of a number that came back.
-    pub(crate) fn of(number: u64) -> Self {
+    pub(crate) fn from_number(number: u64) -> Self {
         KeyData::from_ffi(number).into()
     }
 }
 
 /// Longest time that a turn is kept for a body that does not come, as when its caller has left.
-const GRANT_MAX: Duration = Duration::from_millis(300);
+const RESERVATION_MAX: Duration = Duration::from_millis(300);
 
 /// The right to have one body come in.
 #[derive(Debug)]
-pub(crate) struct Turn {
+pub(crate) struct UploadPermit {
     node: Arc<ProxyState>,
-    began: Instant,
+    acquired_at: Instant,
     _permit: OwnedSemaphorePermit,
 }
 
-impl Turn {
+impl UploadPermit {
     /// Waits for a turn as long as the request is willing to.
-    pub(super) async fn wait(node: &Arc<ProxyState>, hop: &Hop) -> Result<Self, Failure> {
+    pub(super) async fn acquire(node: &Arc<ProxyState>, hop: &Hop) -> Result<Self, Failure> {
         let wait_us = node.intake().wait_us();
-        let wait = Duration::from_micros(wait_us);
-        if wait > hop.patience || Instant::now() + wait > hop.deadline {
-            return Err(Failure::not_run(Reason::Full).retry_after_ms(wait_us / 1_000));
+        let expected_wait = Duration::from_micros(wait_us);
+        if expected_wait > hop.patience || Instant::now() + expected_wait > hop.deadline {
+            return Err(Failure::not_run(Reason::Full).with_retry_after_ms(wait_us / 1_000));
         }
-        let turns = Arc::clone(&node.intake_turns);
+        let semaphore = Arc::clone(&node.upload_permits);
         if hop.patience.is_zero() {
-            let permit = turns.try_acquire_owned();
+            let permit = semaphore.try_acquire_owned();
             let permit = permit.map_err(|_| Failure::not_run(Reason::Full))?;
             node.intake().waits();
-            return Ok(Self::begin(node, permit));
+            return Ok(Self::start(node, permit));
         }
-        let waiting = Waiting::new(node);
-        let permit = tokio::time::timeout_at(hop.queue_deadline().into(), turns.acquire_owned())
-            .await
-            .map_err(|_| Failure::not_run(Reason::TooLate))?;
+        let waiting = WaitingUpload::new(node);
+        let permit =
+            tokio::time::timeout_at(hop.queue_deadline().into(), semaphore.acquire_owned())
+                .await
+                .map_err(|_| Failure::not_run(Reason::TooLate))?;
         let permit = permit.expect("the semaphore is never closed");
-        waiting.over();
-        Ok(Self::begin(node, permit))
+        waiting.finish();
+        Ok(Self::start(node, permit))
     }
 
     /// One that was counted as waiting has its turn.
-    fn begin(node: &Arc<ProxyState>, permit: OwnedSemaphorePermit) -> Self {
+    fn start(node: &Arc<ProxyState>, permit: OwnedSemaphorePermit) -> Self {
         node.intake().begun();
         Self {
             node: Arc::clone(node),
-            began: Instant::now(),
+            acquired_at: Instant::now(),
             _permit: permit,
         }
     }
 }
 
-impl Drop for Turn {
+impl Drop for UploadPermit {
     fn drop(&mut self) {
-        self.node.intake().ended(clock::since_us(self.began));
+        self.node.intake().ended(clock::since_us(self.acquired_at));
     }
 }
 
 /// Counted as waiting until it is dropped or its wait is over.
-struct Waiting<'a> {
+struct WaitingUpload<'a> {
     node: &'a ProxyState,
-    over: bool,
+    finished: bool,
 }
 
-impl<'a> Waiting<'a> {
+impl<'a> WaitingUpload<'a> {
     fn new(node: &'a ProxyState) -> Self {
         node.intake().waits();
-        Self { node, over: false }
+        Self {
+            node,
+            finished: false,
+        }
     }
 
-    fn over(mut self) {
-        self.over = true;
+    fn finish(mut self) {
+        self.finished = true;
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingUpload<'_> {
     fn drop(&mut self) {
-        if !self.over {
+        if !self.finished {
             self.node.intake().left();
         }
     }
 }
 
 /// As many turns as `intake` has at a time.
-pub(crate) fn turns(at_a_time: u32) -> Arc<Semaphore> {
+pub(crate) fn new_semaphore(at_a_time: u32) -> Arc<Semaphore> {
     Arc::new(Semaphore::new(at_a_time as usize))
 }
 
 /// Turns that were given and whose bodies have not come yet.
 #[derive(Debug, Default)]
-pub(crate) struct Granted(Mutex<SlotMap<Key, Turn>>);
+pub(crate) struct ReservedPermits(Mutex<SlotMap<PermitKey, UploadPermit>>);
 
-impl Granted {
-    fn lock(&self) -> MutexGuard<'_, SlotMap<Key, Turn>> {
+impl ReservedPermits {
+    fn lock(&self) -> MutexGuard<'_, SlotMap<PermitKey, UploadPermit>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The turn whose body comes now, unless it came too late.
-    pub(super) fn take(&self, key: Key) -> Option<Turn> {
+    pub(super) fn take(&self, key: PermitKey) -> Option<UploadPermit> {
         self.lock().remove(key)
     }
 }
 
-/// Keeps `turn` until its body comes, [`GRANT_MAX`] at most.
-pub(super) fn keep(node: &Arc<ProxyState>, turn: Turn) -> Key {
-    let key = node.granted.lock().insert(turn);
+/// Keeps `permit` until its body comes, [`RESERVATION_MAX`] at most.
+pub(super) fn hold_for_body(node: &Arc<ProxyState>, permit: UploadPermit) -> PermitKey {
+    let key = node.reserved_permits.lock().insert(permit);
     let node = Arc::clone(node);
     tokio::spawn(async move {
-        tokio::time::sleep(GRANT_MAX).await;
-        let unused = node.granted.take(key);
+        tokio::time::sleep(RESERVATION_MAX).await;
+        let unused = node.reserved_permits.take(key);
         if unused.is_some() {
             metrics::counter!("dragonflywall_upload_turns_unused_total").increment(1);
         }
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -9,18 +9,21 @@
 
 /// The members as requests and operators see them.
 #[derive(Debug, Default)]
-pub(crate) struct View {
+pub(crate) struct MembershipView {
     pub(crate) members: Vec<Member>,
     pub(crate) endpoints: HashMap<ServiceName, Ranked>,
     pub(crate) data_centres: Vec<DataCentreSummary>,
 }
 
-impl View {
-    pub(crate) fn new(members: Vec<Member>, me: NodeId, from: &Place) -> Self {
+impl MembershipView {
+    pub(crate) fn new(members: Vec<Member>, local_id: NodeId, local_place: &Place) -> Self {
         let mut endpoints: HashMap<ServiceName, Ranked> = HashMap::new();
         for member in members.iter().filter(|member| member.takes_work()) {
             let service = member.service.clone().expect("takes_work checks it");
-            endpoints.entry(service).or_default().add(me, from, member);
+            endpoints
+                .entry(service)
+                .or_default()
+                .add(local_id, local_place, member);
         }
         Self {
             members,
@@ -29,8 +32,8 @@
         }
     }
 
-    pub(crate) fn alive(&self) -> usize {
-        let alive = |member: &&Member| member.liveness == Liveness::Alive;
-        self.members.iter().filter(alive).count()
+    pub(crate) fn alive_count(&self) -> usize {
+        let is_alive = |member: &&Member| member.liveness == Liveness::Alive;
+        self.members.iter().filter(is_alive).count()
     }
 }
