--- a/tests/testsuite/whole_path.rs
+++ b/tests/testsuite/end_to_end.rs
@@ -16,7 +16,7 @@
 /// A dealer asks any node of any data centre for today's prices and gets them from a backend
 /// server of `tablon`, under the version that was just published.
 #[tokio::test(flavor = "multi_thread")]
-async fn request_passes_from_caller_to_backend_server() {
+async fn a_request_passes_from_caller_to_backend_server() {
     let mesh = start(Deployment::chatarras()).await;
     let published = publish(&mesh, CHATARRAS).await;
     assert!(published.status.success(), "{published:?}");
@@ -41,7 +41,7 @@
 /// unchanged, told by their digests.
 #[tokio::test(flavor = "multi_thread")]
 async fn ten_mebibytes_pass_both_ways_unchanged() {
-    const BYTES: usize = 10 << 20;
+    const BUNDLE_BYTES: usize = 10 << 20;
     let mesh = start(Deployment::chatarras()).await;
     let published = publish(&mesh, CHATARRAS).await;
     assert!(published.status.success(), "{published:?}");
@@ -50,11 +50,11 @@
     // A node of another service is the entry, so the bundle crosses two nodes.
     let entry = mesh.vms.iter().find(|vm| vm.service == "tablon");
     let caller = entry.expect("tablon is deployed").node().addresses.caller;
-    let mut bundle = vec![0; BYTES];
+    let mut bundle = vec![0; BUNDLE_BYTES];
     blake3::Hasher::new().finalize_xof().fill(&mut bundle);
     let sent_digest = blake3::hash(&bundle).to_hex().to_string();
     let headers = [("x-request-id", "bundle-1")];
-    let path = format!("/bundles/7?answer_bytes={BYTES}");
+    let path = format!("/bundles/7?answer_bytes={BUNDLE_BYTES}");
     let reply = request(caller, Method::PUT, "bascula", &path, &headers, bundle).await;
     let reply = reply.expect("the node answers");
     assert_eq!(reply.status, 200);
@@ -62,6 +62,6 @@
     let received_digest = blake3::hash(&reply.body).to_hex().to_string();
     assert_eq!(
         received_digest,
-        expected_answer_digest("bundle-1", BYTES as u64)
+        expected_answer_digest("bundle-1", BUNDLE_BYTES as u64)
     );
 }
--- a/tests/testsuite/ledger.rs
+++ b/tests/testsuite/payment_faults.rs
@@ -24,30 +24,30 @@
 
 /// What a caller knows of its payment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Told {
+enum Outcome {
     Paid,
     NotRun,
     MayHaveRun,
     /// The caller hung up, or its node was gone.
-    Nothing,
+    Unknown,
 }
 
-type Ledger = BTreeMap<String, Told>;
+type Outcomes = BTreeMap<String, Outcome>;
 
-async fn pay(entry: SocketAddr, id: &str, work_ms: u64) -> Told {
+async fn pay(entry: SocketAddr, id: &str, work_ms: u64) -> Outcome {
     let path = format!("/payments?work_ms={work_ms}&answer_bytes={ANSWER_BYTES}");
     let Ok(reply) = ask(entry, Method::POST, "cobros", &path, id).await else {
-        return Told::Nothing;
+        return Outcome::Unknown;
     };
     if reply.status == 200 {
         let digest = blake3::hash(&reply.body).to_hex().to_string();
         let expected = expected_answer_digest(id, ANSWER_BYTES);
         assert_eq!(digest, expected, "{id} got another request's answer");
-        return Told::Paid;
+        return Outcome::Paid;
     }
     match reply.header(VERDICT) {
-        "not-run" => Told::NotRun,
-        "may-have-run" => Told::MayHaveRun,
+        "not-run" => Outcome::NotRun,
+        "may-have-run" => Outcome::MayHaveRun,
         _ => panic!("{id}: no verdict in {reply:?}"),
     }
 }
@@ -57,7 +57,7 @@
 struct Callers {
     stop: Arc<AtomicBool>,
     done: Arc<AtomicU64>,
-    tasks: JoinSet<Ledger>,
+    tasks: JoinSet<Outcomes>,
 }
 
 const CALLERS_PER_ENTRY: u64 = 3;
@@ -76,25 +76,25 @@
                 let name = format!("{entry}-{number}");
                 let (stop, done) = (Arc::clone(&callers.stop), Arc::clone(&callers.done));
                 callers.tasks.spawn(async move {
-                    let mut ledger = Ledger::new();
+                    let mut outcomes = Outcomes::new();
                     let mut count = 0_u64;
                     while !stop.load(Ordering::Acquire) {
                         count += 1;
                         let id = format!("{name}-{count}");
-                        let patience = match count % 5 {
+                        let timeout = match count % 5 {
                             0 => Duration::from_millis(count % 13),
                             _ => Duration::from_secs(60),
                         };
-                        let paid = tokio::time::timeout(patience, pay(entry, &id, count % 11));
-                        let told = paid.await.unwrap_or(Told::Nothing);
-                        if told == Told::Nothing {
+                        let payment = tokio::time::timeout(timeout, pay(entry, &id, count % 11));
+                        let outcome = payment.await.unwrap_or(Outcome::Unknown);
+                        if outcome == Outcome::Unknown {
                             // A node that is gone refuses at once; no need to ask it all the time.
                             tokio::time::sleep(Duration::from_millis(2)).await;
                         }
-                        ledger.insert(id, told);
+                        outcomes.insert(id, outcome);
                         done.fetch_add(1, Ordering::AcqRel);
                     }
-                    ledger
+                    outcomes
                 });
             }
         }
@@ -102,7 +102,7 @@
     }
 
     /// Waits until so many further payments have ended.
-    async fn pass(&self, payments: u64) {
+    async fn wait_for_payments(&self, payments: u64) {
         let goal = self.done.load(Ordering::Acquire) + payments;
         wait_until("payments go on", LIMIT, || async {
             self.done.load(Ordering::Acquire) >= goal
@@ -110,32 +110,35 @@
         .await;
     }
 
-    async fn end(self) -> Ledger {
+    async fn stop_and_collect(self) -> Outcomes {
         self.stop.store(true, Ordering::Release);
         self.tasks.join_all().await.into_iter().flatten().collect()
     }
 }
 
 /// Holds what callers were told against what the backend servers did.
-fn check(mesh: &Mesh, ledger: &Ledger) {
-    let mut ran: BTreeMap<String, u32> = BTreeMap::new();
+fn check_outcomes(mesh: &Mesh, outcomes: &Outcomes) {
+    let mut runs_by_id: BTreeMap<String, u32> = BTreeMap::new();
     for position in vms_of(mesh, "cobros") {
         for (id, times) in mesh.vms[position].backend.record().runs {
-            *ran.entry(id).or_default() += times;
+            *runs_by_id.entry(id).or_default() += times;
         }
     }
-    let mut told_of = BTreeMap::new();
-    for (id, told) in ledger {
-        *told_of.entry(told).or_insert(0) += 1;
-        let runs = ran.get(id).copied().unwrap_or(0);
-        match told {
-            Told::Paid => assert_eq!(runs, 1, "{id} was paid and ran {runs} times"),
-            Told::NotRun => assert_eq!(runs, 0, "{id} was told not run and ran {runs} times"),
-            Told::MayHaveRun | Told::Nothing => assert!(runs <= 1, "{id} ran {runs} times"),
+    let mut outcome_counts = BTreeMap::new();
+    for (id, outcome) in outcomes {
+        *outcome_counts.entry(outcome).or_insert(0) += 1;
+        let runs = runs_by_id.get(id).copied().unwrap_or(0);
+        match outcome {
+            Outcome::Paid => assert_eq!(runs, 1, "{id} was paid and ran {runs} times"),
+            Outcome::NotRun => assert_eq!(runs, 0, "{id} was told not run and ran {runs} times"),
+            Outcome::MayHaveRun | Outcome::Unknown => assert!(runs <= 1, "{id} ran {runs} times"),
         }
     }
-    println!("ledger: {told_of:?}");
-    assert!(told_of.get(&Told::Paid) > Some(&100), "{told_of:?}");
+    println!("ledger: {outcome_counts:?}");
+    assert!(
+        outcome_counts.get(&Outcome::Paid) > Some(&100),
+        "{outcome_counts:?}"
+    );
 }
 
 /// Two data centres of one region with two endpoints each.
@@ -156,18 +159,18 @@
 async fn payments_survive_kills() {
     let mut mesh = start().await;
     let callers = Callers::start(&mesh);
-    callers.pass(200).await;
+    callers.wait_for_payments(200).await;
     for service in ["tablon", "cobros"] {
         let position = victim(&mesh, service);
         mesh.vms[position].node().signal(Signal::Kill);
-        callers.pass(300).await;
+        callers.wait_for_payments(300).await;
         mesh.vms[position].node.take();
         mesh.start_node(position).await.expect("it starts again");
-        callers.pass(100).await;
+        callers.wait_for_payments(100).await;
     }
     mesh.vms[vms_of(&mesh, "cobros")[1]].backend.kill().await;
-    callers.pass(300).await;
-    check(&mesh, &callers.end().await);
+    callers.wait_for_payments(300).await;
+    check_outcomes(&mesh, &callers.stop_and_collect().await);
 }
 
 /// The same processes freeze, long enough to be given up on, and wake with old requests in hand.
@@ -176,14 +179,14 @@
 async fn payments_survive_freezes() {
     let mesh = start().await;
     let callers = Callers::start(&mesh);
-    callers.pass(200).await;
+    callers.wait_for_payments(200).await;
     for service in ["tablon", "cobros"] {
         let node = mesh.vms[victim(&mesh, service)].node();
         node.signal(Signal::Stop);
         // Longer than it takes to notice a silent connection.
         tokio::time::sleep(Duration::from_secs(5)).await;
         node.signal(Signal::Continue);
-        callers.pass(200).await;
+        callers.wait_for_payments(200).await;
     }
     let backend = &mesh.vms[victim(&mesh, "cobros")].backend;
     let frozen = Behaviour {
@@ -193,8 +196,8 @@
     backend.set_behaviour(frozen);
     tokio::time::sleep(Duration::from_secs(2)).await;
     backend.set_behaviour(Behaviour::default());
-    callers.pass(200).await;
-    check(&mesh, &callers.end().await);
+    callers.wait_for_payments(200).await;
+    check_outcomes(&mesh, &callers.stop_and_collect().await);
 }
 
 /// The link between the data centres is cut with payments under way on it, and heals: once before
@@ -220,20 +223,20 @@
         drained.expect("the node answers");
     }
     let callers = Callers::start(&mesh);
-    callers.pass(300).await;
+    callers.wait_for_payments(300).await;
     for cut_s in [1, 5] {
         mesh.network.set_cut(true, |from, to| from != to);
         tokio::time::sleep(Duration::from_secs(cut_s)).await;
         mesh.network.set_cut(false, |_, _| true);
-        callers.pass(300).await;
+        callers.wait_for_payments(300).await;
     }
-    check(&mesh, &callers.end().await);
+    check_outcomes(&mesh, &callers.stop_and_collect().await);
 }
 
 /// A publication takes the payments' route away while payments are under way. Those that were
 /// admitted end under the version that they began with; later ones are told at once.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_route_that_is_removed_cuts_no_payment() {
+async fn removing_a_route_cuts_no_payment() {
     let mesh = start().await;
     let callers = Callers::start(&mesh);
     let entry = mesh.vms[victim(&mesh, "tablon")].node().addresses.caller;
@@ -241,17 +244,17 @@
     wait_running(&mesh, "cobros", "long-1").await;
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("suscripciones.toml");
-    let whole = std::fs::read_to_string(crate::support::repository_file(CHATARRAS[1]));
-    let whole = whole.expect("the example is there");
-    let without = whole.replace("methods = [\"POST\"]", "methods = [\"PATCH\"]");
-    assert_ne!(whole, without);
-    std::fs::write(&path, without).expect("it is written");
-    callers.pass(200).await;
+    let text = std::fs::read_to_string(crate::support::repository_file(CHATARRAS[1]));
+    let text = text.expect("the example is there");
+    let changed = text.replace("methods = [\"POST\"]", "methods = [\"PATCH\"]");
+    assert_ne!(text, changed);
+    std::fs::write(&path, changed).expect("it is written");
+    callers.wait_for_payments(200).await;
     let published = publish(&mesh, &[path.to_str().expect("a plain path")]).await;
     assert!(published.status.success(), "{published:?}");
     mesh.wait_enforced(2).await;
-    callers.pass(100).await;
-    assert_eq!(long.await.expect("no panic"), Told::Paid);
-    assert_eq!(pay(entry, "after-1", 0).await, Told::NotRun);
-    check(&mesh, &callers.end().await);
+    callers.wait_for_payments(100).await;
+    assert_eq!(long.await.expect("no panic"), Outcome::Paid);
+    assert_eq!(pay(entry, "after-1", 0).await, Outcome::NotRun);
+    check_outcomes(&mesh, &callers.stop_and_collect().await);
 }
--- a/tests/testsuite/requests_answers.rs
+++ b/tests/testsuite/requests_answers.rs
@@ -11,7 +11,7 @@
 };
 
 /// An entry that is not itself an endpoint of `service`.
-fn entry(mesh: &Mesh, service: &str) -> std::net::SocketAddr {
+fn remote_entry(mesh: &Mesh, service: &str) -> std::net::SocketAddr {
     let vm = mesh.vms.iter().find(|vm| vm.service != service);
     vm.expect("another service is deployed")
         .node()
@@ -22,9 +22,9 @@
 /// A backend server sheds with its own 503. That is its answer, not the mesh's: it carries no
 /// verdict, and nobody tries again behind the caller's back.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_backend_servers_own_503_is_an_answer() {
+async fn a_503_from_the_backend_server_is_passed_through() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
-    let entry = entry(&mesh, "tablon");
+    let entry = remote_entry(&mesh, "tablon");
     let path = "/prices/copper?status=503";
     let reply = ask(entry, Method::GET, "tablon", path, "shed-1").await;
     let reply = reply.expect("the node answers");
@@ -36,9 +36,9 @@
 /// A backend server dies in the middle of an answer. The caller must see that the answer broke
 /// off: an answer that ends cleanly would be taken for the whole list of prices.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_broken_answer_is_broken_towards_the_caller() {
+async fn a_truncated_response_is_truncated_for_the_caller() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
-    let remote = entry(&mesh, "tablon");
+    let remote = remote_entry(&mesh, "tablon");
     let local = mesh.vms[vms_of(&mesh, "tablon")[0]].node().addresses.caller;
     for entry in [remote, local] {
         let path = "/prices/copper?answer_bytes=200000&break_after=100000";
@@ -54,14 +54,14 @@
 /// A payment is under way when the backend server dies. The caller is told that it may have run,
 /// and no other backend server gets it: it would be taken twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_payment_cut_off_is_not_tried_again() {
+async fn an_interrupted_payment_is_not_retried() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
-    let entry = entry(&mesh, "cobros");
+    let entry = remote_entry(&mesh, "cobros");
     let path = "/payments/1?work_ms=8000";
-    let asked = tokio::spawn(ask(entry, Method::POST, "cobros", path, "pay-1"));
+    let pending = tokio::spawn(ask(entry, Method::POST, "cobros", path, "pay-1"));
     let position = wait_running(&mesh, "cobros", "pay-1").await;
     mesh.vms[position].backend.kill().await;
-    let reply = asked.await.expect("no panic").expect("the node answers");
+    let reply = pending.await.expect("no panic").expect("the node answers");
     assert_eq!(reply.status, 502);
     assert_eq!(reply.header(VERDICT), "may-have-run");
     assert_eq!(reply.header(REASON), "lost");
@@ -74,9 +74,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_retry_does_not_hide_the_first_attempt() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
-    let entry = entry(&mesh, "cobros");
+    let entry = remote_entry(&mesh, "cobros");
     let path = "/payments/2?work_ms=900";
-    let asked = tokio::spawn(ask(entry, Method::GET, "cobros", path, "status-2"));
+    let pending = tokio::spawn(ask(entry, Method::GET, "cobros", path, "status-2"));
     let ran_at = wait_running(&mesh, "cobros", "status-2").await;
     // First the others, so that the retry finds none.
     for position in vms_of(&mesh, "cobros") {
@@ -87,7 +87,7 @@
         }
     }
     mesh.vms[ran_at].backend.kill().await;
-    let reply = asked.await.expect("no panic").expect("the node answers");
+    let reply = pending.await.expect("no panic").expect("the node answers");
     assert!(reply.status.is_server_error(), "{reply:?}");
     assert_eq!(reply.header(VERDICT), "may-have-run", "{reply:?}");
     assert_eq!(runs(&mesh, "cobros", "status-2"), [(ran_at, 1)]);
@@ -96,12 +96,12 @@
 /// Every endpoint of a service is gone. The caller learns at once that its payment did not run,
 /// and when to come again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_payment_that_reaches_nobody_is_proved_not_run() {
+async fn a_payment_that_reaches_no_endpoint_gets_not_run() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     for position in vms_of(&mesh, "cobros") {
         mesh.vms[position].backend.kill().await;
     }
-    let entry = entry(&mesh, "cobros");
+    let entry = remote_entry(&mesh, "cobros");
     let reply = ask(entry, Method::POST, "cobros", "/payments/3", "pay-3").await;
     let reply = reply.expect("the node answers");
     assert_eq!(reply.status, 503);
@@ -114,14 +114,14 @@
 /// A caller hangs up while its request runs two nodes away. The backend server sees it, stops, and
 /// its slot is free again. Without it, work goes on for nobody.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_hangs_up_cancels_down_to_the_backend_server() {
+async fn a_caller_disconnect_cancels_the_request_at_the_backend_server() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
-    let entry = entry(&mesh, "cobros");
+    let entry = remote_entry(&mesh, "cobros");
     let path = "/payments/4?work_ms=8000";
-    let asked = tokio::spawn(ask(entry, Method::POST, "cobros", path, "pay-4"));
+    let pending = tokio::spawn(ask(entry, Method::POST, "cobros", path, "pay-4"));
     let position = wait_running(&mesh, "cobros", "pay-4").await;
-    asked.abort();
-    let _ = asked.await;
+    pending.abort();
+    let _ = pending.await;
     let backend = &mesh.vms[position].backend;
     wait_until("the backend server sees it", LIMIT, || async {
         backend.record().cancelled == 1
@@ -132,17 +132,17 @@
 /// Slots are taken and a payment waits in the queue when its caller hangs up. It leaves the queue:
 /// it never runs, although a slot becomes free later.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_waiting_request_that_is_hung_up_never_runs() {
+async fn a_queued_request_of_a_disconnected_caller_never_runs() {
     let mesh = start_chatarras(small(&["cobros"], 1)).await;
-    let only = vms_of(&mesh, "cobros")[0];
+    let target = vms_of(&mesh, "cobros")[0];
     for position in vms_of(&mesh, "cobros") {
-        if position != only {
+        if position != target {
             let operator = mesh.vms[position].node().addresses.operator;
             let drained = request(operator, Method::POST, "node", "/drain", &[], "").await;
             drained.expect("the node answers");
         }
     }
-    let entry = mesh.vms[only].node().addresses.caller;
+    let entry = mesh.vms[target].node().addresses.caller;
     let mut holders = Vec::new();
     for n in 0..20 {
         let id = format!("holder-{n}");
@@ -150,21 +150,21 @@
             ask(entry, Method::POST, "cobros", "/payments?work_ms=1500", &id).await
         }));
     }
-    let backend = &mesh.vms[only].backend;
+    let backend = &mesh.vms[target].backend;
     wait_until("all slots are taken", LIMIT, || async {
         backend.record().peak == 20
     })
     .await;
-    let waiter = tokio::spawn(ask(entry, Method::POST, "cobros", "/payments", "gone-1"));
-    let stayer = tokio::spawn(ask(entry, Method::POST, "cobros", "/payments", "stays-1"));
-    let operator = mesh.vms[only].node().addresses.operator;
+    let disconnecting = tokio::spawn(ask(entry, Method::POST, "cobros", "/payments", "gone-1"));
+    let staying = tokio::spawn(ask(entry, Method::POST, "cobros", "/payments", "stays-1"));
+    let operator = mesh.vms[target].node().addresses.operator;
     wait_until("both wait at the gate", LIMIT, || async {
         metrics(operator).await.contains("gate_waiting 2")
     })
     .await;
-    waiter.abort();
-    let _ = waiter.await;
-    let reply = stayer.await.expect("no panic").expect("the node answers");
+    disconnecting.abort();
+    let _ = disconnecting.await;
+    let reply = staying.await.expect("no panic").expect("the node answers");
     assert_eq!(reply.status, 200);
     for holder in holders {
         let reply = holder.await.expect("no panic").expect("the node answers");
@@ -186,7 +186,7 @@
 /// The node of a backend server freezes after it has taken a payment, and its caller's deadline
 /// passes. Nothing proves that it did not run, and it is not tried elsewhere.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_deadline_that_passes_after_sending_proves_nothing() {
+async fn a_deadline_after_sending_gets_may_have_run() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     for position in vms_of(&mesh, "tablon") {
         let frozen = Behaviour {
@@ -195,7 +195,7 @@
         };
         mesh.vms[position].backend.set_behaviour(frozen);
     }
-    let entry = entry(&mesh, "tablon");
+    let entry = remote_entry(&mesh, "tablon");
     let reply = ask(entry, Method::GET, "tablon", "/prices/zinc", "late-1").await;
     let reply = reply.expect("the node answers");
     assert_eq!(reply.status, 504);
@@ -205,9 +205,9 @@
 
 /// A caller asks for the head of an answer only. It passes two nodes with its length and no body.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_head_request_gets_a_head() {
+async fn a_head_request_gets_headers_without_a_body() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
-    let entry = entry(&mesh, "tablon");
+    let entry = remote_entry(&mesh, "tablon");
     let path = "/prices/zinc?answer_bytes=5000";
     let reply = ask(entry, Method::HEAD, "tablon", path, "head-1").await;
     let reply = reply.expect("the node answers");
@@ -223,8 +223,8 @@
     let mut deployment = small(&["cobros"], 1);
     deployment.data_centres.truncate(1);
     let mesh = start_chatarras(deployment).await;
-    let whole = std::fs::read_to_string(repository_file(CHATARRAS[1])).expect("it is there");
-    let tight = whole
+    let text = std::fs::read_to_string(repository_file(CHATARRAS[1])).expect("it is there");
+    let limited = text
         .replace("slots_per_endpoint = 20", "slots_per_endpoint = 2")
         .replace(
             "connections_per_endpoint = 110",
@@ -232,7 +232,7 @@
         );
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("suscripciones.toml");
-    std::fs::write(&path, tight).expect("it is written");
+    std::fs::write(&path, limited).expect("it is written");
     let published = publish(&mesh, &[path.to_str().expect("a plain path")]).await;
     assert!(published.status.success(), "{published:?}");
     mesh.wait_enforced(2).await;
--- a/tests/testsuite/requests_chain.rs
+++ b/tests/testsuite/requests_chain.rs
@@ -19,7 +19,7 @@
 }
 
 /// `calls` calls below the first one, by turns to the archive and to the prices.
-fn chain(calls: usize) -> String {
+fn chain_parameter(calls: usize) -> String {
     let calls = (0..calls).map(|n| match n % 2 {
         0 => "hemeroteca:/archive/1",
         _ => "tablon:/prices/zinc",
@@ -33,7 +33,7 @@
 async fn deadlines_shrink_along_a_chain_of_seven() {
     let mesh = start_with_entries().await;
     let entry = mesh.vms[0].node().addresses.caller;
-    let path = format!("/prices/zinc?chain={}", chain(7));
+    let path = format!("/prices/zinc?chain={}", chain_parameter(7));
     let reply = ask(entry, Method::GET, "tablon", &path, "chain-7").await;
     let reply = reply.expect("the node answers");
     assert_eq!(reply.status, 200, "{reply:?}");
@@ -49,7 +49,7 @@
 async fn a_loop_of_calls_is_refused() {
     let mesh = start_with_entries().await;
     let entry = mesh.vms[0].node().addresses.caller;
-    let path = format!("/prices/zinc?chain={}", chain(8));
+    let path = format!("/prices/zinc?chain={}", chain_parameter(8));
     let reply = ask(entry, Method::GET, "tablon", &path, "chain-8").await;
     let reply = reply.expect("the node answers");
     assert_eq!(reply.status, 508, "{reply:?}");
@@ -58,7 +58,7 @@
 /// A caller invents headers of the mesh to get a longer deadline, another class, or the identity
 /// of a call that runs. None of them reaches a backend server, and the treatment stays its own.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_cannot_forge_what_travels_with_a_call() {
+async fn a_caller_cannot_forge_mesh_headers() {
     let mesh = start_with_entries().await;
     let entry = mesh.vms[0].node().addresses.caller;
     let forged = [
--- a/tests/testsuite/requests_held_up.rs
+++ b/tests/testsuite/requests_delayed.rs
@@ -10,7 +10,7 @@
 use crate::support::{start_chatarras, vms_of};
 
 /// Publishes the subscriptions team's file with a single attempt for payments.
-async fn publish_one_attempt(mesh: &Mesh) {
+async fn publish_single_attempt(mesh: &Mesh) {
     let file = repository_file("examples/chatarras/suscripciones.toml");
     let text = std::fs::read_to_string(file).expect("the example is there");
     let text = text.replacen("attempts = 3", "attempts = 1", 1);
@@ -28,22 +28,25 @@
 /// meanwhile comes when its caller may have left. The word of that would come behind it, so a late
 /// payment is not run: the caller, if it still waits, is told so and can pay again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_payment_that_was_held_up_is_not_run() {
+async fn a_payment_delayed_in_transit_is_not_run() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
-    publish_one_attempt(&mesh).await;
-    let entry_at = vms_of(&mesh, "tablon")[0];
-    let entry = mesh.vms[entry_at].node().addresses.caller;
-    let region = |position: usize| {
+    publish_single_attempt(&mesh).await;
+    let entry_position = vms_of(&mesh, "tablon")[0];
+    let entry = mesh.vms[entry_position].node().addresses.caller;
+    let is_same_region = |position: usize| {
         let site = mesh.vms[position].site;
-        mesh.network.same_region(site, mesh.vms[entry_at].site)
+        mesh.network
+            .same_region(site, mesh.vms[entry_position].site)
     };
     // One endpoint is left, in the other data centre of the region.
-    let only = vms_of(&mesh, "cobros")
+    let target = vms_of(&mesh, "cobros")
         .into_iter()
-        .find(|position| region(*position) && mesh.vms[*position].site != mesh.vms[entry_at].site)
+        .find(|position| {
+            is_same_region(*position) && mesh.vms[*position].site != mesh.vms[entry_position].site
+        })
         .expect("the region has two data centres");
     for position in vms_of(&mesh, "cobros") {
-        if position != only {
+        if position != target {
             let operator = mesh.vms[position].node().addresses.operator;
             let drained = request(operator, Method::POST, "node", "/drain", &[], "").await;
             drained.expect("the node answers");
--- a/tests/testsuite/requests_drain.rs
+++ b/tests/testsuite/requests_drain.rs
@@ -19,7 +19,7 @@
 
 /// Payments without pause through every node of another service, until told to stop. Returns
 /// each answer that was not 200.
-fn payments(mesh: &Mesh, stop: &Arc<AtomicBool>) -> JoinSet<Vec<String>> {
+fn start_payments(mesh: &Mesh, stop: &Arc<AtomicBool>) -> JoinSet<Vec<String>> {
     let mut callers = JoinSet::new();
     let entries = mesh.vms.iter().filter(|vm| vm.service != "cobros");
     for (n, vm) in entries.enumerate() {
@@ -43,7 +43,7 @@
     callers
 }
 
-async fn failures(callers: JoinSet<Vec<String>>, stop: &AtomicBool) -> Vec<String> {
+async fn collect_failures(callers: JoinSet<Vec<String>>, stop: &AtomicBool) -> Vec<String> {
     stop.store(true, Ordering::Release);
     callers.join_all().await.into_iter().flatten().collect()
 }
@@ -62,7 +62,7 @@
 async fn a_drain_by_command_is_invisible_to_callers() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     let stop = Arc::default();
-    let callers = payments(&mesh, &stop);
+    let callers = start_payments(&mesh, &stop);
     let entry = mesh.vms[vms_of(&mesh, "tablon")[0]].node().addresses.caller;
     let path = "/payments?work_ms=2000";
     let long = tokio::spawn(ask(entry, Method::POST, "cobros", path, "long-1"));
@@ -77,14 +77,14 @@
         drain(&mesh, position).await["in_flight"] == 0
     })
     .await;
-    let failures = failures(callers, &stop).await;
+    let failures = collect_failures(callers, &stop).await;
     assert!(failures.is_empty(), "{failures:?}");
     // What was in flight may have begun a moment after the answer; nothing else did.
-    let most = runs_at_drain + answer["in_flight"].as_u64().unwrap_or(0);
+    let runs_max = runs_at_drain + answer["in_flight"].as_u64().unwrap_or(0);
     let runs_at_end = mesh.vms[position].backend.record().runs.len() as u64;
     assert!(
-        runs_at_end <= most,
-        "{runs_at_end} instead of {most} at most"
+        runs_at_end <= runs_max,
+        "{runs_at_end} instead of {runs_max} at most"
     );
     // The node itself is still there for callers.
     let entry = mesh.vms[position].node().addresses.caller;
@@ -143,7 +143,7 @@
 /// upload half sent to it that then runs 10 s, and callers of its own. All end whole, nobody notices,
 /// and the process leaves with 0.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_terminated_node_cuts_nothing() {
+async fn a_terminated_node_finishes_its_requests() {
     let mut mesh = start_chatarras(small(&["tablon", "cobros", "bascula"], 1)).await;
     let stop = Arc::default();
     let victim = vms_of(&mesh, "cobros")[0];
@@ -153,14 +153,14 @@
     let mut long = None;
     for n in 0..200 {
         let id = format!("long-{n}");
-        let asked_id = id.clone();
-        let asked = tokio::spawn(async move {
+        let request_id = id.clone();
+        let pending = tokio::spawn(async move {
             // Longer than all the pauses of a drain together, so that only waiting for it saves it.
             let path = "/payments?work_ms=5000";
-            ask(long_entry, Method::POST, "cobros", path, &asked_id).await
+            ask(long_entry, Method::POST, "cobros", path, &request_id).await
         });
         if wait_running(&mesh, "cobros", &id).await == victim {
-            long = Some(asked);
+            long = Some(pending);
             break;
         }
     }
@@ -174,7 +174,7 @@
         .expect("it is taken");
     upload.write_all(&[7; 150_000]).await.expect("it is taken");
     wait_running(&mesh, "bascula", "up-9").await;
-    let callers = payments(&mesh, &stop);
+    let callers = start_payments(&mesh, &stop);
     mesh.vms[victim].node().signal(Signal::Terminate);
     let terminated_at = Instant::now();
     tokio::time::sleep(Duration::from_millis(700)).await;
@@ -195,9 +195,9 @@
     let ended = tokio::time::timeout(LIMIT, node.ended()).await;
     let ended = ended.expect("it leaves").expect("it is a child");
     assert!(ended.success(), "{ended:?}");
-    let left = mesh.vms[victim].node.take();
-    drop(left);
-    let failures = failures(callers, &stop).await;
+    let exited = mesh.vms[victim].node.take();
+    drop(exited);
+    let failures = collect_failures(callers, &stop).await;
     assert!(failures.is_empty(), "{failures:?}");
     let last_begun = mesh.vms[victim].backend.record().last_begun;
     let lag = last_begun.map(|at| at.saturating_duration_since(terminated_at));
@@ -208,11 +208,11 @@
 /// serving prices, says at once that a payment did not run, and tells its operator what it lacks.
 /// A node without a backend server is as good an entry as any.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_data_centre_cut_off_serves_what_it_can() {
+async fn an_isolated_data_centre_serves_its_own_services() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
-    let alone = vms_of(&mesh, "cobros")[2];
-    let vm = &mesh.vms[alone];
-    announce(&mesh, alone, "gone").await;
+    let isolated = vms_of(&mesh, "cobros")[2];
+    let vm = &mesh.vms[isolated];
+    announce(&mesh, isolated, "gone").await;
     let operator = vm.node().addresses.operator;
     let entry = vm.node().addresses.caller;
     let status = ask(entry, Method::GET, "cobros", "/payments/1", "near-1").await;
@@ -247,7 +247,7 @@
 }
 
 /// Waits until the node with the listener `operator` knows the state of another's backend server.
-async fn wait_known(operator: SocketAddr, peer: SocketAddr, state: &str) {
+async fn wait_for_backend_state(operator: SocketAddr, peer: SocketAddr, state: &str) {
     wait_until("the state is known", LIMIT, || async {
         let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
         let body = reply.map(|reply| reply.body).unwrap_or_default();
@@ -265,7 +265,7 @@
 /// An upload waits for a slot, its first part already sent, when the backend server that it waits
 /// for is drained. It is sent again from its beginning to another one, and arrives whole.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_waiting_upload_moves_on_whole() {
+async fn a_queued_upload_is_resent_whole_to_another_endpoint() {
     const BYTES: usize = 3 << 20;
     let mut deployment = small(&["tablon", "bascula"], 1);
     deployment.data_centres.truncate(2);
@@ -276,7 +276,7 @@
     let entry = mesh.vms[vms_of(&mesh, "tablon")[0]].node();
     announce(&mesh, second, "draining").await;
     let peer = mesh.vms[second].node().addresses.peer;
-    wait_known(entry.addresses.operator, peer, "draining").await;
+    wait_for_backend_state(entry.addresses.operator, peer, "draining").await;
     let caller = entry.addresses.caller;
     let mut holders = JoinSet::new();
     for n in 0..20 {
@@ -302,7 +302,7 @@
     })
     .await;
     announce(&mesh, second, "serving").await;
-    wait_known(entry.addresses.operator, peer, "serving").await;
+    wait_for_backend_state(entry.addresses.operator, peer, "serving").await;
     drain(&mesh, first).await;
     let reply = upload.await.expect("no panic").expect("the node answers");
     assert_eq!(reply.status, 200, "{reply:?}");
--- a/tests/testsuite/requests_http2.rs
+++ b/tests/testsuite/requests_http2.rs
@@ -11,22 +11,22 @@
 /// A clerk's program asks for many prices at a time on one connection. Answers come in any
 /// order and each is its own; one that breaks off breaks alone.
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_on_one_connection_do_not_mix() {
+async fn responses_on_one_connection_do_not_mix() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     let entry = mesh.vms[vms_of(&mesh, "cobros")[0]].node();
     let connection = Http2::connect(entry.addresses.caller).await;
     let connection = connection.expect("it listens");
     let path = "/prices/zinc?answer_bytes=100000&break_after=50000";
-    let broken = connection.request(Method::GET, "tablon", path, "broken-1");
-    let mut asking = JoinSet::new();
+    let truncated = connection.request(Method::GET, "tablon", path, "broken-1");
+    let mut requests = JoinSet::new();
     for n in 0..100 {
         let id = format!("h2-{n}");
         let path = format!("/prices/zinc?answer_bytes=3000&work_ms={}", n % 7);
         let reply = connection.request(Method::GET, "tablon", &path, &id);
-        asking.spawn(async move { (id, reply.await) });
+        requests.spawn(async move { (id, reply.await) });
     }
-    assert!(broken.await.is_err(), "a broken answer looks whole");
-    for (id, reply) in asking.join_all().await {
+    assert!(truncated.await.is_err(), "a broken answer looks whole");
+    for (id, reply) in requests.join_all().await {
         let reply = reply.expect("the node answers");
         assert_eq!(reply.status, 200, "{reply:?}");
         let digest = blake3::hash(&reply.body).to_hex().to_string();
@@ -37,17 +37,17 @@
 /// The node that a caller is connected to is told to stop while a payment runs. The payment's
 /// answer comes, then the connection ends and the process leaves.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_node_ends_connections_after_their_answers() {
+async fn a_stopping_node_closes_connections_after_their_responses() {
     let mut mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     let position = vms_of(&mesh, "tablon")[0];
     let entry = mesh.vms[position].node().addresses.caller;
     let connection = Http2::connect(entry).await.expect("it listens");
     let path = "/payments?work_ms=1500";
-    let paying = connection.request(Method::POST, "cobros", path, "pay-1");
-    let paying = tokio::spawn(paying);
+    let payment = connection.request(Method::POST, "cobros", path, "pay-1");
+    let payment = tokio::spawn(payment);
     wait_running(&mesh, "cobros", "pay-1").await;
     mesh.vms[position].node().signal(Signal::Terminate);
-    let reply = paying.await.expect("no panic").expect("the node answers");
+    let reply = payment.await.expect("no panic").expect("the node answers");
     assert_eq!(reply.status, 200);
     let closed = tokio::time::timeout(LIMIT, connection.closed()).await;
     assert!(closed.is_ok(), "the connection stays open");
--- a/tests/testsuite/requests_imposter.rs
+++ b/tests/testsuite/requests_imposter.rs
@@ -12,10 +12,10 @@
 /// must not be told "not run", nor the payment be sent to a second endpoint: what that program did
 /// is not known.
 #[tokio::test(flavor = "multi_thread")]
-async fn answer_of_no_gate_proves_nothing() {
+async fn a_response_from_a_foreign_server_gets_may_have_run() {
     let mut mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
-    let taken_over = vms_of(&mesh, "cobros")[0];
-    let mut node = mesh.vms[taken_over].node.take().expect("it runs");
+    let replaced = vms_of(&mesh, "cobros")[0];
+    let mut node = mesh.vms[replaced].node.take().expect("it runs");
     let address = node.addresses.peer;
     node.signal(Signal::Kill);
     node.ended().await.expect("it ends");
@@ -24,19 +24,19 @@
 
     let entry = vms_of(&mesh, "tablon")[0];
     let caller = mesh.vms[entry].node().addresses.caller;
-    let mut landed = 0;
+    let mut attempts = 0;
     wait_until("a payment lands at the imposter", LIMIT, || {
-        landed += 1;
-        let id = format!("payment-{landed}");
+        attempts += 1;
+        let id = format!("payment-{attempts}");
         let imposter = &imposter;
         async move {
             let reply = ask(caller, Method::POST, "cobros", "/payments", &id).await;
             let reply = reply.expect("the node answers");
-            let here = imposter.record().runs.contains_key(&id);
-            if here {
+            let reached_imposter = imposter.record().runs.contains_key(&id);
+            if reached_imposter {
                 assert_eq!(reply.header(VERDICT), "may-have-run", "{reply:?}");
             }
-            here
+            reached_imposter
         }
     })
     .await;
--- a/tests/testsuite/requests_pipeline.rs
+++ b/tests/testsuite/requests_pipeline.rs
@@ -10,7 +10,7 @@
 use crate::support::{LIMIT, runs, small, start_chatarras, vms_of, wait_running};
 
 /// Head of a read of prices without a body.
-fn read(id: &str, work_ms: u64) -> String {
+fn read_request(id: &str, work_ms: u64) -> String {
     format!(
         "GET /prices/copper?answer_bytes=10&work_ms={work_ms} HTTP/1.1\r\n\
          host: tablon\r\nx-request-id: {id}\r\n\r\n"
@@ -18,7 +18,7 @@
 }
 
 /// Head of a payment without a body.
-fn payment(id: &str) -> String {
+fn payment_request(id: &str) -> String {
     format!("POST /payments/9 HTTP/1.1\r\nhost: cobros\r\nx-request-id: {id}\r\n\r\n")
 }
 
@@ -30,7 +30,7 @@
 }
 
 /// Ids of the answers in the order in which they come, until there are `count`.
-async fn answered_ids(stream: &mut TcpStream, count: usize) -> Vec<String> {
+async fn response_ids(stream: &mut TcpStream, count: usize) -> Vec<String> {
     let mut text = String::new();
     loop {
         let id = |line: &str| line.strip_prefix("x-request-id: ").map(str::to_owned);
@@ -51,20 +51,25 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_reads_run_at_once_and_are_answered_in_order() {
     let mesh = start_chatarras(small(&["tablon"], 1)).await;
-    let only = vms_of(&mesh, "tablon")[0];
+    let target = vms_of(&mesh, "tablon")[0];
     for position in vms_of(&mesh, "tablon") {
-        if position != only {
+        if position != target {
             let operator = mesh.vms[position].node().addresses.operator;
             let drained = request(operator, Method::POST, "node", "/drain", &[], "").await;
             drained.expect("the node answers");
         }
     }
-    let entry = mesh.vms[only].node().addresses.caller;
-    let requests = [read("slow", 500), read("second", 250), read("third", 250)].concat();
+    let entry = mesh.vms[target].node().addresses.caller;
+    let requests = [
+        read_request("slow", 500),
+        read_request("second", 250),
+        read_request("third", 250),
+    ]
+    .concat();
     let mut stream = send(entry, &requests).await;
-    let ids = answered_ids(&mut stream, 3).await;
+    let ids = response_ids(&mut stream, 3).await;
     assert_eq!(ids, ["slow", "second", "third"]);
-    let record = mesh.vms[only].backend.record();
+    let record = mesh.vms[target].backend.record();
     assert_eq!(record.peak, 3, "they ran one after the other");
     assert_eq!(record.runs.len(), 3);
 }
@@ -74,18 +79,20 @@
 /// stands, and only keeps it. It must start all the same: its answer would be late although its
 /// endpoint is idle.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_read_that_comes_during_another_one_runs_at_once() {
+async fn a_read_pipelined_during_another_starts_at_once() {
     let mesh = start_chatarras(small(&["tablon"], 1)).await;
     let entry = mesh.vms[0].node().addresses.caller;
-    let mut stream = send(entry, &read("slow", 500)).await;
+    let mut stream = send(entry, &read_request("slow", 500)).await;
     wait_running(&mesh, "tablon", "slow").await;
-    let sent = stream.write_all(read("behind", 250).as_bytes()).await;
+    let sent = stream
+        .write_all(read_request("behind", 250).as_bytes())
+        .await;
     sent.expect("the node reads");
     wait_running(&mesh, "tablon", "behind").await;
     let finished = |position: usize| mesh.vms[position].backend.record().finished;
     let finished: u64 = vms_of(&mesh, "tablon").into_iter().map(finished).sum();
     assert_eq!(finished, 0, "the second read waited for the first one");
-    let ids = answered_ids(&mut stream, 2).await;
+    let ids = response_ids(&mut stream, 2).await;
     assert_eq!(ids, ["slow", "behind"]);
 }
 
@@ -95,7 +102,7 @@
 async fn a_payment_behind_an_unanswered_read_does_not_run() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     let entry = mesh.vms[0].node().addresses.caller;
-    let requests = [read("long", 700), payment("pay-behind")].concat();
+    let requests = [read_request("long", 700), payment_request("pay-behind")].concat();
     let stream = send(entry, &requests).await;
     wait_until("the read runs", LIMIT, || async {
         !runs(&mesh, "tablon", "long").is_empty()
--- a/tests/testsuite/requests_streams.rs
+++ b/tests/testsuite/requests_streams.rs
@@ -65,10 +65,13 @@
     let mut readers = Vec::new();
     for _ in 0..READERS {
         let mut stream = TcpStream::connect(caller).await.expect("it listens");
-        let ask = format!(
+        let request_head = format!(
             "GET /archive/1?answer_bytes={ANSWER_BYTES} HTTP/1.1\r\nhost: hemeroteca\r\n\r\n"
         );
-        stream.write_all(ask.as_bytes()).await.expect("it is taken");
+        stream
+            .write_all(request_head.as_bytes())
+            .await
+            .expect("it is taken");
         let mut first = [0; 12];
         stream.read_exact(&mut first).await.expect("it is answered");
         assert_eq!(&first, b"HTTP/1.1 200");
@@ -93,7 +96,7 @@
 /// A caller sends half of an upload and then nothing. The backend server sees a broken request,
 /// never a short one that looks whole, and its slot is free again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stalled_upload_breaks_and_frees_its_slot() {
+async fn a_stalled_upload_is_aborted_and_frees_its_slot() {
     let mesh = start().await;
     let entry = vms_of(&mesh, "tablon")[0];
     let caller = mesh.vms[entry].node().addresses.caller;
@@ -120,42 +123,45 @@
 /// Callers hang up in the middle of answers, and while their requests run. The next answers on the
 /// same way are those of the next requests, never the rest of an old one.
 #[tokio::test(flavor = "multi_thread")]
-async fn late_answers_reach_no_other_caller() {
+async fn abandoned_responses_reach_no_other_caller() {
     let mesh = start().await;
     let entry = vms_of(&mesh, "tablon")[0];
     let caller = mesh.vms[entry].node().addresses.caller;
-    let mut asking = tokio::task::JoinSet::new();
-    for asker in 0..4 {
-        asking.spawn(async move {
+    let mut tasks = tokio::task::JoinSet::new();
+    for caller_number in 0..4 {
+        tasks.spawn(async move {
             for n in 0..40 {
                 let mut stream = TcpStream::connect(caller).await.expect("it listens");
-                let ask = format!(
+                let request_head = format!(
                     "GET /archive/1?answer_bytes=200000&work_ms={} HTTP/1.1\r\n\
                      host: hemeroteca\r\n\r\n",
                     n % 4
                 );
-                stream.write_all(ask.as_bytes()).await.expect("it is taken");
+                stream
+                    .write_all(request_head.as_bytes())
+                    .await
+                    .expect("it is taken");
                 if n % 2 == 0 {
                     let mut first = [0; 1_000];
                     stream.read_exact(&mut first).await.expect("it is answered");
                 }
                 drop(stream);
-                let id = format!("own-{asker}-{n}");
+                let id = format!("own-{caller_number}-{n}");
                 let path = "/archive/2?answer_bytes=50000";
-                let reply = ask_archive(caller, path, &id).await;
+                let reply = request_archive(caller, path, &id).await;
                 let digest = blake3::hash(&reply.body).to_hex().to_string();
                 assert_eq!(digest, expected_answer_digest(&id, 50_000), "{id}");
             }
         });
     }
-    asking.join_all().await;
+    tasks.join_all().await;
     wait_until("every slot is free", LIMIT, || async {
         slots_in_use(&mesh).await == 0
     })
     .await;
 }
 
-async fn ask_archive(caller: SocketAddr, path: &str, id: &str) -> Reply {
+async fn request_archive(caller: SocketAddr, path: &str, id: &str) -> Reply {
     let reply = ask(caller, Method::GET, "hemeroteca", path, id).await;
     let reply = reply.expect("the node answers");
     assert_eq!(reply.status, 200, "{reply:?}");
@@ -166,7 +172,7 @@
 const IDLE_CONNECTIONS: usize = 800;
 /// Most that the node may grow by for each. The HTTP library alone keeps 16 KB of buffers for a
 /// connection that it serves, and 30 KB went into one in all before idle ones were taken from it.
-const IDLE_MAX_BYTES: u64 = 12 << 10;
+const IDLE_CONNECTION_MAX_BYTES: u64 = 12 << 10;
 
 /// A crowd of callers keeps its connections open, as libraries do, and asks on each now and then.
 /// What an idle one costs decides how many a small VM bears.
@@ -175,12 +181,12 @@
     let mesh = start().await;
     let entry = vms_of(&mesh, "tablon")[0];
     let caller = mesh.vms[entry].node().addresses.caller;
-    let ask = b"GET /archive/1?answer_bytes=10 HTTP/1.1\r\nhost: hemeroteca\r\n\r\n";
+    let request_head = b"GET /archive/1?answer_bytes=10 HTTP/1.1\r\nhost: hemeroteca\r\n\r\n";
     let mut before = 0;
     let mut streams = Vec::new();
     for number in 0..=IDLE_CONNECTIONS {
         let mut stream = TcpStream::connect(caller).await.expect("it listens");
-        stream.write_all(ask).await.expect("it is taken");
+        stream.write_all(request_head).await.expect("it is taken");
         let mut first = [0; 12];
         stream.read_exact(&mut first).await.expect("it is answered");
         assert_eq!(&first, b"HTTP/1.1 200");
@@ -190,12 +196,15 @@
         }
     }
     let grown = resident_bytes(&mesh, entry).saturating_sub(before);
-    let each = grown / IDLE_CONNECTIONS as u64;
-    println!("idle connections: {each} bytes each");
-    assert!(each < IDLE_MAX_BYTES, "{each} bytes for each connection");
+    let bytes_per_connection = grown / IDLE_CONNECTIONS as u64;
+    println!("idle connections: {bytes_per_connection} bytes each");
+    assert!(
+        bytes_per_connection < IDLE_CONNECTION_MAX_BYTES,
+        "{bytes_per_connection} bytes for each connection"
+    );
     // They are served as before.
     for stream in &mut streams {
-        stream.write_all(ask).await.expect("it is taken");
+        stream.write_all(request_head).await.expect("it is taken");
     }
     let mut answered = 0;
     for mut stream in streams {
--- a/tests/testsuite/requests_untrusted.rs
+++ b/tests/testsuite/requests_untrusted.rs
@@ -10,7 +10,7 @@
 use crate::support::{LIMIT, small, start_chatarras};
 
 /// Sends bytes as they are; returns all that comes back until the node closes or falls silent.
-async fn raw(entry: SocketAddr, bytes: &[u8]) -> String {
+async fn exchange_raw(entry: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(entry).await.expect("it listens");
     // The node may close before it has read everything.
     let _ = stream.write_all(bytes).await;
@@ -20,8 +20,8 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-const QUICK: &[u8] = b"GET /prices/zinc?answer_bytes=10 HTTP/1.1\r\nhost: tablon\r\n\r\n";
-const LONG: &[u8] = b"GET /prices/zinc?work_ms=700 HTTP/1.1\r\nhost: tablon\r\n\r\n";
+const QUICK_REQUEST: &[u8] = b"GET /prices/zinc?answer_bytes=10 HTTP/1.1\r\nhost: tablon\r\n\r\n";
+const LONG_REQUEST: &[u8] = b"GET /prices/zinc?work_ms=700 HTTP/1.1\r\nhost: tablon\r\n\r\n";
 
 async fn send(entry: SocketAddr, request: &[u8]) -> TcpStream {
     let mut stream = TcpStream::connect(entry).await.expect("it listens");
@@ -29,7 +29,7 @@
     stream
 }
 
-/// Reads the answer to [`QUICK`].
+/// Reads the answer to [`QUICK_REQUEST`].
 async fn read_answer(stream: &mut TcpStream) {
     let mut answer = Vec::new();
     loop {
@@ -74,7 +74,7 @@
         format!("{start}content-length:\r\n 0\r\n\r\n{hidden}"),
     ];
     for frame in frames {
-        let answer = raw(entry, frame.as_bytes()).await;
+        let answer = exchange_raw(entry, frame.as_bytes()).await;
         let ran = mesh
             .vms
             .iter()
@@ -104,7 +104,7 @@
         "GET / HTTP/1.1\r\nhost: tablon\r\nx: {}\r\n\r\n",
         "y".repeat(100_000)
     );
-    let answer = raw(entry, long.as_bytes()).await;
+    let answer = exchange_raw(entry, long.as_bytes()).await;
     assert!(matches!(statuses(&answer)[..], ["431"] | []), "{answer:?}");
 
     // Silent from the start, and silent in the middle of the head.
@@ -122,7 +122,7 @@
     // Of the four that it may have, the one that has been idle the longest goes for a fifth.
     let mut streams = Vec::new();
     for _ in 0..5 {
-        let mut stream = send(entry, QUICK).await;
+        let mut stream = send(entry, QUICK_REQUEST).await;
         read_answer(&mut stream).await;
         streams.push(stream);
     }
@@ -130,7 +130,10 @@
     let closed = streams[0].read_to_end(&mut rest).await;
     assert!(closed.is_ok() && rest.is_empty(), "{closed:?} {rest:?}");
     for stream in &mut streams[1..] {
-        stream.write_all(QUICK).await.expect("it is still open");
+        stream
+            .write_all(QUICK_REQUEST)
+            .await
+            .expect("it is still open");
         read_answer(stream).await;
     }
     drop(streams);
@@ -138,17 +141,17 @@
     // While all four have a request in hand, none goes: the fifth is closed at once.
     let mut streams = Vec::new();
     for _ in 0..4 {
-        streams.push(send(entry, LONG).await);
+        streams.push(send(entry, LONG_REQUEST).await);
     }
     wait_until("four long requests run", LIMIT, || async {
         mesh.vms[0].backend.record().peak == 4
     })
     .await;
-    let fifth = raw(entry, QUICK).await;
+    let fifth = exchange_raw(entry, QUICK_REQUEST).await;
     assert_eq!(fifth, "");
     drop(streams);
     wait_until("the caller may connect again", LIMIT, || async {
-        statuses(&raw(entry, QUICK).await) == ["200"]
+        statuses(&exchange_raw(entry, QUICK_REQUEST).await) == ["200"]
     })
     .await;
 }
--- a/tests/testsuite/requests_intake.rs
+++ b/tests/testsuite/requests_uploads.rs
@@ -22,12 +22,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_uploads_hold_no_slots() {
     // Twice the slots of both endpoints that the entry may use.
-    const SLOW: usize = 80;
+    const SLOW_UPLOADS: usize = 80;
     let mesh = start_chatarras(small(&["bascula"], 1)).await;
     let node = mesh.vms[vms_of(&mesh, "bascula")[0]].node();
     let entry = node.addresses.caller;
-    let mut slow = Vec::new();
-    for number in 0..SLOW {
+    let mut streams = Vec::new();
+    for number in 0..SLOW_UPLOADS {
         let mut stream = TcpStream::connect(entry).await.expect("the node listens");
         let head = format!(
             "PUT /bundles/{number} HTTP/1.1\r\nhost: bascula\r\nx-request-id: slow-{number}\r\n\
@@ -35,16 +35,16 @@
         );
         stream.write_all(head.as_bytes()).await.expect("sent");
         stream.write_all(&[0; 20_000]).await.expect("sent");
-        slow.push(stream);
+        streams.push(stream);
     }
     wait_until("slow uploads come in", LIMIT, || async {
-        let mut coming = 0.0;
+        let mut in_progress = 0.0;
         for vm in &mesh.vms {
             let text = metrics(vm.node().addresses.operator).await;
-            coming += gauge(&text, "dragonflywall_uploads_coming");
-            coming += gauge(&text, "dragonflywall_gate_slots_in_use");
+            in_progress += gauge(&text, "dragonflywall_uploads_coming");
+            in_progress += gauge(&text, "dragonflywall_gate_slots_in_use");
         }
-        coming >= 40.0
+        in_progress >= 40.0
     })
     .await;
     for number in 0..10 {
@@ -74,8 +74,8 @@
         ("x-dragonflywall-deadline-ms", "5000"),
         ("x-dragonflywall-reserve", "60000"),
     ];
-    let asked = connection.request_with(Method::PUT, "bascula", "/bundles/1", &headers);
-    asked.await.expect("the gate answers")
+    let reservation = connection.request_with(Method::PUT, "bascula", "/bundles/1", &headers);
+    reservation.await.expect("the gate answers")
 }
 
 /// Two uploads use the small link of a VM, and a third entry wants to send one. It is told before it has
@@ -94,9 +94,9 @@
     mesh.wait_enforced(1).await;
     let peer = mesh.vms[0].node().addresses.peer;
     for id in ["first", "second"] {
-        let given = reserve(peer, id).await;
-        assert_eq!(given.status, 200, "{given:?}");
-        assert!(!given.header("x-dragonflywall-turn").is_empty());
+        let granted = reserve(peer, id).await;
+        assert_eq!(granted.status, 200, "{granted:?}");
+        assert!(!granted.header("x-dragonflywall-turn").is_empty());
     }
     let refused = reserve(peer, "third").await;
     assert_eq!(refused.status, 503, "{refused:?}");
--- a/tests/testsuite/users_requests.rs
+++ b/tests/testsuite/users_requests.rs
@@ -27,26 +27,26 @@
     assert_eq!(reply.body.len() as u64, bytes, "{id}");
 }
 
-async fn ask(mesh: &Mesh, asked: &Asked<'_>) -> Reply {
-    mesh.ask(0, asked).await.expect("the node answers")
+async fn send(mesh: &Mesh, request: &Asked<'_>) -> Reply {
+    mesh.ask(0, request).await.expect("the node answers")
 }
 
 /// A backend server answers some requests twice, the second time at once or when the connection may carry
 /// another request already. A keeper who asks for one stock must never get the figure of another.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_comes_twice_reaches_nobody_else() {
+async fn a_duplicate_response_reaches_no_other_caller() {
     let mesh = start_users_serving(small()).await;
     let mut served = 0;
     for number in 0..60 {
-        let word = match number % 3 {
+        let mode = match number % 3 {
             0 => Answering::Extra.word(),
             1 => Answering::ExtraLate.word(),
             _ => Answering::Whole.word(),
         };
         let bytes = 100 + number;
-        let path = format!("/stock/{number}?bytes={bytes}&answer={word}");
+        let path = format!("/stock/{number}?bytes={bytes}&answer={mode}");
         let id = format!("twice-{number}");
-        let reply = ask(&mesh, &Asked::get(&path, &id)).await;
+        let reply = send(&mesh, &Asked::get(&path, &id)).await;
         // Whose place the other answer took may have run, and is tried again only so often.
         if reply.status != StatusCode::BAD_GATEWAY {
             assert_own_answer(&reply, &id, bytes);
@@ -59,10 +59,10 @@
 /// An answer without a length ends with its connection. It is passed on whole, and one that breaks off
 /// in the middle does not look complete to the caller.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_without_length_is_whole_and_a_cut_one_is_broken() {
+async fn a_response_without_length_is_whole_and_a_truncated_one_fails() {
     let mesh = start_users_serving(small()).await;
     let path = format!("/stock/1?bytes=5000&answer={}", Answering::Unframed.word());
-    let reply = ask(&mesh, &Asked::get(&path, "unframed")).await;
+    let reply = send(&mesh, &Asked::get(&path, "unframed")).await;
     assert_own_answer(&reply, "unframed", 5_000);
     let path = format!("/book/1?bytes=5000&answer={}", Answering::Cut.word());
     let reply = mesh.ask(0, &Asked::post(&path, "cut")).await;
@@ -73,10 +73,10 @@
 /// A booking runs and its answer is lost. The keeper is told neither "booked" nor "not run", and the
 /// lorry is not booked twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_booking_whose_answer_is_lost_runs_once() {
+async fn a_booking_whose_response_is_lost_runs_once() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let path = format!("/book/1?answer={}", Answering::Lost.word());
-    let reply = ask(&mesh, &Asked::post(&path, "lost")).await;
+    let reply = send(&mesh, &Asked::post(&path, "lost")).await;
     assert_eq!(reply.status, StatusCode::BAD_GATEWAY);
     assert_eq!(users_runs(&mesh, "lost").len(), 1);
 }
@@ -84,10 +84,10 @@
 /// A look-up whose answer is lost is asked for once more, elsewhere, and no more often than the route
 /// says.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lookup_whose_answer_is_lost_is_tried_elsewhere() {
+async fn a_lookup_whose_response_is_lost_is_retried_elsewhere() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let path = format!("/stock/1?answer={}", Answering::Lost.word());
-    let reply = ask(&mesh, &Asked::get(&path, "lost")).await;
+    let reply = send(&mesh, &Asked::get(&path, "lost")).await;
     assert_eq!(reply.status, StatusCode::BAD_GATEWAY);
     let runs = users_runs(&mesh, "lost");
     assert_eq!(runs.len(), 2);
@@ -97,7 +97,7 @@
 /// All slots are taken by long bookings. Whoever comes then is told at once that nothing ran and when to
 /// come back, and it is true for good: the request never runs later.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_for_load_is_true() {
+async fn a_request_refused_for_load_never_runs() {
     let mut plan = small();
     plan.behaviour = Behaviour {
         slots: 2,
@@ -109,19 +109,19 @@
         let mesh = &mesh;
         async move {
             let path = "/book/1?work_ms=900";
-            let mut asked = Asked::post(path, &id);
-            asked.deadline_ms = 1_000;
-            (ask(mesh, &asked).await, users_runs(mesh, &id).len())
+            let mut request = Asked::post(path, &id);
+            request.deadline_ms = 1_000;
+            (send(mesh, &request).await, users_runs(mesh, &id).len())
         }
     };
     let mut bookings: Vec<_> = Vec::new();
     for number in 0..12 {
         bookings.push(booking(number));
     }
-    let ended = futures(bookings).await;
-    let served = ended.iter().filter(|(reply, _)| reply.status == 200);
+    let outcomes = join_all(bookings).await;
+    let served = outcomes.iter().filter(|(reply, _)| reply.status == 200);
     assert!(served.count() >= 2);
-    for (reply, runs) in &ended {
+    for (reply, runs) in &outcomes {
         if reply.status == 503 {
             let seconds: f64 = reply.header("retry-after").parse().expect("it is told");
             assert!(seconds > 0.0);
@@ -130,15 +130,15 @@
             assert_eq!(*runs, 1, "{reply:?}");
         }
     }
-    assert!(ended.iter().any(|(reply, _)| reply.status == 503));
+    assert!(outcomes.iter().any(|(reply, _)| reply.status == 503));
 }
 
-async fn futures<F: Future>(all: Vec<F>) -> Vec<F::Output> {
-    let mut all: Vec<_> = all.into_iter().map(Box::pin).collect();
-    let mut ended: Vec<Option<F::Output>> = all.iter().map(|_| None).collect();
+async fn join_all<F: Future>(futures: Vec<F>) -> Vec<F::Output> {
+    let mut futures: Vec<_> = futures.into_iter().map(Box::pin).collect();
+    let mut outputs: Vec<Option<F::Output>> = futures.iter().map(|_| None).collect();
     std::future::poll_fn(|context| {
         let mut pending = false;
-        for (future, output) in all.iter_mut().zip(&mut ended) {
+        for (future, output) in futures.iter_mut().zip(&mut outputs) {
             if output.is_none() {
                 match future.as_mut().poll(context) {
                     std::task::Poll::Ready(value) => *output = Some(value),
@@ -152,13 +152,13 @@
         }
     })
     .await;
-    ended.into_iter().flatten().collect()
+    outputs.into_iter().flatten().collect()
 }
 
 /// A backend server crashes, and its address goes to one of another service before anybody hears of it.
 /// The other one runs nothing that was meant for the first.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_next_service_at_an_address_runs_nothing_of_the_last() {
+async fn a_reused_address_receives_no_request_for_the_old_service() {
     let mut mesh = start_users_serving(small()).await;
     let position = mesh.vms_of(SERVICES[0])[0];
     mesh.crash_backend(position).await;
@@ -167,27 +167,27 @@
         .expect("the address is free");
     // It has not announced itself where it stands now.
     mesh.mute_backend(position);
-    let reply = ask(&mesh, &Asked::post("/sheets/1", "meant-for-the-last")).await;
+    let reply = send(&mesh, &Asked::post("/sheets/1", "meant-for-the-last")).await;
     assert_eq!(reply.status, 503);
     assert!(users_runs(&mesh, "meant-for-the-last").is_empty());
 }
 
 /// A keeper hangs up while the work runs; the backend server is told, and does not work on for nobody.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_that_leaves_ends_the_work() {
+async fn a_caller_disconnect_cancels_the_work() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let path = "/stock/1?work_ms=60000";
     for position in 0..mesh.vms.len() {
         let id = format!("left-{position}");
-        let mut asked = Asked::get(path, &id);
-        asked.deadline_ms = 60_000;
+        let mut request = Asked::get(path, &id);
+        request.deadline_ms = 60_000;
         {
-            let asking = mesh.ask(position, &asked);
+            let pending = mesh.ask(position, &request);
             let running = wait_until("it runs", LIMIT, || async {
                 !users_runs(&mesh, &id).is_empty()
             });
             tokio::select! {
-                _ = asking => panic!("nothing was answered"),
+                _ = pending => panic!("nothing was answered"),
                 () = running => (),
             }
         }
@@ -202,11 +202,11 @@
 /// What is left of the caller's time comes to the backend server with the service that asks, whatever
 /// the caller claimed, and the answer is given at the deadline.
 #[tokio::test(flavor = "multi_thread")]
-async fn the_time_left_and_the_asking_service_reach_the_backend_server() {
+async fn the_backend_server_receives_remaining_time_and_calling_service() {
     let mesh = start_users_serving(small()).await;
-    let mut asked = Asked::get("/stock/1?work_ms=5000", "hasty");
-    asked.deadline_ms = 300;
-    let reply = ask(&mesh, &asked).await;
+    let mut request = Asked::get("/stock/1?work_ms=5000", "hasty");
+    request.deadline_ms = 300;
+    let reply = send(&mesh, &request).await;
     assert_eq!(reply.status, StatusCode::GATEWAY_TIMEOUT);
     let ran = users_runs(&mesh, "hasty")[0];
     let run = mesh.vms[ran].backend().record().runs["hasty"][0].clone();
@@ -218,27 +218,27 @@
 /// An upload is rejected before it is in, and the backend server reads on. The keeper gets that answer,
 /// and the bytes that were still due reach no other request.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_upload_that_is_rejected_early_spoils_no_other() {
+async fn an_upload_rejected_early_does_not_affect_the_next() {
     let mesh = start_users_serving(small()).await;
     let body = vec![7; 300_000];
     for number in 0..10 {
         let path = format!("/sheets/{number}?answer={}", Answering::Early.word());
         let id = format!("early-{number}");
-        let asked = Asked {
+        let request = Asked {
             body: &body,
             ..Asked::post(&path, &id)
         };
         // It may break off as the answer comes before its end.
-        if let Ok(reply) = mesh.ask(0, &asked).await {
+        if let Ok(reply) = mesh.ask(0, &request).await {
             assert_eq!(reply.status, 500);
         }
         let path = format!("/sheets/{number}");
         let id = format!("whole-{number}");
-        let asked = Asked {
+        let request = Asked {
             body: &body,
             ..Asked::post(&path, &id)
         };
-        let reply = ask(&mesh, &asked).await;
+        let reply = send(&mesh, &request).await;
         assert_own_answer(&reply, &id, 64);
         let ran = users_runs(&mesh, &id)[0];
         let run = mesh.vms[ran].backend().record().runs[&id][0].clone();
@@ -249,7 +249,7 @@
 /// A backend server that is full resets its connections, or never answers on them again. The node beside
 /// it keeps count of its slots, so that neither happens however many ask.
 #[tokio::test(flavor = "multi_thread")]
-async fn no_backend_server_is_sent_more_than_it_takes() {
+async fn a_backend_server_is_never_sent_more_than_its_slots() {
     for on_full in [OnFull::Reset, OnFull::Mute] {
         let mut plan = small();
         plan.behaviour = Behaviour {
@@ -261,18 +261,18 @@
         };
         let mesh = start_users_serving(plan).await;
         let ids: Vec<String> = (0..40).map(|number| format!("full-{number}")).collect();
-        let asked = ids.iter().map(|id| async {
-            let reply = ask(&mesh, &Asked::get("/stock/1", id)).await;
+        let requests = ids.iter().map(|id| async {
+            let reply = send(&mesh, &Asked::get("/stock/1", id)).await;
             reply.status
         });
-        for status in futures(asked.collect()).await {
+        for status in join_all(requests.collect()).await {
             assert!(status == 200 || status == 503, "{status}");
         }
     }
 }
 
 /// Asks again and again, each time after the backend server has forgotten its idle connections.
-async fn ask_on_forgotten_connections(asked: for<'a> fn(&'a str) -> Asked<'a>) {
+async fn request_over_dropped_connections(new_request: for<'a> fn(&'a str) -> Asked<'a>) {
     let mut plan = small();
     plan.behaviour = Behaviour {
         forgets_idle: Some(Duration::from_millis(200)),
@@ -281,7 +281,7 @@
     let mesh = start_users_serving(plan).await;
     for number in 0..8 {
         let id = format!("idle-{number}");
-        let reply = ask(&mesh, &asked(&id)).await;
+        let reply = send(&mesh, &new_request(&id)).await;
         assert_own_answer(&reply, &id, 64);
         tokio::time::sleep(Duration::from_millis(250)).await;
     }
@@ -291,19 +291,19 @@
 /// when something is sent on them. Nobody can tell then whether a booking has run, so none may be sent
 /// on such a connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_forgotten_idle_connection_costs_no_booking() {
-    ask_on_forgotten_connections(|id| Asked::post("/book/1", id)).await;
+async fn a_dropped_idle_connection_fails_no_booking() {
+    request_over_dropped_connections(|id| Asked::post("/book/1", id)).await;
 }
 
 /// Guards against reads that fail on a connection which the backend server has forgotten.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_forgotten_idle_connection_costs_no_read() {
-    ask_on_forgotten_connections(|id| Asked::get("/stock/1", id)).await;
+async fn a_dropped_idle_connection_fails_no_read() {
+    request_over_dropped_connections(|id| Asked::get("/stock/1", id)).await;
 }
 
 /// Guards against a new connection to the backend server for each read of a quiet time.
 #[tokio::test(flavor = "multi_thread")]
-async fn reads_of_a_quiet_time_share_a_connection() {
+async fn infrequent_reads_share_a_connection() {
     const READS: u64 = 8;
     let mesh = start_users_serving(small()).await;
     let connections = || {
@@ -314,7 +314,7 @@
     let before = connections();
     for number in 0..READS {
         let id = format!("quiet-{number}");
-        let reply = ask(&mesh, &Asked::get("/stock/1", &id)).await;
+        let reply = send(&mesh, &Asked::get("/stock/1", &id)).await;
         assert_own_answer(&reply, &id, 64);
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
@@ -325,7 +325,7 @@
 /// A caller sends three look-ups at once on one connection. The first is the slowest; the answers come
 /// in the order of the questions.
 #[tokio::test(flavor = "multi_thread")]
-async fn requests_of_one_connection_are_answered_in_their_order() {
+async fn pipelined_requests_are_answered_in_order() {
     let mesh = start_users_serving(small()).await;
     let entry = mesh.vms[0].node().addresses.caller;
     let mut stream = TcpStream::connect(entry).await.expect("the node listens");
@@ -338,21 +338,21 @@
     }
     stream.write_all(sent.as_bytes()).await.expect("it is sent");
     let mut text = String::new();
-    let mut space = [0; 4_096];
+    let mut buffer = [0; 4_096];
     while text.matches("HTTP/1.1 200").count() < 3 {
-        let len = stream.read(&mut space).await.expect("it answers");
+        let len = stream.read(&mut buffer).await.expect("it answers");
         assert!(len > 0, "the connection ended: {text}");
-        text.push_str(&String::from_utf8_lossy(&space[..len]));
+        text.push_str(&String::from_utf8_lossy(&buffer[..len]));
     }
     let at = |number: usize| text.find(&format!("order-{number}"));
     assert!(at(0) < at(1) && at(1) < at(2), "{text}");
     // The last of them did not wait for the first to run.
-    let begun = |number: usize| {
+    let started_at = |number: usize| {
         let id = format!("order-{number}");
         let ran = users_runs(&mesh, &id)[0];
         mesh.vms[ran].backend().record().runs[&id][0].began
     };
-    assert!(begun(2) < begun(0) + Duration::from_millis(200));
+    assert!(started_at(2) < started_at(0) + Duration::from_millis(200));
 }
 
 /// A backend server's work leads to a call of its own, which goes through the node beside it.
@@ -360,7 +360,7 @@
 async fn calls_of_a_backend_server_go_through_its_node() {
     let mesh = start_users_serving(small()).await;
     let path = "/book/1?call=mesh.example/stock/7";
-    let reply = ask(&mesh, &Asked::post(path, "chain")).await;
+    let reply = send(&mesh, &Asked::post(path, "chain")).await;
     assert_own_answer(&reply, "chain", 64);
     let called = users_runs(&mesh, "chain.call");
     assert_eq!(called.len(), 1);
@@ -391,18 +391,18 @@
     let waiting = async |count: u64| {
         wait_until("requests wait", LIMIT, || async {
             let text = metrics(operator).await;
-            let says = |line: String| text.lines().any(|known| known == line);
-            says("dragonflywall_gate_slots_in_use 1".to_owned())
-                && says(format!("dragonflywall_gate_waiting {count}"))
+            let has_line = |line: String| text.lines().any(|known| known == line);
+            has_line("dragonflywall_gate_slots_in_use 1".to_owned())
+                && has_line(format!("dragonflywall_gate_waiting {count}"))
         })
         .await;
     };
     let read = |id: &'static str, path: &'static str| {
         let mesh = &mesh;
-        let mut asked = Asked::get(path, id);
-        asked.deadline_ms = 60_000;
+        let mut request = Asked::get(path, id);
+        request.deadline_ms = 60_000;
         async move {
-            let reply = ask(mesh, &asked).await;
+            let reply = send(mesh, &request).await;
             assert_own_answer(&reply, id, 64);
         }
     };
@@ -414,22 +414,22 @@
             async {
                 waiting(2).await;
                 let path = "/book/1?call=mesh.example/stock/7";
-                ask(&mesh, &Asked::post(path, "booking")).await
+                send(&mesh, &Asked::post(path, "booking")).await
             },
         )
     };
     tokio::join!(read("long", "/stock/1?work_ms=1500"), others);
-    let begun = |id: &str| mesh.vms[ledger].backend().record().runs[id][0].began;
-    assert!(begun("booking.call") < begun("keeper-1"));
-    assert!(begun("booking.call") < begun("keeper-2"));
+    let started_at = |id: &str| mesh.vms[ledger].backend().record().runs[id][0].began;
+    assert!(started_at("booking.call") < started_at("keeper-1"));
+    assert!(started_at("booking.call") < started_at("keeper-2"));
 }
 
 /// A caller gives its request an id as if a running one had made it. Nobody runs such a request, so it is
 /// a caller's like any other, and has its whole own deadline.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_id_that_extends_no_running_request_is_a_callers() {
+async fn an_id_that_extends_no_running_request_is_not_a_call() {
     let mesh = start_users_serving(small()).await;
-    let reply = ask(&mesh, &Asked::get("/stock/1", "nobody.call")).await;
+    let reply = send(&mesh, &Asked::get("/stock/1", "nobody.call")).await;
     assert_own_answer(&reply, "nobody.call", 64);
     let ran = users_runs(&mesh, "nobody.call")[0];
     let run = mesh.vms[ran].backend().record().runs["nobody.call"][0].clone();
@@ -438,10 +438,10 @@
 
 /// A failure of the backend server's own is passed on as it is, with its seal.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_backend_servers_own_failure_is_passed_on() {
+async fn a_failure_response_of_the_backend_server_is_passed_on() {
     let mesh = start_users_serving(small()).await;
     let path = format!("/book/1?answer={}", Answering::Failure.word());
-    let reply = ask(&mesh, &Asked::post(&path, "failed")).await;
+    let reply = send(&mesh, &Asked::post(&path, "failed")).await;
     assert_eq!(reply.status, StatusCode::INTERNAL_SERVER_ERROR);
     assert_eq!(reply.header(SEAL), "failure.failed");
     let ran = users_runs(&mesh, "failed")[0];
