--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -129,8 +129,10 @@
 
 fn new_fetcher(node: &NodeState, origin: &ConfigurationOrigin) -> Fetcher {
     match origin {
-        ConfigurationOrigin::Published(_) => Fetcher::new(node.proxy.me),
-        ConfigurationOrigin::Feed(_) => Fetcher::followed(node.proxy.me, node.budget().hold_ms()),
+        ConfigurationOrigin::Published(_) => Fetcher::new(node.proxy.local_id),
+        ConfigurationOrigin::Feed(_) => {
+            Fetcher::followed(node.proxy.local_id, node.budget().hold_ms())
+        }
     }
 }
 
@@ -312,7 +314,7 @@
                 version_metrics::record_enforcement_age(age_ms, self.max_enforcement_age_ms);
             }
             self.node.proxy.enforced.store(Some(applied));
-            self.node.proxy.refresh_slots();
+            self.node.proxy.update_slot_limits();
             self.send_to_membership(MembershipMsg::SetEnforced(stamp.version));
         }
     }
--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -98,7 +98,7 @@
     }
 
     fn next_ask(&mut self) -> Ask {
-        let now_ms = self.node.proxy.age_ms();
+        let now_ms = self.node.proxy.uptime_ms();
         self.lead_choice.set_leads(self.leads());
         self.lead_choice
             .note_held(now_ms, *self.node.held_version.borrow());
@@ -122,7 +122,7 @@
         let Some(mut client) = self.node.control_pool.client(lead.address) else {
             return self
                 .lead_choice
-                .lead_silent(self.node.proxy.age_ms(), lead.node);
+                .lead_silent(self.node.proxy.uptime_ms(), lead.node);
         };
         let started = Instant::now();
         let mut leads = self.node.leads.subscribe();
@@ -139,13 +139,13 @@
                 self.node.control_pool.forget(lead.address);
                 return self
                     .lead_choice
-                    .lead_silent(self.node.proxy.age_ms(), lead.node);
+                    .lead_silent(self.node.proxy.uptime_ms(), lead.node);
             }
         };
         let offered = response.offer.as_ref();
         let len_bytes = offered.map_or(0, |offer| offer.content.len_bytes());
         log_late_answer("lead", took_ms, wait, len_bytes);
-        let (now_ms, budget) = (self.node.proxy.age_ms(), self.node.budget());
+        let (now_ms, budget) = (self.node.proxy.uptime_ms(), self.node.budget());
         let state = response.state;
         if !self
             .lead_choice
@@ -156,7 +156,7 @@
                 "the lead hears nothing of the store"
             );
         }
-        self.node.proxy.store_was_read(state.store_age_ms);
+        self.node.proxy.record_store_read(state.store_age_ms);
         if let Some(offer) = response.offer {
             self.send(ConfigurationMsg::LeadOffer {
                 offer,
@@ -178,7 +178,7 @@
             Some((position, _)) => {
                 let wait_ms = self
                     .lead_choice
-                    .store_wait_ms(self.node.proxy.age_ms(), budget);
+                    .store_wait_ms(self.node.proxy.uptime_ms(), budget);
                 let wait = Duration::from_millis(wait_ms);
                 (wait, self.feed.after(position, wait, answer_timeout).await)
             }
@@ -200,7 +200,7 @@
     fn handle_store_answer(&mut self, answer: Told, last_read_age_ms: u64) {
         self.lead_choice.store_answered();
         self.position = Some((answer.position, Instant::now()));
-        self.node.proxy.store_was_read(0);
+        self.node.proxy.record_store_read(0);
         self.send(ConfigurationMsg::StoreRead {
             configuration: answer.configuration.map(Box::new),
             last_read_age_ms,
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -218,7 +218,7 @@
     /// The node's addresses as one line of JSON, for whoever started it with port 0.
     pub fn addresses_json(&self) -> String {
         let addresses = serde_json::json!({
-            "node": self.node.proxy.me,
+            "node": self.node.proxy.local_id,
             "caller": self.caller,
             "peer": self.peer,
             "operator": self.operator,
@@ -274,9 +274,9 @@
         let min_serving_time = Duration::from_millis(self.node.proxy.tunable.load().stop_least_ms);
         // Whatever the gate is asked from now on it refuses at once, so a request that comes
         // after the last one has ended cannot be lost by not being waited for.
-        self.node.proxy.in_gate.close();
+        self.node.proxy.gate_requests.close();
         tokio::join!(
-            self.node.proxy.in_gate.wait(),
+            self.node.proxy.gate_requests.wait(),
             tokio::time::sleep(min_serving_time)
         );
         self.shutdown.callers.cancel();
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -17,8 +17,8 @@
 use crate::node::settings::Settings;
 use crate::peer::pool::PeerPool;
 use crate::platform;
-use crate::proxy::state::{ProxyState, lock};
-use crate::proxy::vocabulary::{self, Vocabulary};
+use crate::proxy::header_profile::{self, HeaderProfile};
+use crate::proxy::state::{ProxyState, lock_ignoring_poison};
 
 /// Shared by every task of the node; requests see [`ProxyState`] alone.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
         let control_pool = PeerPool::new(settings.dial_options());
         let vocabulary = vocabulary_of(settings.dialect);
         let proxy = Arc::new(ProxyState::new(settings, vocabulary, local_node));
-        let announcements = match proxy.vocabulary.instance {
+        let announcements = match proxy.header_profile.instance {
             Some(_) => Announcements::doubtful(),
             None => Announcements::default(),
         };
@@ -77,7 +77,7 @@
     /// Lets [`Self::send_to_membership`] and the request path reach the actor.
     pub(crate) fn set_membership(&self, membership: ActorRef<MembershipMsg>) {
         let loss_receiver = membership.clone();
-        self.proxy.backend_lost.set(move |service| {
+        self.proxy.on_backend_lost.set(move |service| {
             // The actor is gone only while the process ends.
             let _ =
                 loss_receiver.cast(MembershipMsg::SetBackend(Some(service), BackendState::Gone));
@@ -99,13 +99,13 @@
     }
 
     pub(crate) fn announcements(&self) -> MutexGuard<'_, Announcements> {
-        lock(&self.announcements)
+        lock_ignoring_poison(&self.announcements)
     }
 }
 
-fn vocabulary_of(dialect: Dialect) -> &'static Vocabulary {
+fn vocabulary_of(dialect: Dialect) -> &'static HeaderProfile {
     match dialect {
-        Dialect::Native => &vocabulary::OWN,
+        Dialect::Native => &header_profile::DEFAULT,
         Dialect::Platform => &platform::headers::VOCABULARY,
     }
 }
