--- a/src/distribution/budget.rs
+++ b/src/distribution/budget.rs
@@ -5,7 +5,7 @@
 
 /// The time from a version's acceptance until every node enforces it, and its shares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
+pub struct ApplyBudget {
     apply_ms: u64,
 }
 
@@ -13,26 +13,26 @@
 #[derive(Clone, Copy, Debug)]
 struct Share {
     per_mille: u64,
-    most_ms: u64,
+    max_ms: u64,
 }
 
-const fn share(per_mille: u64, most_ms: u64) -> Share {
-    Share { per_mille, most_ms }
+const fn share(per_mille: u64, max_ms: u64) -> Share {
+    Share { per_mille, max_ms }
 }
 
 const FOLLOW_WAIT: Share = share(400, 1_000);
-const FOLLOW_ANSWER: Share = share(200, 700);
-const PROBE_ANSWER: Share = share(120, 500);
+const FOLLOW_ANSWER_TIMEOUT: Share = share(200, 700);
+const PROBE_ANSWER_TIMEOUT: Share = share(120, 500);
 const SHORT_STORE_WAIT: Share = share(440, 1_500);
 const LONG_STORE_WAIT: Share = share(800, 2_000);
-const STORE_ANSWER: Share = share(200, 1_000);
-const HOLD: Share = share(120, 300);
-const NEAR_FETCH: Share = share(200, 1_500);
-const FAR_FETCH: Share = share(400, 5_000);
-const SOLO_PAUSE: Share = share(500, 2_000);
-const HEAD_POLL: Share = share(500, 120_000);
-
-impl Budget {
+const STORE_ANSWER_TIMEOUT: Share = share(200, 1_000);
+const PEER_FETCH_DELAY: Share = share(120, 300);
+const REGION_FETCH_TIMEOUT: Share = share(200, 1_500);
+const CROSS_REGION_FETCH_TIMEOUT: Share = share(400, 5_000);
+const NON_LEAD_STORE_PAUSE: Share = share(500, 2_000);
+const HEAD_POLL_INTERVAL: Share = share(500, 120_000);
+
+impl ApplyBudget {
     /// The shares of `apply_ms`, in milliseconds.
     pub const fn new(apply_ms: u64) -> Self {
         Self { apply_ms }
@@ -49,13 +49,13 @@
     }
 
     /// What a lead's answer may take beyond that.
-    pub fn follow_answer_ms(self) -> u64 {
-        self.of(FOLLOW_ANSWER)
+    pub fn follow_answer_timeout_ms(self) -> u64 {
+        self.of(FOLLOW_ANSWER_TIMEOUT)
     }
 
     /// What the answer of a lead may take that is asked for what it holds now.
-    pub fn probe_answer_ms(self) -> u64 {
-        self.of(PROBE_ANSWER)
+    pub fn probe_answer_timeout_ms(self) -> u64 {
+        self.of(PROBE_ANSWER_TIMEOUT)
     }
 
     /// How long a read of the store waits for news where nothing else would tell in time of a version that
@@ -70,41 +70,41 @@
     }
 
     /// What the beginning of the store's answer may take beyond that.
-    pub fn store_answer_ms(self) -> u64 {
-        self.of(STORE_ANSWER)
+    pub fn store_answer_timeout_ms(self) -> u64 {
+        self.of(STORE_ANSWER_TIMEOUT)
     }
 
     /// How old the store's last word may be at a lead that is of help.
     pub fn store_age_max_ms(self) -> u64 {
-        self.long_store_wait_ms() + self.store_answer_ms()
+        self.long_store_wait_ms() + self.store_answer_timeout_ms()
     }
 
     /// How long a version that gossip tells of is left to the lead or the own read of the store.
-    pub fn hold_ms(self) -> u64 {
-        self.of(HOLD)
+    pub fn peer_fetch_delay_ms(self) -> u64 {
+        self.of(PEER_FETCH_DELAY)
     }
 
     /// Longest wait for content from a peer of the region.
-    pub fn near_fetch_ms(self) -> u64 {
-        self.of(NEAR_FETCH)
+    pub fn region_fetch_timeout_ms(self) -> u64 {
+        self.of(REGION_FETCH_TIMEOUT)
     }
 
     /// Longest wait for content from a peer of another region.
-    pub fn far_fetch_ms(self) -> u64 {
-        self.of(FAR_FETCH)
+    pub fn cross_region_fetch_timeout_ms(self) -> u64 {
+        self.of(CROSS_REGION_FETCH_TIMEOUT)
     }
 
     /// Between two reads of the store by a node that is no lead while neither leads nor store answer it.
-    pub fn solo_pause_ms(self) -> u64 {
-        self.of(SOLO_PAUSE)
+    pub fn non_lead_store_pause_ms(self) -> u64 {
+        self.of(NON_LEAD_STORE_PAUSE)
     }
 
     /// Longest pause between two looks at the head row by those who look on behalf of others.
-    pub fn head_poll_ms(self) -> u64 {
-        self.of(HEAD_POLL)
+    pub fn head_poll_interval_ms(self) -> u64 {
+        self.of(HEAD_POLL_INTERVAL)
     }
 
     fn of(self, share: Share) -> u64 {
-        (self.apply_ms * share.per_mille / 1_000).min(share.most_ms)
+        (self.apply_ms * share.per_mille / 1_000).min(share.max_ms)
     }
 }
--- a/src/distribution/fetch.rs
+++ b/src/distribution/fetch.rs
@@ -9,36 +9,36 @@
 //! | a peer across the regional link | gateway of rank 0 | at once |
 //! | the store | gateway of rank 0 | after four times its own distance from the store |
 //! | both | gateway of rank R | R times [`RANK_DELAY_MS`] later |
-//! | both | everybody else | after [`OTHERS_DELAY_MS`], spread over [`OTHERS_SPREAD_MS`] |
+//! | both | everybody else | after [`NON_GATEWAY_DELAY_MS`], spread over [`NON_GATEWAY_SPREAD_MS`] |
 //!
 //! The gateway nearest the store thus fetches first and announces it, and the other region's finds it there
 //! while it still waits: the content crosses the link once.
 //!
-//! Where versions are [followed](Fetcher::followed), peers are what is left when the other way is late: the
+//! Where versions are [followed](Fetcher::for_follower), peers are what is left when the other way is late: the
 //! times count from when it is, and the store is not among the sources.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::sightings::Sightings;
+use super::first_seen::FirstSeen;
 use crate::core::member::{Distance, NodeId};
 use crate::core::version::{Stamp, Version};
 use crate::decide::pacing::{Backoff, jittered_ms};
-use crate::membership::neighbours::weight;
+use crate::membership::neighbours::node_hash;
 
 /// A standby gateway steps in after this: several round trips between regions.
 pub const RANK_DELAY_MS: u64 = 300;
 /// A node that is no gateway leaves the store and the link alone for so long.
-pub const OTHERS_DELAY_MS: u64 = 2_000;
+pub const NON_GATEWAY_DELAY_MS: u64 = 2_000;
 /// And then comes at a random moment of this span: 520 nodes stay far below the platform's two
 /// thousand reads a second even when all gateways have failed.
-pub const OTHERS_SPREAD_MS: u64 = 8_000;
+pub const NON_GATEWAY_SPREAD_MS: u64 = 8_000;
 /// Distance of the store before it has been measured.
-const STORE_DISTANCE_MS: u64 = 25;
+const DEFAULT_STORE_LATENCY_MS: u64 = 25;
 /// A slow store must not keep its nearest region waiting for long.
-const STORE_PATIENCE_MAX_MS: u64 = 1_000;
+const STORE_DELAY_MAX_MS: u64 = 1_000;
 /// Pauses after failures.
-const RETRY: Backoff = Backoff::new(50, 10_000);
+const RETRY_BACKOFF: Backoff = Backoff::new(50, 10_000);
 /// Holders remembered; more would not be asked before one of these has answered.
 const HOLDERS_MAX: usize = 32;
 
@@ -62,7 +62,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fetch {
     /// What is wanted.
-    pub want: Stamp,
+    pub wanted: Stamp,
     /// From where.
     pub source: Source,
 }
@@ -85,24 +85,24 @@
     gateway_rank: Option<usize>,
     head: Stamp,
     /// Versions above the one held; waits count from the first, not from the newest.
-    sightings: Sightings,
+    first_seen: FirstSeen,
     holders: BTreeMap<NodeId, (Stamp, Peer)>,
     in_flight: Option<Fetch>,
     failures: u32,
-    failed_far: bool,
+    last_failure_was_remote: bool,
     not_before_ms: u64,
-    store_distance_ms: u64,
-    followed: Option<Followed>,
+    store_latency_ms: u64,
+    follower: Option<FollowerState>,
 }
 
 /// Where versions come from a lead or the own read of the store, and peers are what is left.
 #[derive(Clone, Copy, Debug)]
-struct Followed {
-    hold_ms: u64,
+struct FollowerState {
+    peer_fetch_delay_ms: u64,
     /// The last version came sooner from a peer than the other way.
-    lags: bool,
+    source_is_late: bool,
     /// Version that was last fetched from a peer, and when it was first heard of.
-    fetched: (Version, u64),
+    last_fetched: (Version, u64),
 }
 
 impl Fetcher {
@@ -112,27 +112,27 @@
             me,
             gateway_rank: None,
             head: Stamp::NONE,
-            sightings: Sightings::default(),
+            first_seen: FirstSeen::default(),
             holders: BTreeMap::new(),
             in_flight: None,
             failures: 0,
-            failed_far: false,
+            last_failure_was_remote: false,
             not_before_ms: 0,
-            store_distance_ms: STORE_DISTANCE_MS,
-            followed: None,
+            store_latency_ms: DEFAULT_STORE_LATENCY_MS,
+            follower: None,
         }
     }
 
     /// For a node that follows a lead or the store: peers are asked for a version once it has been missing for
-    /// `hold_ms`, or at once while the other way is slower than that, and the store never.
-    pub fn followed(me: NodeId, hold_ms: u64) -> Self {
-        let followed = Followed {
-            hold_ms,
-            lags: false,
-            fetched: (Version::NONE, 0),
+    /// `peer_fetch_delay_ms`, or at once while the other way is slower than that, and the store never.
+    pub fn for_follower(me: NodeId, peer_fetch_delay_ms: u64) -> Self {
+        let follower = FollowerState {
+            peer_fetch_delay_ms,
+            source_is_late: false,
+            last_fetched: (Version::NONE, 0),
         };
         Self {
-            followed: Some(followed),
+            follower: Some(follower),
             ..Self::new(me)
         }
     }
@@ -144,7 +144,7 @@
 
     /// The process was frozen until now: a fetch from before is given up, and the next may start
     /// at once.
-    pub fn woke(&mut self, now_ms: u64) {
+    pub fn resume_after_freeze(&mut self, now_ms: u64) {
         self.in_flight = None;
         self.failures = 0;
         self.not_before_ms = now_ms;
@@ -156,20 +156,20 @@
     }
 
     /// Notes how long a read from the platform took.
-    pub fn store_answered(&mut self, took_ms: u64) {
-        self.store_distance_ms = took_ms.max(1);
+    pub fn record_store_latency(&mut self, took_ms: u64) {
+        self.store_latency_ms = took_ms.max(1);
     }
 
     /// How long a read from the platform takes, as last measured.
-    pub fn store_distance_ms(&self) -> u64 {
-        self.store_distance_ms
+    pub fn store_latency_ms(&self) -> u64 {
+        self.store_latency_ms
     }
 
     /// Notes that `stamp` is accepted.
-    pub fn heard(&mut self, now_ms: u64, stamp: Stamp) {
+    pub fn note_head(&mut self, now_ms: u64, stamp: Stamp) {
         if stamp.version > self.head.version {
             self.head = stamp;
-            self.sightings.note(now_ms, stamp.version);
+            self.first_seen.record(now_ms, stamp.version);
             // A newer version is a new matter: its first try is not held back by old failures.
             self.failures = 0;
             self.not_before_ms = now_ms;
@@ -177,76 +177,78 @@
     }
 
     /// When `version`, or a newer one, was first heard of, unless it has been held since.
-    pub fn heard_at_ms(&self, version: Version) -> Option<u64> {
-        self.sightings.of(version)
+    pub fn first_seen_ms(&self, version: Version) -> Option<u64> {
+        self.first_seen.first_seen_ms(version)
     }
 
     /// The lead that this node follows, or its own read of the store, has told of `version`.
-    pub fn source_told(&mut self, now_ms: u64, version: Version) {
-        let heard_ms = self.heard_at_ms(version);
-        let Some(followed) = &mut self.followed else {
+    pub fn source_reported(&mut self, now_ms: u64, version: Version) {
+        let seen_ms = self.first_seen_ms(version);
+        let Some(follower) = &mut self.follower else {
             return;
         };
-        let heard_ms = match followed.fetched {
-            (fetched, heard_ms) if version == fetched => heard_ms,
-            (fetched, _) if version < fetched => return,
-            _ => heard_ms.unwrap_or(now_ms),
+        let seen_ms = match follower.last_fetched {
+            (last_fetched, seen_ms) if version == last_fetched => seen_ms,
+            (last_fetched, _) if version < last_fetched => return,
+            _ => seen_ms.unwrap_or(now_ms),
         };
-        followed.lags = now_ms.saturating_sub(heard_ms) >= followed.hold_ms;
+        follower.source_is_late = now_ms.saturating_sub(seen_ms) >= follower.peer_fetch_delay_ms;
     }
 
     /// Notes that `peer` holds the content of `stamp`.
-    pub fn held_by(&mut self, now_ms: u64, stamp: Stamp, peer: Peer) {
-        self.heard(now_ms, stamp);
+    pub fn note_holder(&mut self, now_ms: u64, stamp: Stamp, peer: Peer) {
+        self.note_head(now_ms, stamp);
         let full = self.holders.len() >= HOLDERS_MAX;
         if full && !self.holders.contains_key(&peer.node) {
             self.holders.pop_first();
         }
         self.holders.insert(peer.node, (stamp, peer));
         // What failed was far away, and now it is near: no reason to wait on.
-        if self.failed_far && peer.distance != Distance::Mesh {
-            self.failed_far = false;
+        if self.last_failure_was_remote && peer.distance != Distance::Mesh {
+            self.last_failure_was_remote = false;
             self.not_before_ms = now_ms;
         }
     }
 
-    /// The fetch to make now, if any; the driver reports its end with [`Self::done`].
-    pub fn next(&mut self, now_ms: u64, held: Version) -> Option<Fetch> {
+    /// The fetch to make now, if any; the driver reports its end with [`Self::fetch_ended`].
+    pub fn next_fetch(&mut self, now_ms: u64, held: Version) -> Option<Fetch> {
         if self.in_flight.is_some() || self.head.version <= held || now_ms < self.not_before_ms {
             return None;
         }
         self.holders.retain(|_, (stamp, _)| stamp.version > held);
-        self.sightings.forget(held);
+        self.first_seen.discard_through(held);
         let waited_ms = now_ms.saturating_sub(self.behind_since_ms(held)?);
-        let waited_ms = waited_ms.checked_sub(self.hold_ms())?;
-        let fetch = self.near_fetch().or_else(|| self.far_fetch(waited_ms))?;
+        let waited_ms = waited_ms.checked_sub(self.peer_fetch_delay_ms())?;
+        let fetch = self
+            .region_fetch()
+            .or_else(|| self.remote_fetch(waited_ms))?;
         self.in_flight = Some(fetch);
         Some(fetch)
     }
 
-    /// When [`Self::next`] is worth asking again although nothing else happens.
-    pub fn wake_at(&self, held: Version) -> Option<u64> {
+    /// When [`Self::next_fetch`] is worth asking again although nothing else happens.
+    pub fn next_fetch_at_ms(&self, held: Version) -> Option<u64> {
         if self.in_flight.is_some() || self.head.version <= held {
             return None;
         }
-        let since_ms = self.behind_since_ms(held)? + self.hold_ms();
-        let far = since_ms + self.far_delay_ms();
-        let store = match self.followed {
+        let since_ms = self.behind_since_ms(held)? + self.peer_fetch_delay_ms();
+        let cross_region_ms = since_ms + self.cross_region_delay_ms();
+        let store_ms = match self.follower {
             Some(_) => u64::MAX,
             None => since_ms + self.store_delay_ms(),
         };
-        let soonest = match self.holders.values().map(|(_, peer)| peer.distance).min() {
+        let earliest_ms = match self.holders.values().map(|(_, peer)| peer.distance).min() {
             Some(Distance::DataCentre | Distance::Region) => since_ms,
-            Some(Distance::Mesh) => far.min(store),
-            None => store,
+            Some(Distance::Mesh) => cross_region_ms.min(store_ms),
+            None => store_ms,
         };
-        (soonest < u64::MAX).then(|| soonest.max(self.not_before_ms))
+        (earliest_ms < u64::MAX).then(|| earliest_ms.max(self.not_before_ms))
     }
 
     /// Notes the end of the fetch: whether its content is now held. After a failure the source is left alone until it
     /// announces itself again, and the next try waits: twice as long with each failure in a row, and not in step with
     /// other nodes.
-    pub fn done(&mut self, now_ms: u64, fetch: &Fetch, succeeded: bool) {
+    pub fn fetch_ended(&mut self, now_ms: u64, fetch: &Fetch, succeeded: bool) {
         if self.in_flight.as_ref() != Some(fetch) {
             return;
         }
@@ -256,36 +258,36 @@
             self.note_fetched(fetch);
             return;
         }
-        self.failed_far = match fetch.source {
+        self.last_failure_was_remote = match fetch.source {
             Source::Store => true,
             Source::Peer { node, distance, .. } => {
                 self.holders.remove(&node);
                 distance == Distance::Mesh
             }
         };
-        let random = weight(self.me, &now_ms.to_string());
-        self.not_before_ms = now_ms + jittered_ms(RETRY.pause_ms(self.failures), random);
+        let random = node_hash(self.me, &now_ms.to_string());
+        self.not_before_ms = now_ms + jittered_ms(RETRY_BACKOFF.pause_ms(self.failures), random);
         self.failures += 1;
     }
 
     fn note_fetched(&mut self, fetch: &Fetch) {
-        let version = fetch.want.version;
-        let heard_ms = self.heard_at_ms(version);
-        if let (Some(followed), Some(heard_ms)) = (&mut self.followed, heard_ms) {
-            followed.lags = true;
-            followed.fetched = (version, heard_ms);
+        let version = fetch.wanted.version;
+        let seen_ms = self.first_seen_ms(version);
+        if let (Some(follower), Some(seen_ms)) = (&mut self.follower, seen_ms) {
+            follower.source_is_late = true;
+            follower.last_fetched = (version, seen_ms);
         }
     }
 
-    fn hold_ms(&self) -> u64 {
-        match self.followed {
-            Some(followed) if !followed.lags => followed.hold_ms,
+    fn peer_fetch_delay_ms(&self) -> u64 {
+        match self.follower {
+            Some(follower) if !follower.source_is_late => follower.peer_fetch_delay_ms,
             _ => 0,
         }
     }
 
     /// The nearest holder with the newest version inside the region.
-    fn near_fetch(&self) -> Option<Fetch> {
+    fn region_fetch(&self) -> Option<Fetch> {
         let near = self
             .holders
             .values()
@@ -294,46 +296,46 @@
         let best = near.min_by_key(|(stamp, peer)| {
             let salt = self.me.to_string();
             let newest_first = std::cmp::Reverse(stamp.version);
-            (newest_first, peer.distance, weight(peer.node, &salt))
+            (newest_first, peer.distance, node_hash(peer.node, &salt))
         });
         best.map(|(stamp, peer)| from_peer(*stamp, peer))
     }
 
     /// When the first version was heard of that is newer than the one held.
     fn behind_since_ms(&self, held: Version) -> Option<u64> {
-        self.sightings.first_above(held)
+        self.first_seen.first_above_ms(held)
     }
 
-    fn far_fetch(&self, waited_ms: u64) -> Option<Fetch> {
+    fn remote_fetch(&self, waited_ms: u64) -> Option<Fetch> {
         let far = self.holders.values().next();
         if let Some((stamp, peer)) = far
-            && waited_ms >= self.far_delay_ms()
+            && waited_ms >= self.cross_region_delay_ms()
         {
             return Some(from_peer(*stamp, peer));
         }
-        let reads_store = self.followed.is_none();
+        let reads_store = self.follower.is_none();
         (reads_store && waited_ms >= self.store_delay_ms()).then_some(Fetch {
-            want: self.head,
+            wanted: self.head,
             source: Source::Store,
         })
     }
 
-    fn far_delay_ms(&self) -> u64 {
+    fn cross_region_delay_ms(&self) -> u64 {
         match self.gateway_rank {
             Some(rank) => rank as u64 * RANK_DELAY_MS,
-            None => OTHERS_DELAY_MS + weight(self.me, "others") % OTHERS_SPREAD_MS,
+            None => NON_GATEWAY_DELAY_MS + node_hash(self.me, "others") % NON_GATEWAY_SPREAD_MS,
         }
     }
 
     fn store_delay_ms(&self) -> u64 {
-        let patience_ms = (4 * self.store_distance_ms).min(STORE_PATIENCE_MAX_MS);
-        self.far_delay_ms() + patience_ms
+        let store_extra_delay_ms = (4 * self.store_latency_ms).min(STORE_DELAY_MAX_MS);
+        self.cross_region_delay_ms() + store_extra_delay_ms
     }
 }
 
-fn from_peer(want: Stamp, peer: &Peer) -> Fetch {
+fn from_peer(wanted: Stamp, peer: &Peer) -> Fetch {
     Fetch {
-        want,
+        wanted,
         source: Source::Peer {
             node: peer.node,
             address: peer.address,
--- a/src/distribution/sightings.rs
+++ b/src/distribution/first_seen.rs
@@ -5,19 +5,19 @@
 use crate::core::version::Version;
 
 /// Versions remembered; of a longer series the later ones count as heard of with the last kept.
-const KEPT_MAX: usize = 64;
+const VERSIONS_MAX: usize = 64;
 
 /// Moments at which versions were first heard of, by any way, in the order of both.
 #[derive(Clone, Debug, Default)]
-pub struct Sightings {
+pub struct FirstSeen {
     seen: VecDeque<(Version, u64)>,
 }
 
-impl Sightings {
+impl FirstSeen {
     /// Notes that `version` exists; true if nothing as new was heard of before.
-    pub fn note(&mut self, now_ms: u64, version: Version) -> bool {
+    pub fn record(&mut self, now_ms: u64, version: Version) -> bool {
         let is_new = self.seen.back().is_none_or(|(newest, _)| *newest < version);
-        if is_new && self.seen.len() < KEPT_MAX {
+        if is_new && self.seen.len() < VERSIONS_MAX {
             self.seen.push_back((version, now_ms));
         } else if is_new && let Some((newest, _)) = self.seen.back_mut() {
             *newest = version;
@@ -26,19 +26,19 @@
     }
 
     /// When `version`, or a newer one, was first heard of.
-    pub fn of(&self, version: Version) -> Option<u64> {
+    pub fn first_seen_ms(&self, version: Version) -> Option<u64> {
         let first = self.seen.iter().find(|(seen, _)| *seen >= version);
-        first.map(|(_, at_ms)| *at_ms)
+        first.map(|(_, seen_ms)| *seen_ms)
     }
 
     /// When the first version above `held` was heard of.
-    pub fn first_above(&self, held: Version) -> Option<u64> {
+    pub fn first_above_ms(&self, held: Version) -> Option<u64> {
         let first = self.seen.iter().find(|(seen, _)| *seen > held);
-        first.map(|(_, at_ms)| *at_ms)
+        first.map(|(_, seen_ms)| *seen_ms)
     }
 
     /// Forgets `held` and what came before it.
-    pub fn forget(&mut self, held: Version) {
+    pub fn discard_through(&mut self, held: Version) {
         while self.seen.front().is_some_and(|(seen, _)| *seen <= held) {
             self.seen.pop_front();
         }
--- a/src/distribution/floor.rs
+++ b/src/distribution/floor.rs
@@ -4,7 +4,7 @@
 //! it from going back has two halves:
 //!
 //! 1. Before a node enforces a version, two peers of its data centre (or all, where fewer are alive)
-//!    have confirmed that they heard the node announce it ([`crate::membership::Membership::witnessed`]). Only a node that
+//!    have confirmed that they heard the node announce it ([`crate::membership::Membership::acknowledged_version`]). Only a node that
 //!    believes none there to be alive takes another peer's word, and one that believes nobody to be
 //!    alive does without.
 //! 2. A started node enforces nothing until its floor is settled: either it has read the head from
@@ -22,32 +22,32 @@
 
 /// Peers that must answer where so many are known, besides all that are asked: a node that has just
 /// started knows only some of its neighbours yet.
-pub const PEERS_ASKED: usize = 3;
+pub const ANSWERS_REQUIRED: usize = 3;
 
 /// How long fewer answers are not enough although some came. A node that is
 /// cut off with a few peers serves with them after this; five heartbeats, so that whoever can
 /// answer has.
-pub const FEW_PEERS_MS: u64 = 5_000;
+pub const PARTIAL_ANSWERS_AFTER_MS: u64 = 5_000;
 
-/// The same where versions are [`Followed`](Origin::Followed): those who answer later know no more than
+/// The same where versions are [`Followed`](VersionSource::Followed): those who answer later know no more than
 /// those who answer at once.
-const FEW_FOLLOWERS_MS: u64 = 1_000;
+const FOLLOWED_PARTIAL_ANSWERS_AFTER_MS: u64 = 1_000;
 
 /// How versions come to nodes, and with that what peers may know of an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Origin {
+pub enum VersionSource {
     /// A version is enforced once witnesses in the data centre have noted it: only they may know.
-    Witnessed,
+    Acknowledged,
     /// Operators write each version into the store as a whole, from where all nodes follow it within a
     /// round trip, and nobody waits for witnesses: any peer may know.
     Followed,
 }
 
-impl Origin {
-    fn few_peers_ms(self) -> u64 {
+impl VersionSource {
+    fn partial_answers_after_ms(self) -> u64 {
         match self {
-            Self::Witnessed => FEW_PEERS_MS,
-            Self::Followed => FEW_FOLLOWERS_MS,
+            Self::Acknowledged => PARTIAL_ANSWERS_AFTER_MS,
+            Self::Followed => FOLLOWED_PARTIAL_ANSWERS_AFTER_MS,
         }
     }
 }
@@ -55,33 +55,33 @@
 /// The floor of one life of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Floor {
-    origin: Origin,
+    source: VersionSource,
     version: Version,
     head_read: bool,
     asked: BTreeSet<NodeId>,
     answered: BTreeSet<NodeId>,
     started_ms: u64,
     settled: bool,
-    last_in_data_centre: bool,
+    only_node_of_data_centre: bool,
 }
 
 impl Floor {
     /// The floor of a node that starts now.
-    pub fn new(now_ms: u64, origin: Origin) -> Self {
+    pub fn new(now_ms: u64, source: VersionSource) -> Self {
         Self {
-            origin,
+            source,
             version: Version::NONE,
             head_read: false,
             asked: BTreeSet::new(),
             answered: BTreeSet::new(),
             started_ms: now_ms,
             settled: false,
-            last_in_data_centre: false,
+            only_node_of_data_centre: false,
         }
     }
 
     /// The platform's head was read.
-    pub fn head_read(&mut self, head: Version) {
+    pub fn record_head(&mut self, head: Version) {
         if !self.settled {
             self.head_read = true;
             self.version = self.version.max(head);
@@ -89,19 +89,19 @@
     }
 
     /// Whether nobody knows of another node in the data centre, alive or dead.
-    pub fn set_last_in_data_centre(&mut self, last: bool) {
-        self.last_in_data_centre = last;
+    pub fn set_only_node_of_data_centre(&mut self, only_node: bool) {
+        self.only_node_of_data_centre = only_node;
     }
 
     /// A peer of the data centre is asked: its answer is waited for until few peers are enough.
-    pub fn asked(&mut self, peer: NodeId) {
+    pub fn record_asked(&mut self, peer: NodeId) {
         self.asked.insert(peer);
     }
 
     /// A peer told the highest version that it knows this address to have reported, and the
     /// version that it enforces itself. One that enforces nothing has no memory yet, so it raises
     /// the floor but does not count.
-    pub fn answered(
+    pub fn record_answer(
         &mut self,
         peer: NodeId,
         distance: Distance,
@@ -112,9 +112,11 @@
             return;
         }
         self.version = self.version.max(reported).max(enforced);
-        let counts = match self.origin {
-            Origin::Witnessed => distance == Distance::DataCentre || self.last_in_data_centre,
-            Origin::Followed => true,
+        let counts = match self.source {
+            VersionSource::Acknowledged => {
+                distance == Distance::DataCentre || self.only_node_of_data_centre
+            }
+            VersionSource::Followed => true,
         };
         if counts && enforced > Version::NONE {
             self.answered.insert(peer);
@@ -124,11 +126,13 @@
     /// Whether the node may begin to enforce. Once it may, it always may: from then on only
     /// greater versions are applied anyway.
     pub fn is_settled(&mut self, now_ms: u64) -> bool {
-        let waited = now_ms.saturating_sub(self.started_ms) >= self.origin.few_peers_ms();
+        let timed_out =
+            now_ms.saturating_sub(self.started_ms) >= self.source.partial_answers_after_ms();
         // Any two of those asked may be the only witnesses of what this address enforced last. Were
         // the first answers enough, the node would start below it when the witness answers late.
-        let all = self.answered.len() >= PEERS_ASKED && self.asked.is_subset(&self.answered);
-        let enough = all || (waited && !self.answered.is_empty());
+        let all_answered =
+            self.answered.len() >= ANSWERS_REQUIRED && self.asked.is_subset(&self.answered);
+        let enough = all_answered || (timed_out && !self.answered.is_empty());
         self.settled |= self.head_read || enough;
         self.settled
     }
--- a/src/distribution/holder.rs
+++ b/src/distribution/holder.rs
@@ -66,12 +66,12 @@
     /// The whole.
     Snapshot(Vec<u8>),
     /// Differences that lead from an older version to the newest, one by one.
-    Chain(Vec<Step>),
+    Chain(Vec<DeltaStep>),
 }
 
 /// One difference of a chain.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Step {
+pub struct DeltaStep {
     /// What it leads to.
     pub stamp: Stamp,
     /// The difference from the version before.
@@ -90,7 +90,7 @@
 
 /// A configuration ready to be enforced: verified, closed, compiled.
 #[derive(Debug)]
-pub struct Applied {
+pub struct CompiledConfiguration {
     /// Number and digest.
     pub stamp: Stamp,
     /// The records.
@@ -101,7 +101,7 @@
     snapshot: OnceLock<Vec<u8>>,
 }
 
-impl Applied {
+impl CompiledConfiguration {
     fn snapshot(&self) -> &[u8] {
         self.snapshot
             .get_or_init(|| self.configuration.to_snapshot())
@@ -116,19 +116,19 @@
 /// [`super::floor`].
 #[derive(Debug, Default)]
 pub struct Holder {
-    enforced: Option<Arc<Applied>>,
+    enforced: Option<Arc<CompiledConfiguration>>,
     /// Newest version prepared; the enforced one or a later one.
-    held: Option<Arc<Applied>>,
+    held: Option<Arc<CompiledConfiguration>>,
     /// Newest version heard of, whether or not its content is here.
     announced: Option<Stamp>,
     /// Lowest version that may be enforced: what this address has enforced before.
     floor: Version,
-    deltas: Vec<(Version, Step)>,
+    deltas: Vec<(Version, DeltaStep)>,
 }
 
 impl Holder {
     /// What the node enforces.
-    pub fn enforced(&self) -> Option<&Arc<Applied>> {
+    pub fn enforced(&self) -> Option<&Arc<CompiledConfiguration>> {
         self.enforced.as_ref()
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Notes that `stamp` exists. It is a reason to fetch, not proof of anything.
-    pub fn announce(&mut self, stamp: Stamp) {
+    pub fn note_announced(&mut self, stamp: Stamp) {
         let newest = self.announced.map_or(Version::NONE, |known| known.version);
         if stamp.version > newest {
             self.announced = Some(stamp);
@@ -175,40 +175,47 @@
 
     /// Verifies, checks and compiles `content`, and holds it for peers and for
     /// [`Self::enforce`]. On an error nothing has changed.
-    pub fn prepare(&mut self, stamp: Stamp, content: &Content) -> Result<Arc<Applied>> {
+    pub fn prepare(
+        &mut self,
+        stamp: Stamp,
+        content: &Content,
+    ) -> Result<Arc<CompiledConfiguration>> {
         let lowest = self.held().version;
         ensure!(stamp.version > lowest, NotNewerSnafu { stamp, lowest });
-        let configuration = self.read(stamp, content)?;
-        let applied = compile(stamp, configuration)?;
+        let configuration = self.decode(stamp, content)?;
+        let compiled = compile(stamp, configuration)?;
         self.keep_deltas(lowest, stamp, content);
-        self.held = Some(Arc::clone(&applied));
-        Ok(applied)
+        self.held = Some(Arc::clone(&compiled));
+        Ok(compiled)
     }
 
     /// The same for a configuration that was read as a whole, and not as content of a known stamp.
-    pub fn prepare_whole(&mut self, configuration: Configuration) -> Result<Arc<Applied>> {
+    pub fn prepare_configuration(
+        &mut self,
+        configuration: Configuration,
+    ) -> Result<Arc<CompiledConfiguration>> {
         let stamp = configuration.stamp();
         let lowest = self.held().version;
         ensure!(stamp.version > lowest, NotNewerSnafu { stamp, lowest });
-        let applied = compile(stamp, configuration)?;
+        let compiled = compile(stamp, configuration)?;
         if let Some(parent) = &self.held {
-            let delta = Delta::between(&parent.configuration, &applied.configuration);
+            let delta = Delta::between(&parent.configuration, &compiled.configuration);
             let delta = delta.to_bytes(&parent.configuration);
-            self.keep_delta(lowest, Step { stamp, delta });
+            self.keep_delta(lowest, DeltaStep { stamp, delta });
         }
-        self.held = Some(Arc::clone(&applied));
-        Ok(applied)
+        self.held = Some(Arc::clone(&compiled));
+        Ok(compiled)
     }
 
     /// Enforces what is held, whole, if [`Self::enforceable`] allows it.
-    pub fn enforce(&mut self) -> Option<Arc<Applied>> {
+    pub fn enforce(&mut self) -> Option<Arc<CompiledConfiguration>> {
         self.enforceable()?;
         self.enforced.clone_from(&self.held);
         self.enforced.clone()
     }
 
     /// Prepares and enforces in one step. On an error nothing has changed.
-    pub fn apply(&mut self, stamp: Stamp, content: &Content) -> Result<Arc<Applied>> {
+    pub fn apply(&mut self, stamp: Stamp, content: &Content) -> Result<Arc<CompiledConfiguration>> {
         let lowest = self.floor;
         ensure!(stamp.version >= lowest, NotNewerSnafu { stamp, lowest });
         self.prepare(stamp, content)?;
@@ -237,7 +244,7 @@
     }
 
     /// The kept deltas from `have` to the held version; empty if one is missing.
-    fn steps_from(&self, have: Version) -> Vec<&Step> {
+    fn steps_from(&self, have: Version) -> Vec<&DeltaStep> {
         let mut reached = have;
         let mut steps = Vec::new();
         while reached < self.held().version {
@@ -251,7 +258,7 @@
         steps
     }
 
-    fn read(&self, stamp: Stamp, content: &Content) -> Result<Configuration> {
+    fn decode(&self, stamp: Stamp, content: &Content) -> Result<Configuration> {
         let parent = || {
             let held = self.held.as_ref();
             held.map(|held| &held.configuration)
@@ -270,7 +277,7 @@
             Content::Snapshot(_) => (),
             Content::Delta(bytes) => {
                 let delta = bytes.clone();
-                self.keep_delta(parent, Step { stamp, delta });
+                self.keep_delta(parent, DeltaStep { stamp, delta });
             }
             Content::Chain(steps) => {
                 let mut parent = parent;
@@ -282,7 +289,7 @@
         }
     }
 
-    fn keep_delta(&mut self, parent: Version, step: Step) {
+    fn keep_delta(&mut self, parent: Version, step: DeltaStep) {
         if self.deltas.len() == DELTAS_KEPT {
             self.deltas.remove(0);
         }
@@ -290,9 +297,9 @@
     }
 }
 
-fn compile(stamp: Stamp, configuration: Configuration) -> Result<Arc<Applied>> {
+fn compile(stamp: Stamp, configuration: Configuration) -> Result<Arc<CompiledConfiguration>> {
     let routes = RouteTable::compile(&configuration).context(OpenSnafu { stamp })?;
-    Ok(Arc::new(Applied {
+    Ok(Arc::new(CompiledConfiguration {
         stamp,
         configuration,
         routes,
@@ -300,13 +307,13 @@
     }))
 }
 
-fn stamp_of(applied: Option<&Arc<Applied>>) -> Stamp {
-    applied.map_or(Stamp::NONE, |applied| applied.stamp)
+fn stamp_of(compiled: Option<&Arc<CompiledConfiguration>>) -> Stamp {
+    compiled.map_or(Stamp::NONE, |compiled| compiled.stamp)
 }
 
 /// Steps have to rise: read against another version than its parent, a difference may seem to lead back to an
 /// older one, and a node would go round in circles among its kept differences.
-fn apply_chain(parent: &Configuration, stamp: Stamp, steps: &[Step]) -> Result<Configuration> {
+fn apply_chain(parent: &Configuration, stamp: Stamp, steps: &[DeltaStep]) -> Result<Configuration> {
     let mut reached = parent.clone();
     for step in steps {
         let lowest = reached.version;
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -9,19 +9,19 @@
 //!
 //! [`roster`] keeps the statements, [`neighbours`] chooses the peers, [`link`] remembers what each
 //! of them still has to be told, [`reports`] counts who enforces what, [`exchange`] and
-//! [`discovery`] do the talking, [`learning`] takes in what others say, and [`view`] ties them
+//! [`discovery`] do the talking, [`merge`] takes in what others say, and [`view`] ties them
 //! together. See `docs/design/spread.md`.
 
 pub(crate) mod discovery;
 pub(crate) mod exchange;
 pub mod gossip;
-pub(crate) mod learning;
 pub mod link;
+pub(crate) mod merge;
 pub mod neighbours;
 pub mod reports;
 pub mod roster;
 pub mod view;
 
 pub use gossip::{Exchange, Gossip, Report, Summary};
-pub use neighbours::Kind;
+pub use neighbours::NeighbourKind;
 pub use view::{Membership, Timing};
--- a/src/membership/discovery.rs
+++ b/src/membership/discovery.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use super::gossip::{Exchange, Gossip};
-use super::neighbours::{self, weight};
+use super::neighbours::{self, node_hash};
 use super::roster::Entry;
 use super::view::Membership;
 use crate::core::member::{Liveness, NodeId};
@@ -17,24 +17,24 @@
 
 /// How long one that has gone is looked for often: most that go are back within seconds, some without a
 /// word of who else is there.
-const RECENT_MS: u64 = 30_000;
+const RECENTLY_GONE_MS: u64 = 30_000;
 /// Between two probes for such members, and before the first of one.
-const RECENT_PROBE_MS: u64 = 500;
+const RECENTLY_GONE_PROBE_MS: u64 = 500;
 
 /// Pauses between greetings of seeds while the node knows nobody.
-const GREETING: Backoff = Backoff::new(200, 10_000);
+const JOIN_BACKOFF: Backoff = Backoff::new(200, 10_000);
 
 impl Membership {
     /// Exchanges outside the links: answers to claims about this node.
-    pub(super) fn direct_exchanges(&mut self, now_ms: u64) -> Vec<Exchange> {
-        let direct = std::mem::take(&mut self.direct);
-        direct
+    pub(super) fn refutation_exchanges(&mut self, now_ms: u64) -> Vec<Exchange> {
+        let refutations_due = std::mem::take(&mut self.refutations_due);
+        refutations_due
             .into_iter()
-            .filter_map(|node| self.stray_exchange(Some(node), self.address_of(node)?, now_ms))
+            .filter_map(|node| self.one_off_exchange(Some(node), self.address_of(node)?, now_ms))
             .collect()
     }
 
-    fn stray_exchange(
+    fn one_off_exchange(
         &mut self,
         to: Option<NodeId>,
         address: SocketAddr,
@@ -65,26 +65,26 @@
     /// Greets two seeds at a time, ever more slowly, so that a herd that starts does not flood itself with whole
     /// views: the nearest, which is asked for its view, and any other, which is only told of this node, so that
     /// groups that start apart know of each other.
-    pub(super) fn greetings(&mut self, now_ms: u64) -> Vec<Exchange> {
-        if now_ms < self.next_greeting_ms || self.seeds.is_empty() || !self.is_alone() {
+    pub(super) fn join_exchanges(&mut self, now_ms: u64) -> Vec<Exchange> {
+        if now_ms < self.next_join_ms || self.seeds.is_empty() || !self.is_alone() {
             return Vec::new();
         }
-        let pause_ms = GREETING.pause_ms(self.greetings);
-        self.next_greeting_ms = now_ms + self.jittered(pause_ms, now_ms);
-        let nearest = self.greetings as usize % self.seeds.len();
-        self.greetings += 1;
-        let any = weight(self.me.node, &self.greetings.to_string());
-        let any = any as usize % self.seeds.len();
-        let mut greetings = Vec::new();
-        greetings.extend(self.stray_exchange(None, self.seeds[nearest], now_ms));
-        if any != nearest {
-            let mut greeting = self.stray_exchange(None, self.seeds[any], now_ms);
-            if let Some(greeting) = &mut greeting {
-                greeting.gossip.want_all = false;
+        let pause_ms = JOIN_BACKOFF.pause_ms(self.join_attempts);
+        self.next_join_ms = now_ms + self.jittered(pause_ms, now_ms);
+        let nearest = self.join_attempts as usize % self.seeds.len();
+        self.join_attempts += 1;
+        let random_seed = node_hash(self.me.node, &self.join_attempts.to_string());
+        let random_seed = random_seed as usize % self.seeds.len();
+        let mut exchanges = Vec::new();
+        exchanges.extend(self.one_off_exchange(None, self.seeds[nearest], now_ms));
+        if random_seed != nearest {
+            let mut exchange = self.one_off_exchange(None, self.seeds[random_seed], now_ms);
+            if let Some(exchange) = &mut exchange {
+                exchange.gossip.want_all = false;
             }
-            greetings.extend(greeting);
+            exchanges.extend(exchange);
         }
-        greetings
+        exchanges
     }
 
     /// Looks for members that were declared dead or have left, and for seeds that nobody has mentioned.
@@ -97,27 +97,31 @@
             return None;
         }
         if self.is_alone() {
-            self.next_probe_ms = now_ms + self.jittered(self.timing.probe_ms, now_ms);
+            self.next_probe_ms = now_ms + self.jittered(self.timing.probe_interval_ms, now_ms);
             return None;
         }
-        let recent = self.gone_to_probe(now_ms, Gone::Recently);
+        let recent = self.take_probe_target(now_ms, ProbeTarget::RecentlyGone);
         let pause_ms = match recent {
-            Some(_) => RECENT_PROBE_MS,
-            None => self.jittered(self.timing.probe_ms, now_ms),
+            Some(_) => RECENTLY_GONE_PROBE_MS,
+            None => self.jittered(self.timing.probe_interval_ms, now_ms),
         };
-        self.next_probe_ms = now_ms + pause_ms.min(self.timing.probe_ms);
-        let found = recent.or_else(|| self.gone_to_probe(now_ms, Gone::LongAgo));
-        if let Some((node, address)) = found {
-            return self.stray_exchange(Some(node), address, now_ms);
+        self.next_probe_ms = now_ms + pause_ms.min(self.timing.probe_interval_ms);
+        let gone_member = recent.or_else(|| self.take_probe_target(now_ms, ProbeTarget::LongDead));
+        if let Some((node, address)) = gone_member {
+            return self.one_off_exchange(Some(node), address, now_ms);
         }
-        let seed = self.unknown_seed()?;
-        self.stray_exchange(None, seed, now_ms)
+        let seed = self.next_unknown_seed()?;
+        self.one_off_exchange(None, seed, now_ms)
     }
 
-    fn gone_to_probe(&mut self, now_ms: u64, gone: Gone) -> Option<(NodeId, SocketAddr)> {
+    fn take_probe_target(
+        &mut self,
+        now_ms: u64,
+        target: ProbeTarget,
+    ) -> Option<(NodeId, SocketAddr)> {
         let mut candidates: Vec<(u64, NodeId)> = Vec::new();
         for entry in self.roster.entries_mut() {
-            if gone.is_due(now_ms, entry, self.timing.probe_ms) {
+            if target.is_due(now_ms, entry, self.timing.probe_interval_ms) {
                 candidates.push((entry.probed_ms, entry.member.node));
             }
         }
@@ -125,7 +129,7 @@
         let node = candidates
             .into_iter()
             .map(|(_, node)| node)
-            .find(|node| self.is_to_probe(*node))?;
+            .find(|node| self.is_prober_of(*node))?;
         for entry in self.roster.entries_mut() {
             if entry.member.node == node {
                 entry.probed_ms = now_ms;
@@ -136,7 +140,7 @@
 
     /// Dead nodes of the own data centre are probed by two of it; those elsewhere by the own end
     /// of the link, while nobody over there is left to do it.
-    fn is_to_probe(&self, node: NodeId) -> bool {
+    fn is_prober_of(&self, node: NodeId) -> bool {
         let Some(dead) = self.roster.get(node) else {
             return false;
         };
@@ -144,14 +148,14 @@
             let watchers = neighbours::watchers(&self.me, self.members());
             return watchers.contains(&self.me.node);
         }
-        let anyone_there = self
+        let has_live_member = self
             .roster
             .members()
             .any(|other| other.place == dead.place && other.liveness < Liveness::Dead);
-        !anyone_there && neighbours::is_bridge_to(&self.me, dead, self.members())
+        !has_live_member && neighbours::is_bridge_to(&self.me, dead, self.members())
     }
 
-    fn unknown_seed(&mut self) -> Option<SocketAddr> {
+    fn next_unknown_seed(&mut self) -> Option<SocketAddr> {
         let known: BTreeSet<SocketAddr> = self
             .roster
             .members()
@@ -167,30 +171,30 @@
 
 /// Members that are looked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Gone {
-    /// Died or left within [`RECENT_MS`].
-    Recently,
+enum ProbeTarget {
+    /// Died or left within [`RECENTLY_GONE_MS`].
+    RecentlyGone,
     /// Died before. One that left then is not expected back.
-    LongAgo,
+    LongDead,
 }
 
-impl Gone {
+impl ProbeTarget {
     /// Whether a member is one of these and may be probed again; the pauses grow with the time since it
     /// went.
-    fn is_due(self, now_ms: u64, entry: &Entry, probe_ms: u64) -> bool {
-        let gone_ms = now_ms.saturating_sub(entry.changed_ms);
-        let sought = match (self, entry.member.liveness) {
+    fn is_due(self, now_ms: u64, entry: &Entry, probe_interval_ms: u64) -> bool {
+        let gone_for_ms = now_ms.saturating_sub(entry.changed_ms);
+        let is_probed = match (self, entry.member.liveness) {
             (_, Liveness::Alive | Liveness::Suspect) => false,
-            (Self::Recently, Liveness::Dead | Liveness::Left) => gone_ms < RECENT_MS,
-            (Self::LongAgo, Liveness::Dead) => gone_ms >= RECENT_MS,
-            (Self::LongAgo, Liveness::Left) => false,
+            (Self::RecentlyGone, Liveness::Dead | Liveness::Left) => gone_for_ms < RECENTLY_GONE_MS,
+            (Self::LongDead, Liveness::Dead) => gone_for_ms >= RECENTLY_GONE_MS,
+            (Self::LongDead, Liveness::Left) => false,
         };
-        let least_ms = match self {
-            Self::Recently => RECENT_PROBE_MS.min(probe_ms),
-            Self::LongAgo => probe_ms,
+        let min_pause_ms = match self {
+            Self::RecentlyGone => RECENTLY_GONE_PROBE_MS.min(probe_interval_ms),
+            Self::LongDead => probe_interval_ms,
         };
-        let age_ms = entry.probed_ms.saturating_sub(entry.changed_ms);
-        let pause_ms = age_ms.clamp(least_ms, PROBE_PAUSE_MAX_MS.max(least_ms));
-        sought && now_ms.saturating_sub(entry.probed_ms) >= pause_ms
+        let gone_at_probe_ms = entry.probed_ms.saturating_sub(entry.changed_ms);
+        let pause_ms = gone_at_probe_ms.clamp(min_pause_ms, PROBE_PAUSE_MAX_MS.max(min_pause_ms));
+        is_probed && now_ms.saturating_sub(entry.probed_ms) >= pause_ms
     }
 }
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -4,7 +4,7 @@
 
 use super::gossip::{Exchange, Gossip};
 use super::link::{Announcement, Link};
-use super::neighbours::Kind;
+use super::neighbours::NeighbourKind;
 use super::reports::place_key;
 use super::view::Membership;
 use crate::core::member::{Liveness, Member, NodeId};
@@ -13,85 +13,85 @@
 /// Members of one data centre that must fail to answer a bridge in a row before all of it is
 /// suspected. One may be dead and the next busy; three in a row without any answer is the link or
 /// the data centre. Suspecting one at a time would keep 87 dead endpoints for minutes.
-const SILENT_MAX: usize = 3;
+const SILENT_PEERS_THRESHOLD: usize = 3;
 
 /// Peers that must confirm a version before it is enforced. Two, so that the loss of the node
 /// together with one of them does not lose what the node had enforced; see docs/design/floor.md.
-const WITNESSES: usize = 2;
+const ACKS_REQUIRED: usize = 2;
 
 impl Membership {
     /// Takes in a message and answers it.
     pub fn receive(&mut self, now_ms: u64, gossip: &Gossip) -> Gossip {
-        self.note_time(now_ms);
+        self.detect_freeze(now_ms);
         let generation = self.generation();
-        let restated = self.merge(now_ms, gossip);
-        let learned = self.generation() != generation;
-        let equal = gossip.view_hash == self.view_hash();
+        let refuted = self.merge_message(now_ms, gossip);
+        let view_changed = self.generation() != generation;
+        let views_equal = gossip.view_hash == self.view_hash();
         let from = gossip.from;
-        let mut answer = self.message(from);
+        let mut answer = self.message_to(from);
         // One that came back without memory and without the platform has nobody to greet: who
         // heartbeats it tells it the rest.
         answer.want_all = self.is_alone();
-        let told = !answer.updates.is_empty();
+        let sent_updates = !answer.updates.is_empty();
         if gossip.want_all {
             answer.updates = self.members().cloned().collect();
             answer.summaries = self.reports.summaries().cloned().collect();
-            let asker = self.roster.get(from);
-            if asker.is_some_and(|asker| asker.place == self.me.place) {
+            let sender = self.roster.get(from);
+            if sender.is_some_and(|sender| sender.place == self.me.place) {
                 answer.reports = self.reports.reports().copied().collect();
             }
-        } else if !self.links.contains_key(&from) || restated {
+        } else if !self.links.contains_key(&from) || refuted {
             answer.updates.push(self.me.clone());
         }
         answer.updates.extend(self.claim_about(from));
         // Only a neighbour compares again; to a stranger a difference says nothing.
         if let Some(link) = self.links.get_mut(&from) {
-            link.compared(now_ms, equal, learned || told);
+            link.record_comparison(now_ms, views_equal, view_changed || sent_updates);
         }
         answer
     }
 
     /// Takes in the answer to an exchange.
     pub fn exchange_done(&mut self, now_ms: u64, sent: &Exchange, answer: &Gossip) {
-        self.note_time(now_ms);
+        self.detect_freeze(now_ms);
         let generation = self.generation();
-        let restated = self.merge(now_ms, answer);
-        let learned = self.generation() != generation;
-        let equal = answer.view_hash == self.view_hash();
-        if restated {
-            self.direct.insert(answer.from);
+        let refuted = self.merge_message(now_ms, answer);
+        let view_changed = self.generation() != generation;
+        let views_equal = answer.view_hash == self.view_hash();
+        if refuted {
+            self.refutations_due.insert(answer.from);
         }
-        let everyone: Vec<NodeId> = match answer.want_all {
+        let all_nodes: Vec<NodeId> = match answer.want_all {
             true => self.members().map(|member| member.node).collect(),
             false => Vec::new(),
         };
         if let Some(link) = self.links.get_mut(&answer.from) {
-            link.answered();
-            link.told = link.told.max(sent.gossip.version);
+            link.exchange_answered();
+            link.acked_version = link.acked_version.max(sent.gossip.version);
             let announced = sent.gossip.announce.unwrap_or(Stamp::NONE);
-            link.peer_knows = link.peer_knows.max(announced.version);
-            link.members.extend(everyone);
-            let told = !sent.gossip.updates.is_empty();
-            link.compared(now_ms, equal, learned || told);
+            link.peer_head = link.peer_head.max(announced.version);
+            link.pending_members.extend(all_nodes);
+            let sent_updates = !sent.gossip.updates.is_empty();
+            link.record_comparison(now_ms, views_equal, view_changed || sent_updates);
         }
-        self.update_witnessed();
+        self.update_acknowledged_version();
     }
 
     /// A peer gave no answer: suspect it.
     pub fn exchange_failed(&mut self, now_ms: u64, sent: &Exchange) {
-        self.note_time(now_ms);
+        self.detect_freeze(now_ms);
         let Some(to) = sent.to else { return };
-        if sent.started_ms < self.valid_from_ms {
+        if sent.started_ms < self.exchanges_valid_from_ms {
             return;
         }
         if let Some(link) = self.links.get_mut(&to) {
-            link.failed(now_ms);
+            link.exchange_failed(now_ms);
             let updates = &sent.gossip.updates;
-            link.members.extend(updates.iter().map(|m| m.node));
-            link.reports
+            link.pending_members.extend(updates.iter().map(|m| m.node));
+            link.pending_reports
                 .extend(sent.gossip.reports.iter().map(|r| r.node));
             let summaries = &sent.gossip.summaries;
-            link.summaries
+            link.pending_summaries
                 .extend(summaries.iter().map(|s| place_key(&s.place)));
         }
         let Some(member) = self.roster.get(to).cloned() else {
@@ -101,7 +101,7 @@
             self.suspect(now_ms, member.clone());
         }
         if member.liveness < Liveness::Dead && member.place != self.me.place {
-            self.note_silence(now_ms, &member);
+            self.record_silent_peer(now_ms, &member);
         }
     }
 
@@ -110,25 +110,25 @@
             liveness: Liveness::Suspect,
             ..member
         };
-        self.learn(now_ms, suspect, None);
+        self.merge_member(now_ms, suspect, None);
     }
 
     /// Bridge partners of a data centre that one after the other give no answer put all of its members under suspicion
     /// together; each of them refutes it if any way to it is left.
-    fn note_silence(&mut self, now_ms: u64, member: &Member) {
+    fn record_silent_peer(&mut self, now_ms: u64, member: &Member) {
         let key = place_key(&member.place);
-        let silent = self.silent.entry(key.clone()).or_default();
-        silent.insert(member.node);
+        let silent_peers = self.silent_peers.entry(key.clone()).or_default();
+        silent_peers.insert(member.node);
         let present: Vec<Member> = self
             .roster
             .members()
             .filter(|other| other.place == member.place && other.liveness < Liveness::Dead)
             .cloned()
             .collect();
-        if silent.len() < SILENT_MAX.min(present.len()) {
+        if silent_peers.len() < SILENT_PEERS_THRESHOLD.min(present.len()) {
             return;
         }
-        self.silent.remove(&key);
+        self.silent_peers.remove(&key);
         for other in present {
             if other.liveness == Liveness::Alive {
                 self.suspect(now_ms, other);
@@ -143,7 +143,7 @@
         }
     }
 
-    pub(super) fn due(&mut self, now_ms: u64) -> Vec<Exchange> {
+    pub(super) fn due_exchanges(&mut self, now_ms: u64) -> Vec<Exchange> {
         let announcement = self.announcement();
         let mut due: BTreeSet<NodeId> = self
             .links
@@ -151,68 +151,74 @@
             .filter(|(_, link)| link.is_due(now_ms, announcement))
             .map(|(node, _)| *node)
             .collect();
-        self.add_witnesses(now_ms, &mut due);
+        self.add_acknowledging_peers(now_ms, &mut due);
         due.into_iter()
             .filter_map(|node| self.exchange_with(node, now_ms))
             .collect()
     }
 
     /// Whether a node that restarts here asks `node` about its floor.
-    fn is_witness(&self, node: NodeId) -> bool {
+    fn is_acknowledging_peer(&self, node: NodeId) -> bool {
         match self.links.get(&node) {
-            Some(link) if link.kind == Kind::Ring => true,
-            _ => !self.links.values().any(|link| link.kind == Kind::Ring),
+            Some(link) if link.kind == NeighbourKind::Ring => true,
+            _ => !self
+                .links
+                .values()
+                .any(|link| link.kind == NeighbourKind::Ring),
         }
     }
 
-    /// The highest version that enough witnesses have confirmed: [`WITNESSES`], or all where fewer
+    /// The highest version that enough witnesses have confirmed: [`ACKS_REQUIRED`], or all where fewer
     /// are alive. A suspected one is not waited for, or a frozen neighbour would hold up a version
     /// in a small data centre until it counts as dead.
-    pub(super) fn update_witnessed(&mut self) {
+    pub(super) fn update_acknowledged_version(&mut self) {
         let is_alive = |node: NodeId| {
             let member = self.roster.get(node);
             member.is_some_and(|member| member.liveness == Liveness::Alive)
         };
-        let mut confirmed: Vec<Version> = self
+        let mut acked: Vec<Version> = self
             .links
             .iter()
-            .filter(|(node, _)| self.is_witness(**node) && is_alive(**node))
-            .map(|(_, link)| link.told)
+            .filter(|(node, _)| self.is_acknowledging_peer(**node) && is_alive(**node))
+            .map(|(_, link)| link.acked_version)
             .collect();
-        confirmed.sort_unstable_by(|a, b| b.cmp(a));
-        let needed = WITNESSES.min(confirmed.len());
-        let lowest = needed.checked_sub(1).map(|position| confirmed[position]);
-        self.witnessed = self.witnessed.max(lowest.unwrap_or(Version::NONE));
+        acked.sort_unstable_by(|a, b| b.cmp(a));
+        let needed = ACKS_REQUIRED.min(acked.len());
+        let lowest = needed.checked_sub(1).map(|position| acked[position]);
+        self.acknowledged_version = self
+            .acknowledged_version
+            .max(lowest.unwrap_or(Version::NONE));
     }
 
     /// A version waits for witnesses before it is enforced. The neighbours may all hold it already,
     /// so that there is nothing else to tell them; as many as are missing are told all the same,
     /// those of the ring first, since a restarted node asks these.
-    fn add_witnesses(&self, now_ms: u64, due: &mut BTreeSet<NodeId>) {
+    fn add_acknowledging_peers(&self, now_ms: u64, due: &mut BTreeSet<NodeId>) {
         let held = self.held.version;
-        if self.witnessed >= held {
+        if self.acknowledged_version >= held {
             return;
         }
-        let is_told = |(node, link): &(&NodeId, &Link)| {
-            let telling = link.in_flight && link.telling == held;
-            self.is_witness(**node) && (link.told >= held || telling || due.contains(node))
+        let is_covered = |(node, link): &(&NodeId, &Link)| {
+            let is_sending = link.in_flight && link.sending_version == held;
+            self.is_acknowledging_peer(**node)
+                && (link.acked_version >= held || is_sending || due.contains(node))
         };
-        let told = self.links.iter().filter(is_told).count();
-        let mut free: Vec<(Kind, NodeId)> = self
+        let covered = self.links.iter().filter(is_covered).count();
+        let mut idle: Vec<(NeighbourKind, NodeId)> = self
             .links
             .iter()
-            .filter(|(node, link)| link.is_free(now_ms) && !due.contains(node))
-            .filter(|(node, link)| self.is_witness(**node) && link.told < held)
+            .filter(|(node, link)| link.can_start(now_ms) && !due.contains(node))
+            .filter(|(node, link)| self.is_acknowledging_peer(**node) && link.acked_version < held)
             .map(|(node, link)| (link.kind, *node))
             .collect();
-        free.sort_unstable();
-        let missing = WITNESSES.saturating_sub(told);
-        due.extend(free.into_iter().take(missing).map(|(_, node)| node));
+        idle.sort_unstable();
+        let missing = ACKS_REQUIRED.saturating_sub(covered);
+        due.extend(idle.into_iter().take(missing).map(|(_, node)| node));
     }
 
     /// Whether [`Membership::tick`] is worth calling again after
-    /// [`super::link::NEWS_PAUSE_MS`].
-    pub fn has_deferred(&self, now_ms: u64) -> bool {
+    /// [`super::link::MIN_UPDATE_INTERVAL_MS`].
+    pub fn has_deferred_updates(&self, now_ms: u64) -> bool {
         let announcement = self.announcement();
         let mut links = self.links.values();
         links.any(|link| link.is_deferred(now_ms, announcement))
@@ -220,10 +226,10 @@
 
     fn exchange_with(&mut self, node: NodeId, now_ms: u64) -> Option<Exchange> {
         let address = self.address_of(node)?;
-        let mut gossip = self.message(node);
+        let mut gossip = self.message_to(node);
         let own_report = self.own_report();
         let link = self.links.get_mut(&node)?;
-        if link.kind == Kind::Ring && own_report.version > Version::NONE {
+        if link.kind == NeighbourKind::Ring && own_report.version > Version::NONE {
             // With every heartbeat, so that a report that got lost is made up for.
             gossip
                 .reports
@@ -231,7 +237,7 @@
             gossip.reports.push(own_report);
         }
         gossip.want_all = link.want_all;
-        link.start(now_ms, gossip.version);
+        link.exchange_started(now_ms, gossip.version);
         gossip.updates.extend(self.claim_about(node));
         Some(Exchange {
             to: Some(node),
@@ -242,7 +248,7 @@
     }
 
     /// A message with what `to` still has to be told, if it is a neighbour.
-    fn message(&mut self, to: NodeId) -> Gossip {
+    fn message_to(&mut self, to: NodeId) -> Gossip {
         let mut gossip = Gossip {
             from: self.me.node,
             view_hash: self.view_hash(),
@@ -256,15 +262,15 @@
         let Some(link) = self.links.get_mut(&to) else {
             return gossip;
         };
-        let known = link.peer_knows;
+        let known = link.peer_head;
         gossip.announce = gossip.announce.filter(|head| head.version > known);
-        let crosses_regions = matches!(link.kind, Kind::Gateway | Kind::Standby);
+        let crosses_regions = matches!(link.kind, NeighbourKind::Gateway | NeighbourKind::Standby);
         let members = match link.carries_members() {
-            true => std::mem::take(&mut link.members),
+            true => std::mem::take(&mut link.pending_members),
             false => BTreeSet::new(),
         };
-        let reports = std::mem::take(&mut link.reports);
-        let summaries = std::mem::take(&mut link.summaries);
+        let reports = std::mem::take(&mut link.pending_reports);
+        let summaries = std::mem::take(&mut link.pending_summaries);
         for node in members {
             let member = match node == self.me.node {
                 true => Some(&self.me),
--- a/src/membership/learning.rs
+++ b/src/membership/merge.rs
@@ -1,7 +1,7 @@
 //! Taking in what others say, and passing on what is news.
 
 use super::gossip::{Gossip, Report, Summary};
-use super::neighbours::Kind;
+use super::neighbours::NeighbourKind;
 use super::reports::place_key;
 use super::roster::Change;
 use super::view::Membership;
@@ -10,51 +10,56 @@
 
 impl Membership {
     /// Takes in a message; whether the own statement had to be raised.
-    pub(super) fn merge(&mut self, now_ms: u64, gossip: &Gossip) -> bool {
+    pub(super) fn merge_message(&mut self, now_ms: u64, gossip: &Gossip) -> bool {
         let sequence = self.me.sequence;
         let from = Some(gossip.from);
-        self.reports.remember(gossip.from, gossip.version);
+        self.reports.record_version(gossip.from, gossip.version);
         self.set_head(gossip.announce.unwrap_or(Stamp::NONE));
         if let Some(link) = self.links.get_mut(&gossip.from) {
-            link.heard(gossip.version, gossip.announce.map(|stamp| stamp.version));
+            link.record_peer_versions(gossip.version, gossip.announce.map(|stamp| stamp.version));
         }
         for member in &gossip.updates {
-            self.learn(now_ms, member.clone(), from);
+            self.merge_member(now_ms, member.clone(), from);
         }
         if let Some(sender) = self.roster.get(gossip.from) {
             let key = place_key(&sender.place);
-            self.silent.remove(&key);
+            self.silent_peers.remove(&key);
         }
         for report in &gossip.reports {
-            self.learn_report(*report, from);
+            self.merge_report(*report, from);
         }
         for summary in &gossip.summaries {
-            self.learn_summary(summary, from);
+            self.merge_summary(summary, from);
         }
         self.me.sequence != sequence
     }
 
-    pub(super) fn learn(&mut self, now_ms: u64, member: Member, heard_from: Option<NodeId>) {
+    pub(super) fn merge_member(
+        &mut self,
+        now_ms: u64,
+        member: Member,
+        received_from: Option<NodeId>,
+    ) {
         if member.node == self.me.node {
             self.refute(&member);
             return;
         }
         let node = member.node;
-        let suspicion = member.liveness != Liveness::Alive;
-        match self.roster.learn(now_ms, member) {
+        let is_claim = member.liveness != Liveness::Alive;
+        match self.roster.merge(now_ms, member) {
             Change::None => return,
-            Change::Statement => (),
+            Change::Record => (),
             Change::Presence => self.neighbours_stale = true,
         }
-        if suspicion {
+        if is_claim {
             // A suspected bridge partner is replaced at once.
             self.neighbours_stale = true;
         }
         self.generation += 1;
         for (neighbour, link) in &mut self.links {
             // The suspected node itself is told, so that it can refute.
-            if Some(*neighbour) != heard_from && (*neighbour != node || suspicion) {
-                link.members.insert(node);
+            if Some(*neighbour) != received_from && (*neighbour != node || is_claim) {
+                link.pending_members.insert(node);
             }
         }
     }
@@ -69,44 +74,44 @@
         }
         if claim.incarnation_us > self.me.incarnation_us {
             self.me.incarnation_us = claim.incarnation_us + 1;
-            self.learn_report(self.own_report(), None);
+            self.merge_report(self.own_report(), None);
         } else {
             self.me.sequence = self.me.sequence.max(claim.sequence);
         }
-        self.restate();
+        self.raise_sequence();
     }
 
-    pub(super) fn restate(&mut self) {
+    pub(super) fn raise_sequence(&mut self) {
         self.me.sequence += 1;
         self.generation += 1;
         for link in self.links.values_mut() {
-            link.members.insert(self.me.node);
+            link.pending_members.insert(self.me.node);
         }
     }
 
-    pub(super) fn learn_report(&mut self, report: Report, heard_from: Option<NodeId>) {
-        if !self.reports.learn(report) {
+    pub(super) fn merge_report(&mut self, report: Report, received_from: Option<NodeId>) {
+        if !self.reports.merge_report(report) {
             return;
         }
         self.generation += 1;
         for (neighbour, link) in &mut self.links {
-            if link.kind == Kind::Ring && Some(*neighbour) != heard_from {
-                link.reports.insert(report.node);
+            if link.kind == NeighbourKind::Ring && Some(*neighbour) != received_from {
+                link.pending_reports.insert(report.node);
             }
         }
     }
 
-    fn learn_summary(&mut self, summary: &Summary, heard_from: Option<NodeId>) {
-        if self.reports.learn_summary(summary.clone()) {
-            self.spread_summary(&place_key(&summary.place), heard_from);
+    fn merge_summary(&mut self, summary: &Summary, received_from: Option<NodeId>) {
+        if self.reports.merge_summary(summary.clone()) {
+            self.queue_summary(&place_key(&summary.place), received_from);
         }
     }
 
-    pub(super) fn spread_summary(&mut self, key: &str, heard_from: Option<NodeId>) {
+    pub(super) fn queue_summary(&mut self, key: &str, received_from: Option<NodeId>) {
         self.generation += 1;
         for (neighbour, link) in &mut self.links {
-            if link.kind != Kind::Standby && Some(*neighbour) != heard_from {
-                link.summaries.insert(key.to_owned());
+            if link.kind != NeighbourKind::Standby && Some(*neighbour) != received_from {
+                link.pending_summaries.insert(key.to_owned());
             }
         }
     }
--- a/src/membership/neighbours.rs
+++ b/src/membership/neighbours.rs
@@ -29,7 +29,7 @@
 
 /// What a neighbour is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum NeighbourKind {
     /// In the same data centre.
     Ring,
     /// In another data centre of the region.
@@ -44,7 +44,7 @@
 pub fn choose<'a>(
     me: &Member,
     members: impl Iterator<Item = &'a Member>,
-) -> BTreeMap<NodeId, Kind> {
+) -> BTreeMap<NodeId, NeighbourKind> {
     let present: Vec<&Member> = members.filter(|member| is_present(member)).collect();
     let mut chosen = BTreeMap::new();
     chosen.extend(bridges(me, &present));
@@ -52,7 +52,7 @@
     chosen.extend(
         ring(me, &present)
             .into_iter()
-            .map(|node| (node, Kind::Ring)),
+            .map(|node| (node, NeighbourKind::Ring)),
     );
     chosen.remove(&me.node);
     chosen
@@ -113,14 +113,14 @@
     let mut others: Vec<(u64, NodeId)> = present
         .iter()
         .filter(|member| member.place == me.place && member.node != me.node)
-        .map(|member| (weight(member.node, "ring"), member.node))
+        .map(|member| (node_hash(member.node, "ring"), member.node))
         .collect();
     if others.is_empty() {
         return Vec::new();
     }
     others.sort_unstable();
     let count = others.len();
-    let start = others.partition_point(|entry| *entry <= (weight(me.node, "ring"), me.node));
+    let start = others.partition_point(|entry| *entry <= (node_hash(me.node, "ring"), me.node));
     let mut chosen = Vec::with_capacity(2 * RING_DISTANCES.len());
     for distance in RING_DISTANCES {
         if distance > 1 && 2 * distance > count + 1 {
@@ -132,7 +132,7 @@
     chosen
 }
 
-fn bridges(me: &Member, present: &[&Member]) -> Vec<(NodeId, Kind)> {
+fn bridges(me: &Member, present: &[&Member]) -> Vec<(NodeId, NeighbourKind)> {
     let mut by_place: BTreeMap<&str, Vec<&Member>> = BTreeMap::new();
     for member in present {
         if member.place.region == me.place.region {
@@ -148,13 +148,13 @@
         let Some(rank) = near_end.iter().position(|node| *node == me.node) else {
             continue;
         };
-        let far_end = ranked(reachable_first(far), here, BRIDGES);
-        chosen.push((far_end[rank % far_end.len()], Kind::Bridge));
+        let far_end = ranked(alive_or_all(far), here, BRIDGES);
+        chosen.push((far_end[rank % far_end.len()], NeighbourKind::Bridge));
     }
     chosen
 }
 
-fn across_regions(me: &Member, present: &[&Member]) -> Vec<(NodeId, Kind)> {
+fn across_regions(me: &Member, present: &[&Member]) -> Vec<(NodeId, NeighbourKind)> {
     let near = gateways(me, present.iter().copied());
     let Some(rank) = near.iter().take(BRIDGES).position(|node| *node == me.node) else {
         return Vec::new();
@@ -167,12 +167,12 @@
         }
     }
     let kind = if rank == 0 {
-        Kind::Gateway
+        NeighbourKind::Gateway
     } else {
-        Kind::Standby
+        NeighbourKind::Standby
     };
     let far_end = |far: Vec<&Member>| {
-        let ends = ranked(reachable_first(far), "gateway", BRIDGES);
+        let ends = ranked(alive_or_all(far), "gateway", BRIDGES);
         (ends[rank % ends.len()], kind)
     };
     by_region.into_values().map(far_end).collect()
@@ -180,7 +180,7 @@
 
 /// Those that nobody suspects, or else all: a bridge whose partner is suspected tries the next
 /// one at once instead of waiting for the verdict.
-fn reachable_first(members: Vec<&Member>) -> Vec<&Member> {
+fn alive_or_all(members: Vec<&Member>) -> Vec<&Member> {
     let alive: Vec<&Member> = members
         .iter()
         .copied()
@@ -192,7 +192,7 @@
 fn ranked(members: Vec<&Member>, salt: &str, count: usize) -> Vec<NodeId> {
     let mut ranked: Vec<(u64, NodeId)> = members
         .into_iter()
-        .map(|member| (weight(member.node, salt), member.node))
+        .map(|member| (node_hash(member.node, salt), member.node))
         .collect();
     ranked.sort_unstable();
     ranked.truncate(count);
@@ -200,7 +200,7 @@
 }
 
 /// The same on every node and in every build, unlike the standard library's hasher.
-pub(crate) fn weight(node: NodeId, salt: &str) -> u64 {
+pub(crate) fn node_hash(node: NodeId, salt: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     match node.0.ip() {
         std::net::IpAddr::V4(ip) => hasher.update(&ip.octets()),
--- a/src/membership/reports.rs
+++ b/src/membership/reports.rs
@@ -13,7 +13,7 @@
 
 /// Addresses whose highest version is remembered: several times the nodes of a data centre, so
 /// that replaced addresses do not push out living ones.
-const REMEMBERED_MAX: usize = 1_024;
+const TRACKED_ADDRESSES_MAX: usize = 1_024;
 
 /// Between two counts of the own data centre.
 const COUNT_INTERVAL_MS: u64 = 500;
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub struct Reports {
     reports: BTreeMap<NodeId, Report>,
-    highest: BTreeMap<NodeId, Version>,
+    highest_reported: BTreeMap<NodeId, Version>,
     summaries: BTreeMap<String, Summary>,
     counted_ms: Option<u64>,
 }
@@ -34,27 +34,33 @@
 
 impl Reports {
     /// Highest version that a node's address is known to have reported, in any of its lives.
-    pub fn highest(&self, node: NodeId) -> Version {
-        self.highest.get(&node).copied().unwrap_or(Version::NONE)
+    pub fn highest_reported(&self, node: NodeId) -> Version {
+        self.highest_reported
+            .get(&node)
+            .copied()
+            .unwrap_or(Version::NONE)
     }
 
     /// Remembers a version that a node enforces or is about to.
-    pub fn remember(&mut self, node: NodeId, version: Version) {
+    pub fn record_version(&mut self, node: NodeId, version: Version) {
         if version == Version::NONE {
             return;
         }
-        let highest = self.highest.entry(node).or_default();
+        let highest = self.highest_reported.entry(node).or_default();
         *highest = version.max(*highest);
-        if self.highest.len() > REMEMBERED_MAX {
-            let lowest = self.highest.iter().min_by_key(|(_, version)| **version);
+        if self.highest_reported.len() > TRACKED_ADDRESSES_MAX {
+            let lowest = self
+                .highest_reported
+                .iter()
+                .min_by_key(|(_, version)| **version);
             let lowest = lowest.map(|(node, _)| *node);
-            lowest.and_then(|node| self.highest.remove(&node));
+            lowest.and_then(|node| self.highest_reported.remove(&node));
         }
     }
 
     /// Takes in a report; whether it is news.
-    pub fn learn(&mut self, report: Report) -> bool {
-        self.remember(report.node, report.version);
+    pub fn merge_report(&mut self, report: Report) -> bool {
+        self.record_version(report.node, report.version);
         let order = |report: &Report| (report.incarnation_us, report.version);
         let known = self.reports.get(&report.node);
         if known.is_some_and(|known| order(&report) <= order(known)) {
@@ -93,7 +99,7 @@
     }
 
     /// Takes in a summary; whether it is news.
-    pub fn learn_summary(&mut self, summary: Summary) -> bool {
+    pub fn merge_summary(&mut self, summary: Summary) -> bool {
         let key = place_key(&summary.place);
         let known = self.summaries.get(&key);
         if known.is_some_and(|known| summary.sequence <= known.sequence) {
@@ -110,18 +116,18 @@
 
     /// Counts the own data centre anew, at most twice a second; its key if the count changed. A
     /// summary with a higher sequence from before this node's time is outbid by the next count.
-    pub fn count<'a>(
+    pub fn recount<'a>(
         &mut self,
         now_ms: u64,
         place: &Place,
-        living: impl Iterator<Item = &'a Member>,
+        live_members: impl Iterator<Item = &'a Member>,
     ) -> Option<String> {
-        let lately = |counted| now_ms.saturating_sub(counted) < COUNT_INTERVAL_MS;
-        if self.counted_ms.is_some_and(lately) {
+        let is_recent = |counted| now_ms.saturating_sub(counted) < COUNT_INTERVAL_MS;
+        if self.counted_ms.is_some_and(is_recent) {
             return None;
         }
         self.counted_ms = Some(now_ms);
-        let mut summary = self.count_now(place, living);
+        let mut summary = self.current_summary(place, live_members);
         let key = place_key(place);
         if let Some(known) = self.summaries.get(&key) {
             if known.nodes == summary.nodes && known.versions == summary.versions {
@@ -134,10 +140,10 @@
     }
 
     /// The count of the own data centre as this node sees it.
-    pub fn count_now<'a>(
+    pub fn current_summary<'a>(
         &self,
         place: &Place,
-        living: impl Iterator<Item = &'a Member>,
+        live_members: impl Iterator<Item = &'a Member>,
     ) -> Summary {
         let mut summary = Summary {
             place: place.clone(),
@@ -145,7 +151,7 @@
             versions: BTreeMap::new(),
             sequence: 1,
         };
-        for member in living {
+        for member in live_members {
             summary.nodes += 1;
             let version = self.enforced_by(member);
             *summary.versions.entry(version).or_default() += 1;
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::neighbours::weight;
+use super::neighbours::node_hash;
 use crate::core::member::{Liveness, Member, NodeId};
 
 /// A statement and when it came.
@@ -22,7 +22,7 @@
     /// It is not news.
     None,
     /// The same nodes are present as before.
-    Statement,
+    Record,
     /// A node came or went.
     Presence,
 }
@@ -51,16 +51,16 @@
     }
 
     /// Takes in a statement if it outranks the known one.
-    pub fn learn(&mut self, now_ms: u64, member: Member) -> Change {
+    pub fn merge(&mut self, now_ms: u64, member: Member) -> Change {
         let node = member.node;
         let known = self.entries.get(&node).map(|entry| &entry.member);
         if known.is_some_and(|known| member.rank() <= known.rank()) {
             return Change::None;
         }
         let was_present = known.is_some_and(is_present);
-        self.hash ^= known.map_or(0, share) ^ share(&member);
+        self.hash ^= known.map_or(0, member_hash) ^ member_hash(&member);
         let change = if was_present == is_present(&member) {
-            Change::Statement
+            Change::Record
         } else {
             Change::Presence
         };
@@ -73,24 +73,29 @@
         change
     }
 
-    /// Members that have been suspected for `suspicion_ms`.
-    pub fn overdue(&self, now_ms: u64, suspicion_ms: u64) -> Vec<Member> {
+    /// Members that have been suspected for `suspicion_timeout_ms`.
+    pub fn expired_suspects(&self, now_ms: u64, suspicion_timeout_ms: u64) -> Vec<Member> {
         self.entries
             .values()
             .filter(|entry| entry.member.liveness == Liveness::Suspect)
-            .filter(|entry| now_ms.saturating_sub(entry.changed_ms) >= suspicion_ms)
+            .filter(|entry| now_ms.saturating_sub(entry.changed_ms) >= suspicion_timeout_ms)
             .map(|entry| entry.member.clone())
             .collect()
     }
 
-    /// Forgets tombstones: those who said goodbye after `left_ms`, the others after `dead_ms`.
-    pub fn forget(&mut self, now_ms: u64, left_ms: u64, dead_ms: u64) {
+    /// Forgets tombstones: those who said goodbye after `left_retention_ms`, the others after `dead_retention_ms`.
+    pub fn expire_tombstones(
+        &mut self,
+        now_ms: u64,
+        left_retention_ms: u64,
+        dead_retention_ms: u64,
+    ) {
         self.entries.retain(|_, entry| {
             let age_ms = now_ms.saturating_sub(entry.changed_ms);
             match entry.member.liveness {
                 Liveness::Alive | Liveness::Suspect => true,
-                Liveness::Dead => age_ms < dead_ms,
-                Liveness::Left => age_ms < left_ms,
+                Liveness::Dead => age_ms < dead_retention_ms,
+                Liveness::Left => age_ms < left_retention_ms,
             }
         });
     }
@@ -98,7 +103,7 @@
     /// Order-free hash over the present members, `me` included. Tombstones are left out, since
     /// they are forgotten at different times, and so are suspicions, which do not cross regions.
     pub fn hash(&self, me: &Member) -> u64 {
-        self.hash ^ share(me)
+        self.hash ^ member_hash(me)
     }
 }
 
@@ -106,10 +111,10 @@
     member.liveness < Liveness::Dead
 }
 
-fn share(member: &Member) -> u64 {
+fn member_hash(member: &Member) -> u64 {
     if !is_present(member) {
         return 0;
     }
     let salt = format!("{} {}", member.incarnation_us, member.sequence);
-    weight(member.node, &salt)
+    node_hash(member.node, &salt)
 }
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -5,7 +5,7 @@
 
 use super::gossip::{Exchange, Report, Summary};
 use super::link::Link;
-use super::neighbours::{self, Kind, weight};
+use super::neighbours::{self, NeighbourKind, node_hash};
 use super::reports::{Reports, place_key};
 use super::roster::Roster;
 use crate::core::member::{BackendState, Distance, Liveness, Member, NodeId, Place};
@@ -23,40 +23,40 @@
     /// mesh.
     pub heartbeat_ms: u64,
     /// Between two heartbeats across data centres of a region.
-    pub bridge_ms: u64,
+    pub bridge_heartbeat_ms: u64,
     /// Between two heartbeats across regions: billed, and news does not wait for it.
-    pub gateway_ms: u64,
+    pub gateway_heartbeat_ms: u64,
     /// From suspicion to death. Long enough for a paused node to refute it over several
     /// heartbeats.
-    pub suspicion_ms: u64,
+    pub suspicion_timeout_ms: u64,
     /// Between two probes for dead members and unknown seeds.
-    pub probe_ms: u64,
+    pub probe_interval_ms: u64,
     /// How long a departed member is remembered, so that old news cannot revive it.
-    pub left_ms: u64,
+    pub left_retention_ms: u64,
     /// How long a dead one is remembered and probed: longer than the hour for which regions lose
     /// each other, so that both halves find each other again without the platform.
-    pub dead_ms: u64,
+    pub dead_retention_ms: u64,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
             heartbeat_ms: 1_000,
-            bridge_ms: 2_000,
-            gateway_ms: 10_000,
-            suspicion_ms: 5_000,
-            probe_ms: 3_000,
-            left_ms: 600_000,
-            dead_ms: 3 * 3_600_000,
+            bridge_heartbeat_ms: 2_000,
+            gateway_heartbeat_ms: 10_000,
+            suspicion_timeout_ms: 5_000,
+            probe_interval_ms: 3_000,
+            left_retention_ms: 600_000,
+            dead_retention_ms: 3 * 3_600_000,
         }
     }
 }
 
 /// The driver ticks four times a second; a gap of this length means that it could not.
-const FREEZE_MS: u64 = 3_000;
+const FREEZE_GAP_MS: u64 = 3_000;
 
 /// Between two looks for suspicions and tombstones that have run out.
-const AGE_INTERVAL_MS: u64 = 250;
+const EXPIRY_INTERVAL_MS: u64 = 250;
 
 /// One node's view. Time is an argument, in milliseconds of any steady clock.
 #[derive(Debug)]
@@ -71,22 +71,22 @@
     pub(super) held: Stamp,
     /// Newest stamp heard of.
     pub(super) head: Stamp,
-    pub(super) witnessed: Version,
+    pub(super) acknowledged_version: Version,
     pub(super) generation: u64,
     pub(super) neighbours_stale: bool,
     gateway_rank: Option<usize>,
     watcher_rank: Option<usize>,
     pub(super) enforced: Version,
-    next_age_ms: u64,
+    next_expiry_ms: u64,
     /// Members that were told of a claim about themselves, or are owed an answer to one.
-    pub(super) direct: BTreeSet<NodeId>,
+    pub(super) refutations_due: BTreeSet<NodeId>,
     /// Bridge partners that gave no answer since their data centre was last heard.
-    pub(super) silent: BTreeMap<String, BTreeSet<NodeId>>,
-    pub(super) greetings: u32,
-    pub(super) next_greeting_ms: u64,
+    pub(super) silent_peers: BTreeMap<String, BTreeSet<NodeId>>,
+    pub(super) join_attempts: u32,
+    pub(super) next_join_ms: u64,
     pub(super) next_probe_ms: u64,
     /// Exchanges started before this are void: the process was frozen since.
-    pub(super) valid_from_ms: u64,
+    pub(super) exchanges_valid_from_ms: u64,
     last_call_ms: u64,
 }
 
@@ -102,25 +102,25 @@
             timing,
             held: Stamp::NONE,
             head: Stamp::NONE,
-            witnessed: Version::NONE,
+            acknowledged_version: Version::NONE,
             generation: 1,
             neighbours_stale: true,
             gateway_rank: None,
             watcher_rank: None,
             enforced: Version::NONE,
-            next_age_ms: 0,
-            direct: BTreeSet::new(),
-            silent: BTreeMap::new(),
-            greetings: 0,
-            next_greeting_ms: 0,
+            next_expiry_ms: 0,
+            refutations_due: BTreeSet::new(),
+            silent_peers: BTreeMap::new(),
+            join_attempts: 0,
+            next_join_ms: 0,
             next_probe_ms: 0,
-            valid_from_ms: 0,
+            exchanges_valid_from_ms: 0,
             last_call_ms: 0,
         };
         // Settings name the same few to everybody; each node starts at another one.
         let mut seeds = seeds;
         let salt = membership.me.node.to_string();
-        seeds.sort_by_cached_key(|seed| weight(NodeId(*seed), &salt));
+        seeds.sort_by_cached_key(|seed| node_hash(NodeId(*seed), &salt));
         membership.add_seeds(seeds);
         membership
     }
@@ -150,7 +150,7 @@
     }
 
     /// Peers that exchanges are started with.
-    pub fn neighbours(&self) -> impl Iterator<Item = (NodeId, Kind)> {
+    pub fn neighbours(&self) -> impl Iterator<Item = (NodeId, NeighbourKind)> {
         self.links.iter().map(|(node, link)| (*node, link.kind))
     }
 
@@ -189,8 +189,8 @@
     }
 
     /// Highest version that a node's address has reported, in any of its lives.
-    pub fn remembered(&self, node: NodeId) -> Version {
-        self.reports.highest(node)
+    pub fn highest_reported(&self, node: NodeId) -> Version {
+        self.reports.highest_reported(node)
     }
 
     /// Newest stamp heard of.
@@ -209,7 +209,7 @@
     }
 
     /// Whether no other node of the data centre is known that might come back.
-    pub fn is_last_in_data_centre(&self) -> bool {
+    pub fn is_only_node_of_data_centre(&self) -> bool {
         let place = &self.me.place;
         let mut others = self.roster.members();
         !others.any(|m| m.place == *place && m.liveness != Liveness::Left)
@@ -218,20 +218,20 @@
     /// Highest version of this node that two peers have confirmed to have heard, peers of the
     /// data centre while there are any, or all of them where there are fewer: what it enforces up to
     /// here is remembered if it dies now.
-    pub fn witnessed(&self) -> Version {
-        self.witnessed
+    pub fn acknowledged_version(&self) -> Version {
+        self.acknowledged_version
     }
 
     /// What the nodes of each data centre enforce, by data centre.
     pub fn summaries(&self) -> Vec<DataCentreSummary> {
-        let mut living: BTreeMap<String, (&Place, usize)> = BTreeMap::new();
+        let mut node_counts: BTreeMap<String, (&Place, usize)> = BTreeMap::new();
         for member in self.members().filter(|m| m.liveness < Liveness::Dead) {
-            let place = living.entry(place_key(&member.place));
+            let place = node_counts.entry(place_key(&member.place));
             place.or_insert((&member.place, 0)).1 += 1;
         }
         let own_key = place_key(&self.me.place);
         let summary_of = |(key, (place, nodes)): (String, (&Place, usize))| {
-            let own = (key == own_key).then(|| self.count_now());
+            let own = (key == own_key).then(|| self.current_summary());
             let summary = own.or_else(|| self.reports.summary(&key).cloned());
             let versions = summary.map(|summary| summary.versions).unwrap_or_default();
             DataCentreSummary {
@@ -243,7 +243,7 @@
                     .collect(),
             }
         };
-        living.into_iter().map(summary_of).collect()
+        node_counts.into_iter().map(summary_of).collect()
     }
 
     /// Learns of further places to find peers at, the best first.
@@ -262,7 +262,7 @@
         }
         self.me.service = service;
         self.me.backend = state;
-        self.restate();
+        self.raise_sequence();
     }
 
     /// Notes a newer stamp, from wherever it was heard.
@@ -284,7 +284,7 @@
     /// The node enforces `version`: reported inside the data centre.
     pub fn set_enforced(&mut self, version: Version) {
         self.enforced = version;
-        self.learn_report(self.own_report(), None);
+        self.merge_report(self.own_report(), None);
     }
 
     pub(super) fn own_report(&self) -> Report {
@@ -299,20 +299,20 @@
     pub fn leave(&mut self) {
         self.me.liveness = Liveness::Left;
         self.me.backend = BackendState::Gone;
-        self.restate();
+        self.raise_sequence();
         // Nothing is gathered any more: there is no later message.
-        self.links.values_mut().for_each(Link::hurry);
+        self.links.values_mut().for_each(Link::skip_batching);
     }
 
     /// Notices a freeze of this process by the gap since the last call. Calls that were under way all time out when it
     /// goes on, which proves nothing about others.
-    pub(super) fn note_time(&mut self, now_ms: u64) {
+    pub(super) fn detect_freeze(&mut self, now_ms: u64) {
         let gap_ms = now_ms.saturating_sub(self.last_call_ms);
         self.last_call_ms = now_ms;
-        if gap_ms < FREEZE_MS {
+        if gap_ms < FREEZE_GAP_MS {
             return;
         }
-        self.valid_from_ms = now_ms;
+        self.exchanges_valid_from_ms = now_ms;
         for link in self.links.values_mut() {
             link.in_flight = false;
         }
@@ -320,36 +320,37 @@
 
     /// Starts the exchanges that are due, and ages suspicions and tombstones.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Exchange> {
-        self.note_time(now_ms);
-        self.age(now_ms);
+        self.detect_freeze(now_ms);
+        self.expire(now_ms);
         self.refresh_links(now_ms);
-        self.update_witnessed();
-        self.count(now_ms);
-        let mut exchanges = self.due(now_ms);
-        exchanges.extend(self.direct_exchanges(now_ms));
-        exchanges.extend(self.greetings(now_ms));
+        self.update_acknowledged_version();
+        self.recount(now_ms);
+        let mut exchanges = self.due_exchanges(now_ms);
+        exchanges.extend(self.refutation_exchanges(now_ms));
+        exchanges.extend(self.join_exchanges(now_ms));
         exchanges.extend(self.probe(now_ms));
         exchanges
     }
 
-    fn count(&mut self, now_ms: u64) {
+    fn recount(&mut self, now_ms: u64) {
         if self.watcher_rank != Some(0) {
             return;
         }
         let place = self.me.place.clone();
-        let living = std::iter::once(&self.me)
+        let live_members = std::iter::once(&self.me)
             .chain(self.roster.members())
             .filter(|m| m.place == place && m.liveness < Liveness::Dead);
-        if let Some(key) = self.reports.count(now_ms, &place, living) {
-            self.spread_summary(&key, None);
+        if let Some(key) = self.reports.recount(now_ms, &place, live_members) {
+            self.queue_summary(&key, None);
         }
     }
 
-    fn count_now(&self) -> Summary {
+    fn current_summary(&self) -> Summary {
         let place = &self.me.place;
-        let living = self.members();
-        let living = living.filter(|m| m.place == *place && m.liveness < Liveness::Dead);
-        self.reports.count_now(place, living)
+        let live_members = self.members();
+        let live_members =
+            live_members.filter(|m| m.place == *place && m.liveness < Liveness::Dead);
+        self.reports.current_summary(place, live_members)
     }
 
     fn refresh_links(&mut self, now_ms: u64) {
@@ -362,41 +363,51 @@
         self.watcher_rank = own_rank(neighbours::watchers(&self.me, self.members()));
         self.links
             .retain(|node, link| chosen.get(node) == Some(&link.kind));
-        let ring = chosen.values().filter(|kind| **kind == Kind::Ring).count();
+        let ring_size = chosen
+            .values()
+            .filter(|kind| **kind == NeighbourKind::Ring)
+            .count();
         for (node, kind) in chosen {
             let interval_ms = match kind {
-                Kind::Ring => self.timing.heartbeat_ms * ring as u64,
-                Kind::Bridge => self.timing.bridge_ms,
-                Kind::Gateway => self.timing.gateway_ms,
-                Kind::Standby => 2 * self.timing.gateway_ms,
+                NeighbourKind::Ring => self.timing.heartbeat_ms * ring_size as u64,
+                NeighbourKind::Bridge => self.timing.bridge_heartbeat_ms,
+                NeighbourKind::Gateway => self.timing.gateway_heartbeat_ms,
+                NeighbourKind::Standby => 2 * self.timing.gateway_heartbeat_ms,
             };
             // Nodes that start together must not stay in step.
-            let first_ms = self.jittered(self.timing.heartbeat_ms, now_ms ^ weight(node, "first"));
-            let new = || Link::new(kind, now_ms, first_ms, interval_ms);
-            let link = self.links.entry(node).or_insert_with(new);
+            let first_delay_ms =
+                self.jittered(self.timing.heartbeat_ms, now_ms ^ node_hash(node, "first"));
+            let new_link = || Link::new(kind, now_ms, first_delay_ms, interval_ms);
+            let link = self.links.entry(node).or_insert_with(new_link);
             link.set_interval(interval_ms);
         }
     }
 
     /// Half to whole of a pause, different for each node and moment.
     pub(super) fn jittered(&self, pause_ms: u64, moment: u64) -> u64 {
-        jittered_ms(pause_ms, weight(self.me.node, &moment.to_string()))
+        jittered_ms(pause_ms, node_hash(self.me.node, &moment.to_string()))
     }
 
-    fn age(&mut self, now_ms: u64) {
-        if now_ms < self.next_age_ms {
+    fn expire(&mut self, now_ms: u64) {
+        if now_ms < self.next_expiry_ms {
             return;
         }
-        self.next_age_ms = now_ms + AGE_INTERVAL_MS;
-        for member in self.roster.overdue(now_ms, self.timing.suspicion_ms) {
+        self.next_expiry_ms = now_ms + EXPIRY_INTERVAL_MS;
+        for member in self
+            .roster
+            .expired_suspects(now_ms, self.timing.suspicion_timeout_ms)
+        {
             let dead = Member {
                 liveness: Liveness::Dead,
                 ..member
             };
-            self.learn(now_ms, dead, None);
+            self.merge_member(now_ms, dead, None);
         }
-        self.roster
-            .forget(now_ms, self.timing.left_ms, self.timing.dead_ms);
+        self.roster.expire_tombstones(
+            now_ms,
+            self.timing.left_retention_ms,
+            self.timing.dead_retention_ms,
+        );
     }
 
     pub(super) fn view_hash(&self) -> u64 {
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -130,7 +130,9 @@
 fn fetcher(node: &NodeState, origin: &Origin) -> Fetcher {
     match origin {
         Origin::Published(_) => Fetcher::new(node.proxy.me),
-        Origin::Written(_) => Fetcher::followed(node.proxy.me, node.budget().hold_ms()),
+        Origin::Written(_) => {
+            Fetcher::for_follower(node.proxy.me, node.budget().peer_fetch_delay_ms())
+        }
     }
 }
 
@@ -147,8 +149,8 @@
         myself.send_interval(TICK, || ConfigurationMsg::Tick);
         let now_ms = clock::since_ms(node.proxy.started);
         let floor_origin = match origin {
-            Origin::Published(_) => floor::Origin::Witnessed,
-            Origin::Written(_) => floor::Origin::Followed,
+            Origin::Published(_) => floor::VersionSource::Acknowledged,
+            Origin::Written(_) => floor::VersionSource::Followed,
         };
         Ok(State {
             fetcher: fetcher(&node, &origin),
@@ -238,7 +240,7 @@
         let was = (self.role.gateway_rank, self.role.watcher_rank);
         self.role = role;
         self.floor
-            .set_last_in_data_centre(self.role.last_in_data_centre);
+            .set_only_node_of_data_centre(self.role.last_in_data_centre);
         if was != (self.role.gateway_rank, self.role.watcher_rank) {
             self.set_gateway_rank(now_ms);
             self.next_poll_ms = self.next_poll_ms.min(now_ms + self.poll_pause_ms());
@@ -250,10 +252,10 @@
         if stamp.version > held.max(self.fetcher.head().version) {
             learning::heard(stamp.version, holder.map(|peer| peer.node), held);
         }
-        self.holder.announce(stamp);
+        self.holder.note_announced(stamp);
         match holder {
-            Some(peer) => self.fetcher.held_by(now_ms, stamp, peer),
-            None => self.fetcher.heard(now_ms, stamp),
+            Some(peer) => self.fetcher.note_holder(now_ms, stamp, peer),
+            None => self.fetcher.note_head(now_ms, stamp),
         }
     }
 
--- a/src/node/configuration/head.rs
+++ b/src/node/configuration/head.rs
@@ -34,13 +34,13 @@
         if self.holder.stamp() == Stamp::NONE {
             return rand::random_range(FIRST_POLL_MS / 2..=FIRST_POLL_MS);
         }
-        let for_others_ms = self.node.budget().head_poll_ms();
+        let for_others_ms = self.node.budget().head_poll_interval_ms();
         let (pause_ms, longest_ms) = match (self.role.gateway_rank, self.role.watcher_rank) {
             (Some(0), _) => (GATEWAY_POLL_MS, for_others_ms),
             (_, Some(0)) => (WATCHER_POLL_MS, for_others_ms),
             _ => (MEMBER_POLL_MS, MEMBER_POLL_MS),
         };
-        let factor = self.fetcher.store_distance_ms() / NEAR_READ_MS;
+        let factor = self.fetcher.store_latency_ms() / NEAR_READ_MS;
         let pause_ms = pause_ms * factor.clamp(1, FAR_FACTOR_MAX);
         let pause_ms = pause_ms.min(longest_ms);
         rand::random_range(pause_ms / 2..=pause_ms)
@@ -71,8 +71,8 @@
         self.reading_head = false;
         self.note_store(head.is_some());
         let Some(head) = head else { return };
-        self.fetcher.store_answered(took_ms);
-        self.floor.head_read(head.version);
+        self.fetcher.record_store_latency(took_ms);
+        self.floor.record_head(head.version);
         if let Some(refresh) = &mut self.refresh {
             refresh.head_read = true;
         }
--- a/src/node/configuration/peers.rs
+++ b/src/node/configuration/peers.rs
@@ -28,7 +28,7 @@
     pub(super) fn ask_floor(&mut self, myself: &ActorRef<ConfigurationMsg>) {
         for peer in self.role.neighbours.clone() {
             if peer.distance == Distance::DataCentre {
-                self.floor.asked(peer.node);
+                self.floor.record_asked(peer.node);
             }
             let Some(mut client) = self.node.control.client(peer.address) else {
                 continue;
@@ -56,7 +56,7 @@
     ) {
         let (node, distance) = (peer.node, peer.distance);
         self.floor
-            .answered(node, distance, reported, enforced.version);
+            .record_answer(node, distance, reported, enforced.version);
         if enforced.version > Version::NONE {
             self.announced(now_ms, enforced, Some(peer));
         }
@@ -73,7 +73,7 @@
             peers: Vec::new(),
             head_read: false,
         });
-        self.fetcher.woke(now_ms);
+        self.fetcher.resume_after_freeze(now_ms);
         self.reading_head = false;
         match &self.origin {
             Origin::Published(_) => self.read_head(myself),
--- a/src/node/configuration/versions.rs
+++ b/src/node/configuration/versions.rs
@@ -29,12 +29,12 @@
             return;
         };
         let version = configuration.version;
-        self.floor.head_read(version);
-        self.fetcher.source_told(now_ms, version);
+        self.floor.record_head(version);
+        self.fetcher.source_reported(now_ms, version);
         if version <= self.holder.held().version {
             return;
         }
-        match self.holder.prepare_whole(*configuration) {
+        match self.holder.prepare_configuration(*configuration) {
             Ok(applied) => {
                 self.learnt(now_ms, applied.stamp.version, Way::Store, unwatched_ms);
                 self.announced(now_ms, applied.stamp, None);
@@ -46,9 +46,9 @@
 
     pub(super) fn led(&mut self, now_ms: u64, offer: &Offer, have: Version) {
         let stamp = offer.stamp;
-        self.fetcher.source_told(now_ms, stamp.version);
+        self.fetcher.source_reported(now_ms, stamp.version);
         if self.prepare(now_ms, offer, have, Way::Lead) {
-            self.floor.head_read(stamp.version);
+            self.floor.record_head(stamp.version);
             self.announced(now_ms, stamp, None);
             self.tell(MembershipMsg::Head(stamp));
         }
@@ -56,7 +56,7 @@
 
     pub(super) fn fetch(&mut self, myself: &ActorRef<ConfigurationMsg>, now_ms: u64) {
         let held = self.holder.held();
-        if let Some(fetch) = self.fetcher.next(now_ms, held.version) {
+        if let Some(fetch) = self.fetcher.next_fetch(now_ms, held.version) {
             let node = Arc::clone(&self.node);
             let origin = self.origin.clone();
             let myself = myself.clone();
@@ -67,7 +67,7 @@
             });
             return;
         }
-        let Some(wake_ms) = self.fetcher.wake_at(held.version) else {
+        let Some(wake_ms) = self.fetcher.next_fetch_at_ms(held.version) else {
             return;
         };
         if self.woken_for_ms.is_none_or(|already| wake_ms < already) {
@@ -90,7 +90,7 @@
         let result = if prepared { "used" } else { "failed" };
         metrics::counter!("dragonflywall_fetches_total", "source" => source, "result" => result)
             .increment(1);
-        self.fetcher.done(now_ms, fetch, prepared);
+        self.fetcher.fetch_ended(now_ms, fetch, prepared);
     }
 
     /// Whether the version is held now. `have` was held when its content was asked for.
@@ -125,7 +125,7 @@
 
     /// The content of a version that was accepted `age_ms` ago, or earlier, is held now.
     pub(super) fn learnt(&mut self, now_ms: u64, version: Version, way: Way, age_ms: u64) {
-        let heard_ms = self.fetcher.heard_at_ms(version).unwrap_or(now_ms);
+        let heard_ms = self.fetcher.first_seen_ms(version).unwrap_or(now_ms);
         self.held_accepted_ms = heard_ms.min(now_ms.saturating_sub(age_ms));
         learning::learnt(&Learnt {
             version,
--- a/src/node/content.rs
+++ b/src/node/content.rs
@@ -18,7 +18,7 @@
 ) -> Option<Offer> {
     match fetch.source {
         Source::Store => match origin {
-            Origin::Published(store) => store::offer(store, held, fetch.want).await,
+            Origin::Published(store) => store::offer(store, held, fetch.wanted).await,
             Origin::Written(_) => {
                 log::error!("a node that follows the store fetches from peers alone");
                 None
@@ -28,11 +28,11 @@
             address, distance, ..
         } => {
             let mut client = node.control.client(address)?;
-            let found = client.fetch(held.version, fetch.want.version);
+            let found = client.fetch(held.version, fetch.wanted.version);
             let budget = node.budget();
             let limit_ms = match distance {
-                Distance::DataCentre | Distance::Region => budget.near_fetch_ms(),
-                Distance::Mesh => budget.far_fetch_ms(),
+                Distance::DataCentre | Distance::Region => budget.region_fetch_timeout_ms(),
+                Distance::Mesh => budget.cross_region_fetch_timeout_ms(),
             };
             let limit = Duration::from_millis(limit_ms);
             let found = tokio::time::timeout(limit, found).await;
--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -23,7 +23,7 @@
 use crate::core::mechanism::Mechanism;
 use crate::decide::pacing::jittered_ms;
 use crate::distribution::fetch::Peer;
-use crate::distribution::lead_choice::{Ask, LeadChoice, Leads, StoreFailure};
+use crate::distribution::lead_choice::{LeadChoice, Leads, NextRead, StoreFailure};
 use crate::store::{Error, Feed, Position, Told};
 use crate::util::clock;
 
@@ -75,16 +75,16 @@
     async fn step(&mut self) {
         let ask = self.next();
         let follows = match &ask {
-            Ask::Store => None,
-            Ask::Lead { lead, .. } => Some(lead.node),
+            NextRead::Store => None,
+            NextRead::Lead { lead, .. } => Some(lead.node),
         };
         self.node.follows.send_replace(follows);
         match ask {
-            Ask::Store => self.read_store().await,
-            Ask::Lead {
+            NextRead::Store => self.read_store().await,
+            NextRead::Lead {
                 lead,
                 wait_ms,
-                answer_ms,
+                answer_timeout_ms: answer_ms,
             } => {
                 let wait = Duration::from_millis(wait_ms);
                 self.ask_lead(lead, wait, Duration::from_millis(answer_ms))
@@ -92,16 +92,16 @@
             }
         }
         self.node.blind.send_if_modified(|known| {
-            let blind = self.choice.is_blind();
+            let blind = self.choice.is_store_failing();
             std::mem::replace(known, blind) != blind
         });
     }
 
-    fn next(&mut self) -> Ask {
+    fn next(&mut self) -> NextRead {
         let now_ms = self.node.proxy.age_ms();
         self.choice.set_leads(self.leads());
         self.choice.note_held(now_ms, *self.node.held.borrow());
-        self.choice.next(now_ms, self.node.budget())
+        self.choice.next_read(now_ms, self.node.budget())
     }
 
     fn leads(&self) -> Leads {
@@ -109,8 +109,8 @@
         match self.node.proxy.without().has(Mechanism::Leads) {
             true => leads,
             false => Leads {
-                before: Vec::new(),
-                own: true,
+                higher_ranked: Vec::new(),
+                is_lead: true,
                 ..leads
             },
         }
@@ -119,7 +119,7 @@
     async fn ask_lead(&mut self, lead: Peer, wait: Duration, answer: Duration) {
         let have = *self.node.held.borrow();
         let Some(mut client) = self.node.control.client(lead.address) else {
-            return self.choice.lead_silent(self.node.proxy.age_ms(), lead.node);
+            return self.choice.lead_failed(self.node.proxy.age_ms(), lead.node);
         };
         let began = Instant::now();
         let mut leads = self.node.leads.subscribe();
@@ -133,8 +133,8 @@
             Ok(newer) => newer,
             Err(error) => {
                 log::info!(lead:% = lead.node, error:%, took_ms; "the lead gives no answer");
-                self.node.control.forget(lead.address);
-                return self.choice.lead_silent(self.node.proxy.age_ms(), lead.node);
+                self.node.control.discard(lead.address);
+                return self.choice.lead_failed(self.node.proxy.age_ms(), lead.node);
             }
         };
         let offered = newer.offer.as_ref();
@@ -144,7 +144,7 @@
         let state = newer.state;
         if !self.choice.lead_answered(now_ms, lead.node, state, budget) {
             log::info!(
-                lead:% = lead.node, store_age_ms = state.store_age_ms, blind = state.blind;
+                lead:% = lead.node, store_age_ms = state.store_age_ms, blind = state.store_failing;
                 "the lead hears nothing of the store"
             );
         }
@@ -157,7 +157,7 @@
     async fn read_store(&mut self) {
         let unwatched_ms = self.node.proxy.store_age_ms().unwrap_or(0);
         let budget = self.node.budget();
-        let answer = Duration::from_millis(self.choice.store_answer_ms(budget));
+        let answer = Duration::from_millis(self.choice.store_answer_timeout_ms(budget));
         let began = Instant::now();
         let recent = self
             .position
@@ -196,14 +196,14 @@
 
     async fn store_failed(&mut self, error: &Error, took_ms: u64) {
         let failure = match error {
-            Error::Silent { .. } => StoreFailure::Silent,
+            Error::Silent { .. } => StoreFailure::TimedOut,
             _ => StoreFailure::Refused,
         };
         let pause_ms = self.choice.store_failed(failure, self.node.budget());
         let pause_ms = jittered_ms(pause_ms, rand::random());
         log::info!(error:%, took_ms, pause_ms; "reading the store failed");
         self.tell(ConfigurationMsg::NotRead);
-        self.node.blind.send_replace(self.choice.is_blind());
+        self.node.blind.send_replace(self.choice.is_store_failing());
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
 
--- a/src/node/membership.rs
+++ b/src/node/membership.rs
@@ -12,7 +12,7 @@
 use crate::core::version::{Stamp, Version};
 use crate::distribution::fetch::Peer;
 use crate::distribution::lead_choice::Leads;
-use crate::membership::link::NEWS_PAUSE_MS;
+use crate::membership::link::MIN_UPDATE_INTERVAL_MS;
 use crate::membership::{Exchange, Gossip, Membership, Timing};
 use crate::node::changes;
 use crate::node::configuration::{ConfigurationMsg, Role};
@@ -120,7 +120,7 @@
             MembershipMsg::SetHeld(stamp) => state.membership.set_held(stamp),
             MembershipMsg::SetEnforced(version) => state.membership.set_enforced(version),
             MembershipMsg::Remembered(node, reply) => {
-                let _ = reply.send(state.membership.remembered(node));
+                let _ = reply.send(state.membership.highest_reported(node));
             }
             MembershipMsg::Leave(reply) => {
                 state.membership.leave();
@@ -131,8 +131,10 @@
         for exchange in state.membership.tick(now_ms) {
             state.start(&myself, exchange);
         }
-        if state.membership.has_deferred(now_ms) && !std::mem::replace(&mut state.woken, true) {
-            let pause = Duration::from_millis(NEWS_PAUSE_MS);
+        if state.membership.has_deferred_updates(now_ms)
+            && !std::mem::replace(&mut state.woken, true)
+        {
+            let pause = Duration::from_millis(MIN_UPDATE_INTERVAL_MS);
             myself.send_after(pause, || MembershipMsg::Wake);
         }
         state.tell_role();
@@ -157,7 +159,7 @@
                 Err(error) => {
                     count_exchange("failed");
                     log::debug!(peer:% = exchange.address, error:%; "heartbeat failed");
-                    node.control.forget(exchange.address);
+                    node.control.discard(exchange.address);
                     MembershipMsg::Failed(exchange)
                 }
             };
@@ -197,9 +199,9 @@
             gateway_rank: self.membership.gateway_rank(),
             watcher_rank: self.membership.watcher_rank(),
             neighbours: neighbours.filter_map(|(node, _)| self.peer(node)).collect(),
-            witnessed: self.membership.witnessed(),
+            witnessed: self.membership.acknowledged_version(),
             alone: self.membership.is_alone(),
-            last_in_data_centre: self.membership.is_last_in_data_centre(),
+            last_in_data_centre: self.membership.is_only_node_of_data_centre(),
         };
         let leads = self.leads();
         self.node.leads.send_if_modified(|known| {
@@ -218,9 +220,9 @@
         let own_rank = ranked.iter().position(|node| *node == self.node.proxy.me);
         let before = &ranked[..own_rank.unwrap_or(ranked.len())];
         Leads {
-            before: before.iter().filter_map(|node| self.peer(*node)).collect(),
-            own: own_rank.is_some(),
-            alone: self.membership.is_only_data_centre(),
+            higher_ranked: before.iter().filter_map(|node| self.peer(*node)).collect(),
+            is_lead: own_rank.is_some(),
+            is_only_data_centre: self.membership.is_only_data_centre(),
         }
     }
 
@@ -249,7 +251,7 @@
         let mut wanted: BTreeSet<SocketAddr> = neighbours
             .filter_map(|(node, _)| self.membership.address_of(node))
             .collect();
-        wanted.extend(self.leads().before.iter().map(|lead| lead.address));
+        wanted.extend(self.leads().higher_ranked.iter().map(|lead| lead.address));
         self.node.control.retain(&wanted);
         metrics::gauge!("dragonflywall_neighbours").set(wanted.len() as f64);
         let members = self.membership.members_with_versions();
--- a/src/node/registration.rs
+++ b/src/node/registration.rs
@@ -225,7 +225,7 @@
     let salt = me.node.to_string();
     found.sort_by_cached_key(|row| {
         let distance = me.place.distance_to(&row.place);
-        (distance, neighbours::weight(row.node, &salt))
+        (distance, neighbours::node_hash(row.node, &salt))
     });
     let address = |row: &NodeRow| match row.place == me.place {
         true => row.node.0,
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -11,7 +11,7 @@
 use crate::core::member::{BackendState, NodeId};
 use crate::core::version::Version;
 use crate::decide::announcements::Announcements;
-use crate::distribution::Budget;
+use crate::distribution::ApplyBudget;
 use crate::distribution::lead_choice::Leads;
 use crate::node::membership::MembershipMsg;
 use crate::node::settings::Settings;
@@ -70,8 +70,8 @@
     }
 
     /// Shares of the time within which a version is to be in force.
-    pub(crate) fn budget(&self) -> Budget {
-        Budget::new(self.proxy.tunable.load().apply_within_ms)
+    pub(crate) fn budget(&self) -> ApplyBudget {
+        ApplyBudget::new(self.proxy.tunable.load().apply_within_ms)
     }
 
     /// Lets [`Self::tell_membership`] and the request path reach the actor.
--- a/src/node/store.rs
+++ b/src/node/store.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use crate::core::version::{Stamp, Version};
-use crate::distribution::{Content, Offer, Step};
+use crate::distribution::{Content, DeltaStep, Offer};
 use crate::ops::query::accepted;
 use crate::store::http::HttpStore;
 use crate::store::rows::VersionRow;
@@ -70,12 +70,12 @@
     Some(rows)
 }
 
-async fn deltas(platform: &HttpStore, rows: &[VersionRow]) -> Option<Vec<Step>> {
+async fn deltas(platform: &HttpStore, rows: &[VersionRow]) -> Option<Vec<DeltaStep>> {
     let mut steps = Vec::with_capacity(rows.len());
     for row in rows {
         let delta = accepted::object(platform, &row.delta_object).await.ok()?;
         let stamp = row.stamp;
-        steps.push(Step { stamp, delta });
+        steps.push(DeltaStep { stamp, delta });
     }
     Some(steps)
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -10,7 +10,7 @@
 pub(crate) mod generated;
 
 pub mod client;
+pub(crate) mod connector;
 pub(crate) mod convert;
-pub(crate) mod counted;
 pub(crate) mod pool;
 pub(crate) mod server;
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -10,8 +10,8 @@
 use tonic::service::interceptor::InterceptedService;
 use tonic::transport::{Channel, Endpoint};
 
+use super::connector::Connector;
 use super::convert;
-use super::counted::Connector;
 use super::generated as wire;
 use super::generated::control_client::ControlClient;
 use crate::core::member::NodeId;
@@ -33,7 +33,7 @@
 
 /// What a peer told a follower.
 #[derive(Debug)]
-pub(crate) struct Newer {
+pub(crate) struct FollowAnswer {
     /// A newer version, if there was one in time.
     pub(crate) offer: Option<Offer>,
     /// How the peer stands to the store.
@@ -81,18 +81,18 @@
 
 /// Puts the mesh token on every call.
 #[derive(Clone, Debug)]
-struct TokenSender {
+struct TokenInterceptor {
     token: Option<MetadataValue<Ascii>>,
 }
 
-impl TokenSender {
+impl TokenInterceptor {
     fn new(token: &MeshToken) -> Self {
         let token = token.to_send().and_then(|token| token.parse().ok());
         Self { token }
     }
 }
 
-impl Interceptor for TokenSender {
+impl Interceptor for TokenInterceptor {
     fn call(&mut self, mut request: tonic::Request<()>) -> Result<tonic::Request<()>, Status> {
         if let Some(token) = &self.token {
             request.metadata_mut().insert(TOKEN_HEADER, token.clone());
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     address: SocketAddr,
-    client: ControlClient<InterceptedService<Channel, TokenSender>>,
+    client: ControlClient<InterceptedService<Channel, TokenInterceptor>>,
 }
 
 impl PeerClient {
@@ -123,19 +123,19 @@
             address,
             client: ControlClient::with_interceptor(
                 endpoint.connect_with_connector_lazy(connector),
-                TokenSender::new(&options.token),
+                TokenInterceptor::new(&options.token),
             ),
         })
     }
 
     /// One gossip exchange.
     pub async fn exchange(&mut self, gossip: &Gossip) -> Result<Gossip> {
-        let request = timed(convert::gossip_to_wire(gossip), ANSWER_TIMEOUT);
+        let request = with_timeout(convert::gossip_to_wire(gossip), ANSWER_TIMEOUT);
         let answer = self.client.exchange(request).await;
         let answer = answer.context(CallSnafu {
             address: self.address,
         })?;
-        convert::gossip_from_wire(answer.get_ref()).map_err(|error| self.broken(&error))
+        convert::gossip_from_wire(answer.get_ref()).map_err(|error| self.protocol_error(&error))
     }
 
     /// Asks for the content of a version above `have`.
@@ -144,11 +144,14 @@
             have_version: have.0,
             want_version: want.0,
         };
-        let answer = self.client.fetch(timed(request, CONTENT_TIMEOUT)).await;
+        let answer = self
+            .client
+            .fetch(with_timeout(request, CONTENT_TIMEOUT))
+            .await;
         let answer = answer.context(CallSnafu {
             address: self.address,
         })?;
-        convert::offer_from_wire(answer.into_inner()).map_err(|error| self.broken(&error))
+        convert::offer_from_wire(answer.into_inner()).map_err(|error| self.protocol_error(&error))
     }
 
     /// Asks for the content of a version above `have` as soon as the peer holds one, and waits for
@@ -157,26 +160,31 @@
         &mut self,
         have: Version,
         wait: Duration,
-        answer: Duration,
-    ) -> Result<Newer> {
+        answer_timeout: Duration,
+    ) -> Result<FollowAnswer> {
         let request = wire::FollowRequest {
             have_version: have.0,
             wait_ms: u32::try_from(wait.as_millis()).unwrap_or(u32::MAX),
         };
-        let answer = self.client.follow(timed(request, wait + answer)).await;
+        let answer = self
+            .client
+            .follow(with_timeout(request, wait + answer_timeout))
+            .await;
         let answer = answer.context(CallSnafu {
             address: self.address,
         })?;
         let answer = answer.into_inner();
         let state = LeadState {
             store_age_ms: u64::from(answer.store_age_ms),
-            blind: answer.blind,
+            store_failing: answer.blind,
         };
         let offer = match answer.newer {
-            Some(newer) => convert::offer_from_wire(newer).map_err(|error| self.broken(&error))?,
+            Some(newer) => {
+                convert::offer_from_wire(newer).map_err(|error| self.protocol_error(&error))?
+            }
             None => None,
         };
-        Ok(Newer { offer, state })
+        Ok(FollowAnswer { offer, state })
     }
 
     /// Tells the peer that `head` has been accepted; answers what it enforces.
@@ -184,12 +192,15 @@
         let request = wire::HintRequest {
             head: Some(convert::stamp_to_wire(head)),
         };
-        let answer = self.client.hint(timed(request, ANSWER_TIMEOUT)).await;
+        let answer = self
+            .client
+            .hint(with_timeout(request, ANSWER_TIMEOUT))
+            .await;
         let answer = answer.context(CallSnafu {
             address: self.address,
         })?;
         convert::stamp_from_wire(answer.get_ref().enforced.as_ref())
-            .map_err(|error| self.broken(&error))
+            .map_err(|error| self.protocol_error(&error))
     }
 
     /// Asks for the highest version that the peer knows `node` to have reported, and for what the
@@ -198,17 +209,20 @@
         let request = wire::FloorRequest {
             node: node.to_string(),
         };
-        let answer = self.client.floor(timed(request, ANSWER_TIMEOUT)).await;
+        let answer = self
+            .client
+            .floor(with_timeout(request, ANSWER_TIMEOUT))
+            .await;
         let answer = answer.context(CallSnafu {
             address: self.address,
         })?;
         let answer = answer.get_ref();
         let enforced = convert::stamp_from_wire(answer.enforced.as_ref());
-        let enforced = enforced.map_err(|error| self.broken(&error))?;
+        let enforced = enforced.map_err(|error| self.protocol_error(&error))?;
         Ok((Version(answer.reported_version), enforced))
     }
 
-    fn broken(&self, error: &convert::Error) -> Error {
+    fn protocol_error(&self, error: &convert::Error) -> Error {
         Error::Answer {
             address: self.address,
             reason: error.to_string(),
@@ -216,7 +230,7 @@
     }
 }
 
-fn timed<T>(message: T, timeout: Duration) -> tonic::Request<T> {
+fn with_timeout<T>(message: T, timeout: Duration) -> tonic::Request<T> {
     let mut request = tonic::Request::new(message);
     request.set_timeout(timeout);
     request
--- a/src/peer/counted.rs
+++ b/src/peer/connector.rs
@@ -24,10 +24,10 @@
     pub(crate) timeout: Duration,
 }
 
-type Connecting = Pin<Box<dyn Future<Output = io::Result<TokioIo<Counted>>> + Send>>;
+type Connecting = Pin<Box<dyn Future<Output = io::Result<TokioIo<CountedStream>>> + Send>>;
 
 impl Service<Uri> for Connector {
-    type Response = TokioIo<Counted>;
+    type Response = TokioIo<CountedStream>;
     type Error = io::Error;
     type Future = Connecting;
 
@@ -39,20 +39,20 @@
         let options = self.clone();
         Box::pin(async move {
             let stream = dial(options.address, options.dial_from, options.timeout).await?;
-            Ok(TokioIo::new(Counted::new(stream)))
+            Ok(TokioIo::new(CountedStream::new(stream)))
         })
     }
 }
 
 /// A connection whose bytes are counted.
 #[derive(Debug)]
-pub(crate) struct Counted {
+pub(crate) struct CountedStream {
     stream: TcpStream,
     sent_bytes: Counter,
     received_bytes: Counter,
 }
 
-impl Counted {
+impl CountedStream {
     fn new(stream: TcpStream) -> Self {
         metrics::counter!("dragonflywall_control_connections_total").increment(1);
         Self {
@@ -65,7 +65,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -79,7 +79,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -8,7 +8,7 @@
 use crate::core::member::{BackendState, Liveness, Member, NodeId, Place};
 use crate::core::names::{DataCentreName, RegionName, ServiceName, is_name};
 use crate::core::version::{Digest, NotADigest, Stamp, Version};
-use crate::distribution::{Content, Offer, Step};
+use crate::distribution::{Content, DeltaStep, Offer};
 use crate::membership::{Gossip, Report, Summary};
 
 /// Result of this module.
@@ -28,7 +28,7 @@
     Field { field: &'static str },
 }
 
-pub(crate) fn address(text: &str) -> Result<SocketAddr> {
+pub(crate) fn parse_address(text: &str) -> Result<SocketAddr> {
     text.parse().context(AddressSnafu { text })
 }
 
@@ -49,18 +49,18 @@
 
 /// Names that a message mentions, each written once.
 #[derive(Default)]
-struct Names {
+struct NameTable {
     places: Vec<Place>,
     services: Vec<ServiceName>,
 }
 
-impl Names {
-    fn place(&mut self, place: &Place) -> u32 {
+impl NameTable {
+    fn place_index(&mut self, place: &Place) -> u32 {
         index_in(&mut self.places, place)
     }
 
     /// From 1; 0 is no service.
-    fn service(&mut self, service: Option<&ServiceName>) -> u32 {
+    fn service_index(&mut self, service: Option<&ServiceName>) -> u32 {
         service.map_or(0, |service| index_in(&mut self.services, service) + 1)
     }
 }
@@ -75,7 +75,7 @@
 }
 
 pub(crate) fn gossip_to_wire(gossip: &Gossip) -> wire::Gossip {
-    let mut names = Names::default();
+    let mut names = NameTable::default();
     let updates = gossip.updates.iter();
     let updates = updates.map(|member| member_to_wire(member, &mut names));
     let updates = updates.collect();
@@ -105,7 +105,7 @@
         region: RegionName::new(&place.region),
         data_centre: DataCentreName::new(&place.data_centre),
     };
-    let names = Names {
+    let names = NameTable {
         places: gossip.places.iter().map(place_from_wire).collect(),
         services: services_from_wire(&gossip.services)?,
     };
@@ -163,7 +163,7 @@
     services.iter().map(service_from_wire).collect()
 }
 
-fn place_at(names: &Names, position: u32) -> Result<Place> {
+fn place_at(names: &NameTable, position: u32) -> Result<Place> {
     let place = names.places.get(position as usize);
     place.cloned().context(FieldSnafu { field: "place" })
 }
@@ -184,20 +184,20 @@
     })
 }
 
-fn summary_to_wire(summary: &Summary, names: &mut Names) -> wire::Summary {
+fn summary_to_wire(summary: &Summary, names: &mut NameTable) -> wire::Summary {
     let count = |(version, nodes): (&Version, &u32)| wire::VersionCount {
         version: version.0,
         nodes: *nodes,
     };
     wire::Summary {
-        place: names.place(&summary.place),
+        place: names.place_index(&summary.place),
         nodes: summary.nodes,
         versions: summary.versions.iter().map(count).collect(),
         sequence: summary.sequence,
     }
 }
 
-fn summary_from_wire(summary: &wire::Summary, names: &Names) -> Result<Summary> {
+fn summary_from_wire(summary: &wire::Summary, names: &NameTable) -> Result<Summary> {
     let count = |count: &wire::VersionCount| (Version(count.version), count.nodes);
     Ok(Summary {
         place: place_at(names, summary.place)?,
@@ -207,7 +207,7 @@
     })
 }
 
-fn member_to_wire(member: &Member, names: &mut Names) -> wire::Member {
+fn member_to_wire(member: &Member, names: &mut NameTable) -> wire::Member {
     let external = if member.external == member.node.0 {
         Vec::new()
     } else {
@@ -216,16 +216,16 @@
     wire::Member {
         node: address_to_wire(member.node.0),
         external,
-        place: names.place(&member.place),
+        place: names.place_index(&member.place),
         incarnation: member.incarnation_us,
         sequence: member.sequence,
         liveness: liveness_to_wire(member.liveness).into(),
-        service: names.service(member.service.as_ref()),
+        service: names.service_index(member.service.as_ref()),
         backend: backend_to_wire(member.backend).into(),
     }
 }
 
-fn member_from_wire(member: &wire::Member, names: &Names) -> Result<Member> {
+fn member_from_wire(member: &wire::Member, names: &NameTable) -> Result<Member> {
     let node = node_from_wire(&member.node)?;
     let external = if member.external.is_empty() {
         node.0
@@ -300,7 +300,7 @@
         Content::Delta(bytes) => wire::fetch_reply::Content::Delta(bytes),
         Content::Snapshot(bytes) => wire::fetch_reply::Content::Snapshot(bytes),
         Content::Chain(steps) => {
-            let step_to_wire = |step: Step| wire::Step {
+            let step_to_wire = |step: DeltaStep| wire::Step {
                 reached: Some(stamp_to_wire(step.stamp)),
                 delta: step.delta,
             };
@@ -333,8 +333,8 @@
     }))
 }
 
-fn step_from_wire(step: wire::Step) -> Result<Step> {
-    Ok(Step {
+fn step_from_wire(step: wire::Step) -> Result<DeltaStep> {
+    Ok(DeltaStep {
         stamp: stamp_from_wire(step.reached.as_ref())?,
         delta: step.delta,
     })
--- a/src/peer/pool.rs
+++ b/src/peer/pool.rs
@@ -23,7 +23,7 @@
 
     /// The client of a peer; nothing is dialled before it is used.
     pub(crate) fn client(&self, address: SocketAddr) -> Option<PeerClient> {
-        let mut clients = self.clients();
+        let mut clients = self.lock_clients();
         if let Some(client) = clients.get(&address) {
             return Some(client.clone());
         }
@@ -34,17 +34,18 @@
 
     /// Gives up a connection that brought no answer. After a long cut the system would go on
     /// resending on it ever more slowly, up to minutes apart, although the way is free again.
-    pub(crate) fn forget(&self, address: SocketAddr) {
-        self.clients().remove(&address);
+    pub(crate) fn discard(&self, address: SocketAddr) {
+        self.lock_clients().remove(&address);
     }
 
     /// Closes the connections to all but `wanted`: a node talks to a few neighbours, whoever they
     /// are at the time, and must not gather a connection to each of 520 nodes.
     pub(crate) fn retain(&self, wanted: &BTreeSet<SocketAddr>) {
-        self.clients().retain(|address, _| wanted.contains(address));
+        self.lock_clients()
+            .retain(|address, _| wanted.contains(address));
     }
 
-    fn clients(&self) -> MutexGuard<'_, HashMap<SocketAddr, PeerClient>> {
+    fn lock_clients(&self) -> MutexGuard<'_, HashMap<SocketAddr, PeerClient>> {
         self.clients.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -120,14 +120,14 @@
         &self,
         request: Request<wire::FloorRequest>,
     ) -> Result<Response<wire::FloorReply>, Status> {
-        let node = convert::address(&request.get_ref().node).map_err(|e| invalid(&e))?;
-        let remembered = ractor::call_t!(
+        let node = convert::parse_address(&request.get_ref().node).map_err(|e| invalid(&e))?;
+        let reported = ractor::call_t!(
             self.membership,
             MembershipMsg::Remembered,
             ACTOR_TIMEOUT_MS,
             NodeId(node)
         );
-        let remembered = remembered.map_err(|_| stopping())?;
+        let reported = reported.map_err(|_| stopping())?;
         let enforced = ractor::call_t!(
             self.configuration,
             ConfigurationMsg::Enforced,
@@ -135,7 +135,7 @@
         );
         let enforced = enforced.map_err(|_| stopping())?;
         Ok(Response::new(wire::FloorReply {
-            reported_version: remembered.0,
+            reported_version: reported.0,
             enforced: Some(convert::stamp_to_wire(enforced)),
         }))
     }
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -20,7 +20,7 @@
 use crate::core::routing::{Branch, Route};
 use crate::decide::retry::{self, Attempts};
 use crate::decide::split;
-use crate::distribution::Applied;
+use crate::distribution::CompiledConfiguration;
 use crate::proxy::state::ProxyState;
 
 mod arrival;
@@ -141,7 +141,7 @@
 
 async fn run(
     node: &Arc<ProxyState>,
-    applied: &Applied,
+    applied: &CompiledConfiguration,
     parts: &Parts,
     replay: &Replay,
     mut origin: Origin,
@@ -187,7 +187,11 @@
     }
 }
 
-fn route_of<'a>(applied: &'a Applied, parts: &Parts, host: &str) -> Result<&'a Route, Failure> {
+fn route_of<'a>(
+    applied: &'a CompiledConfiguration,
+    parts: &Parts,
+    host: &str,
+) -> Result<&'a Route, Failure> {
     let (method, path) = (parts.method.as_str(), parts.uri.path());
     if let Some(route) = applied.routes.find(host, method, path) {
         return Ok(route);
@@ -205,7 +209,7 @@
 }
 
 /// Refuses a body that says from the start that it is too long; see [`Replay`] for the others.
-fn check_length(applied: &Applied, replay: &Replay) -> Result<(), Failure> {
+fn check_length(applied: &CompiledConfiguration, replay: &Replay) -> Result<(), Failure> {
     let limits = applied.configuration.caller_limits();
     let most = limits.map_or(u64::MAX, |limits| limits.body_max_bytes);
     match replay.least_len_bytes() > most {
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -29,7 +29,7 @@
 use crate::decide::intake::{Intake, LinkShare};
 use crate::decide::placement::{Balancer, LoadReport};
 use crate::decide::retry::{RetryPolicy, ServiceTokens};
-use crate::distribution::Applied;
+use crate::distribution::CompiledConfiguration;
 use crate::node::settings::{Settings, Tunable};
 use crate::util::clock;
 
@@ -45,7 +45,7 @@
     pub(crate) vocabulary: &'static Vocabulary,
     pub(crate) me: NodeId,
     pub(crate) started: Instant,
-    pub(crate) enforced: ArcSwapOption<Applied>,
+    pub(crate) enforced: ArcSwapOption<CompiledConfiguration>,
     pub(crate) view: ArcSwap<View>,
     /// What this node, as an entry, has seen of endpoints.
     balancer: Mutex<Balancer>,
@@ -255,7 +255,7 @@
 }
 
 /// How much a backend server takes, and how many connections.
-fn limits_of(backend: &LocalBackend, applied: &Applied) -> (Limits, u32) {
+fn limits_of(backend: &LocalBackend, applied: &CompiledConfiguration) -> (Limits, u32) {
     let Some(service) = applied.configuration.service(&backend.service) else {
         return (Limits::default(), 0);
     };
--- a/tests/testsuite/decide_simulation.rs
+++ b/tests/testsuite/decide_simulation.rs
@@ -4,7 +4,7 @@
 
 use dragonflywall::core::configuration::Class;
 
-use crate::simulation::{MS, Policy, SECOND, Scenario, Seen, Server, Stream, run};
+use crate::simulation::{MS, Outcomes, Policy, SECOND, Scenario, Server, Stream, run};
 
 /// Slots and queue of the two deployments.
 const DEPLOYMENTS: [(&str, u32, u32); 2] = [("chatarras", 20, 40), ("marinhas", 6, 12)];
@@ -18,7 +18,7 @@
 fn reads(per_s: u64, from_us: u64, until_us: u64) -> Stream {
     Stream {
         class: Class::Interactive,
-        per_s,
+        requests_per_s: per_s,
         work_us: WORK_US,
         timeout_us: 400 * MS,
         target_us: 400 * MS,
@@ -31,7 +31,7 @@
 fn uploads(per_s: u64, work_us: u64) -> Stream {
     Stream {
         class: Class::Bulk,
-        per_s,
+        requests_per_s: per_s,
         work_us,
         timeout_us: 60 * SECOND,
         target_us: 60 * SECOND,
@@ -48,15 +48,16 @@
         servers: vec![Server::default(); servers],
         streams,
         entries: 8,
-        looks: true,
+        checks_free_slots: true,
     }
 }
 
-type Outcome = BTreeMap<Class, Seen>;
+type Outcome = BTreeMap<Class, Outcomes>;
 
 /// Runs both policies and prints what callers saw.
 fn compare(name: &str, scenario: &Scenario) -> (Outcome, Outcome) {
-    let mut outcomes = [Policy::Ours, Policy::Plain].map(|policy| (policy, run(scenario, policy)));
+    let mut outcomes =
+        [Policy::Product, Policy::Baseline].map(|policy| (policy, run(scenario, policy)));
     for (policy, outcome) in &mut outcomes {
         for (class, seen) in outcome {
             let (p50, p99) = (seen.percentile_ms(50), seen.percentile_ms(99));
@@ -64,7 +65,7 @@
                 "{name:<24}{policy:<6?}{class:<12?} calls {:>6} good {:>6} refused {:>6} \
                  timed out {:>6} errors {:>5} attempts/call {:.2} p50 {p50:.1} ms p99 {p99:.1} ms",
                 seen.calls,
-                seen.good,
+                seen.succeeded,
                 seen.refused,
                 seen.timed_out,
                 seen.errors,
@@ -76,7 +77,7 @@
     (ours, plain)
 }
 
-fn interactive(outcome: &mut Outcome) -> &mut Seen {
+fn interactive(outcome: &mut Outcome) -> &mut Outcomes {
     outcome
         .get_mut(&Class::Interactive)
         .expect("there were some")
@@ -95,8 +96,8 @@
             let scenario = scenario(slots, queue_len, 4, vec![stream]);
             let name = format!("{name} x{}", halves as f64 / 2.0);
             let (mut ours, mut plain) = compare(&name, &scenario);
-            ours_at.insert(halves, interactive(&mut ours).good);
-            plain_at.insert(halves, interactive(&mut plain).good);
+            ours_at.insert(halves, interactive(&mut ours).succeeded);
+            plain_at.insert(halves, interactive(&mut plain).succeeded);
         }
         assert!(ours_at[&10] * 10 >= ours_at[&2] * 9, "{ours_at:?}");
         assert!(ours_at[&10] > plain_at[&10] * 2, "{ours_at:?} {plain_at:?}");
@@ -124,7 +125,7 @@
             let seen = interactive(&mut ours);
             println!("{name}: {} of {} in time", seen.on_time, seen.calls);
             on_time.push(seen.on_time);
-            good.push(seen.good);
+            good.push(seen.succeeded);
         }
         assert!(on_time[0] * 4 < good[0], "{on_time:?} of {good:?}");
         assert!(on_time[1] * 100 >= good[1] * 95, "{on_time:?} of {good:?}");
@@ -144,7 +145,7 @@
         let scenario = scenario(slots, queue_len, 4, streams);
         let (mut ours, mut plain) = compare(&format!("{name} burst"), &scenario);
         let (ours, plain) = (interactive(&mut ours), interactive(&mut plain));
-        assert!(ours.good > plain.good);
+        assert!(ours.succeeded > plain.succeeded);
         assert!(ours.percentile_ms(99) < plain.percentile_ms(99));
     }
 }
@@ -155,16 +156,16 @@
     for (name, slots, queue_len) in DEPLOYMENTS {
         let stream = reads(capacity_per_s(slots, 4) / 2, 0, 4 * SECOND);
         let mut scenario = scenario(slots, queue_len, 4, vec![stream]);
-        scenario.servers[0].slowness = 10;
+        scenario.servers[0].work_factor = 10;
         let (mut ours, mut plain) = compare(&format!("{name} one slow"), &scenario);
         let (ours, plain) = (interactive(&mut ours), interactive(&mut plain));
         assert!(
-            ours.good * 100 >= ours.calls * 99,
+            ours.succeeded * 100 >= ours.calls * 99,
             "{} of {}",
-            ours.good,
+            ours.succeeded,
             ours.calls
         );
-        assert!(ours.good > plain.good);
+        assert!(ours.succeeded > plain.succeeded);
     }
 }
 
@@ -181,13 +182,13 @@
         ];
         let scenario = scenario(slots, queue_len, 4, streams);
         let (mut ours, mut plain) = compare(&format!("{name} mix"), &scenario);
-        let finished = ours[&Class::Bulk].good * 100 / ours[&Class::Bulk].calls;
+        let finished = ours[&Class::Bulk].succeeded * 100 / ours[&Class::Bulk].calls;
         assert!(finished >= 60, "{finished} % of the uploads finished");
         let (ours, plain) = (interactive(&mut ours), interactive(&mut plain));
         assert!(
-            ours.good * 100 >= ours.calls * 99,
+            ours.succeeded * 100 >= ours.calls * 99,
             "{} of {}",
-            ours.good,
+            ours.succeeded,
             ours.calls
         );
         assert!(ours.percentile_ms(99) < plain.percentile_ms(99));
@@ -205,7 +206,7 @@
         }
         let (mut ours, mut plain) = compare(&format!("{name} cold herd"), &scenario);
         let (ours, plain) = (interactive(&mut ours), interactive(&mut plain));
-        assert!(ours.good >= plain.good);
+        assert!(ours.succeeded >= plain.succeeded);
         assert!(ours.percentile_ms(99) <= plain.percentile_ms(99));
     }
 }
@@ -217,7 +218,7 @@
     for (name, slots, queue_len) in DEPLOYMENTS {
         let stream = reads(capacity_per_s(slots, 4) / 2, 0, 4 * SECOND);
         let mut scenario = scenario(slots, queue_len, 4, vec![stream]);
-        scenario.servers[0].fails = true;
+        scenario.servers[0].always_fails = true;
         let (mut ours, mut plain) = compare(&format!("{name} lying"), &scenario);
         let (ours, plain) = (interactive(&mut ours), interactive(&mut plain));
         assert!(
@@ -239,26 +240,31 @@
             let stream = reads(near * percent / 100, 0, 4 * SECOND);
             let mut scenario = scenario(slots, queue_len, 4, vec![stream]);
             for server in &mut scenario.servers[1..] {
-                server.far = true;
+                server.is_remote = true;
             }
             let (mut ours, mut plain) = compare(&format!("{name} skew {percent} %"), &scenario);
             let (ours, plain) = (interactive(&mut ours), interactive(&mut plain));
             println!(
                 "{name} skew {percent} %: far {} plain {}",
-                ours.far, plain.far
+                ours.served_remotely, plain.served_remotely
             );
             assert!(
-                ours.good * 100 >= ours.calls * 99,
+                ours.succeeded * 100 >= ours.calls * 99,
                 "{} of {}",
-                ours.good,
+                ours.succeeded,
                 ours.calls
             );
             if percent < 100 {
                 // Six slots of which 2.4 are busy on average are all busy for 2.4 % of the
                 // requests (Erlang's loss formula); twice as many may be seen as late reports.
-                assert!(ours.far * 20 < ours.calls, "{} of {}", ours.far, ours.calls);
+                assert!(
+                    ours.served_remotely * 20 < ours.calls,
+                    "{} of {}",
+                    ours.served_remotely,
+                    ours.calls
+                );
             }
-            assert!(ours.far < plain.far);
+            assert!(ours.served_remotely < plain.served_remotely);
         }
     }
 }
@@ -284,7 +290,7 @@
         };
         let mut scenario = scenario(6, 24, SERVERS, vec![stream]);
         scenario.entries = 80;
-        scenario.looks = looks;
+        scenario.checks_free_slots = looks;
         let name = format!("many entries, looks {looks}");
         let (mut ours, _) = compare(&name, &scenario);
         let seen = interactive(&mut ours);
--- a/tests/testsuite/fuzz_holder.rs
+++ b/tests/testsuite/fuzz_holder.rs
@@ -15,7 +15,7 @@
 
 const VERSIONS: usize = 8;
 /// A version in which a call names a resource that does not exist.
-const OPEN: usize = 4;
+const UNRESOLVED_VERSION: usize = 4;
 
 /// Versions 0 (empty) to 8; each has one team more than the one before, and other records.
 static PUBLISHED: LazyLock<Vec<Configuration>> =
@@ -24,7 +24,7 @@
 fn published(version: usize) -> Configuration {
     let records = (0..version).map(|team| {
         let resource = format!("r{}", version % 3);
-        let called = if version == OPEN {
+        let called = if version == UNRESOLVED_VERSION {
             "missing"
         } else {
             &resource
@@ -74,7 +74,7 @@
         cut: bool,
     },
     /// The right content under another version's stamp.
-    Misnamed {
+    WrongStamp {
         version: usize,
         content: usize,
     },
@@ -91,14 +91,14 @@
 }
 
 impl Expected {
-    fn takes(self, version: usize) -> bool {
-        version > self.version && version >= self.floor && version != OPEN
+    fn accepts(self, version: usize) -> bool {
+        version > self.version && version >= self.floor && version != UNRESOLVED_VERSION
     }
 }
 
-struct Oracle;
+struct ReferenceModel;
 
-impl ReferenceStateMachine for Oracle {
+impl ReferenceStateMachine for ReferenceModel {
     type State = Expected;
     type Transition = Step;
 
@@ -119,7 +119,7 @@
             3 => (version.clone(), any::<bool>(), any::<prop::sample::Index>(), any::<bool>())
                 .prop_map(|(version, delta, at, cut)| Step::Damaged { version, delta, at, cut }),
             1 => (version.clone(), version.clone())
-                .prop_map(|(version, content)| Step::Misnamed { version, content }),
+                .prop_map(|(version, content)| Step::WrongStamp { version, content }),
             1 => version.prop_map(|version| Step::RaiseFloor { version }),
         ]
         .boxed()
@@ -127,14 +127,16 @@
 
     fn apply(mut state: Expected, step: &Step) -> Expected {
         match *step {
-            Step::Snapshot { version } if state.takes(version) => state.version = version,
+            Step::Snapshot { version } if state.accepts(version) => state.version = version,
             // Nothing is enforced at version 0, so there is no parent.
             Step::Delta { parent, version }
-                if state.takes(version) && parent == state.version && parent != 0 =>
+                if state.accepts(version) && parent == state.version && parent != 0 =>
             {
                 state.version = version;
             }
-            Step::Misnamed { version, content } if version == content && state.takes(version) => {
+            Step::WrongStamp { version, content }
+                if version == content && state.accepts(version) =>
+            {
                 state.version = version;
             }
             Step::RaiseFloor { version } => state.floor = state.floor.max(version),
@@ -182,7 +184,7 @@
 
 impl StateMachineTest for Node {
     type SystemUnderTest = Holder;
-    type Reference = Oracle;
+    type Reference = ReferenceModel;
 
     fn init_test(_: &Expected) -> Holder {
         Holder::default()
@@ -197,7 +199,7 @@
             }
             Step::Snapshot { version } => (stamp(version), snapshot(version)),
             Step::Delta { parent, version } => (stamp(version), delta(parent, version)),
-            Step::Misnamed { version, content } => (stamp(version), snapshot(content)),
+            Step::WrongStamp { version, content } => (stamp(version), snapshot(content)),
             Step::Damaged {
                 version,
                 delta,
@@ -224,24 +226,24 @@
         if let Some(configuration) = enforced {
             assert_eq!(configuration, &PUBLISHED[expected.version]);
         }
-        hands_on(holder, expected.version);
+        assert_peers_reach(holder, expected.version);
     }
 }
 
 /// Whatever a peer holds, what it is handed brings it to the same configuration.
-fn hands_on(holder: &Holder, version: usize) {
+fn assert_peers_reach(holder: &Holder, version: usize) {
     for have in 0..=VERSIONS {
-        let handed = holder.content_for(Version(have as u64));
-        assert_eq!(handed.is_some(), have < version);
-        let Some((stamp, content)) = handed else {
+        let offered = holder.content_for(Version(have as u64));
+        assert_eq!(offered.is_some(), have < version);
+        let Some((stamp, content)) = offered else {
             continue;
         };
         let mut peer = Holder::default();
-        if have > 0 && have != OPEN {
+        if have > 0 && have != UNRESOLVED_VERSION {
             let applied = peer.apply(PUBLISHED[have].stamp(), &snapshot(have));
             applied.expect("a published version applies");
         }
-        if have != OPEN {
+        if have != UNRESOLVED_VERSION {
             peer.apply(stamp, &content)
                 .expect("it fits what the peer has");
             assert_eq!(peer.stamp(), PUBLISHED[version].stamp());
@@ -253,5 +255,5 @@
     #![proptest_config(fuzz::config(64))]
 
     #[test]
-    fn fuzz_holder_against_a_number(sequential 1..32 => Node);
+    fn fuzz_holder_against_the_expected_version(sequential 1..32 => Node);
 }
--- a/tests/testsuite/fuzz_membership.rs
+++ b/tests/testsuite/fuzz_membership.rs
@@ -24,7 +24,7 @@
 
 /// What a node says at one point of one life. Each has a single writer, so the same incarnation and
 /// sequence always say the same, but for the liveness that others may claim.
-fn statement(number: u8, incarnation_us: u64, sequence: u64, liveness: Liveness) -> Member {
+fn member_record(number: u8, incarnation_us: u64, sequence: u64, liveness: Liveness) -> Member {
     let backend = match sequence % 3 {
         0 => BackendState::Serving,
         1 => BackendState::Draining,
@@ -51,21 +51,21 @@
 struct Message {
     from: u8,
     version: u64,
-    statements: Vec<Member>,
+    records: Vec<Member>,
     want_all: bool,
 }
 
 /// The highest statement of each other node, the highest claim about this one, and the highest
 /// version that each sender has reported.
 #[derive(Clone, Debug, Default)]
-struct Highest {
+struct ExpectedView {
     members: BTreeMap<NodeId, Member>,
     claim: Option<Member>,
     versions: BTreeMap<NodeId, Version>,
     earlier: Vec<Message>,
 }
 
-struct Oracle;
+struct ReferenceModel;
 
 fn liveness() -> impl Strategy<Value = Liveness> {
     prop_oneof![
@@ -77,51 +77,54 @@
 }
 
 fn message() -> impl Strategy<Value = Message> {
-    let statement = (0..NODES, 1..=INCARNATIONS, 1..5_u64, liveness()).prop_map(
+    let record = (0..NODES, 1..=INCARNATIONS, 1..5_u64, liveness()).prop_map(
         |(number, incarnation_us, sequence, liveness)| {
-            statement(number, incarnation_us, sequence, liveness)
+            member_record(number, incarnation_us, sequence, liveness)
         },
     );
-    let statements = prop::collection::vec(statement, 0..5);
-    (1..NODES, 0..6_u64, statements, any::<bool>()).prop_map(
-        |(from, version, statements, want_all)| Message {
+    let records = prop::collection::vec(record, 0..5);
+    (1..NODES, 0..6_u64, records, any::<bool>()).prop_map(|(from, version, records, want_all)| {
+        Message {
             from,
             version,
-            statements,
+            records,
             want_all,
-        },
-    )
+        }
+    })
 }
 
-impl ReferenceStateMachine for Oracle {
-    type State = Highest;
+impl ReferenceStateMachine for ReferenceModel {
+    type State = ExpectedView;
     type Transition = Message;
 
-    fn init_state() -> BoxedStrategy<Highest> {
-        Just(Highest::default()).boxed()
+    fn init_state() -> BoxedStrategy<ExpectedView> {
+        Just(ExpectedView::default()).boxed()
     }
 
-    fn transitions(state: &Highest) -> BoxedStrategy<Message> {
+    fn transitions(state: &ExpectedView) -> BoxedStrategy<Message> {
         if state.earlier.is_empty() {
             return message().boxed();
         }
         // One in four is an earlier message again.
-        let again = prop::sample::select(state.earlier.clone());
-        prop_oneof![3 => message(), 1 => again].boxed()
+        let repeated = prop::sample::select(state.earlier.clone());
+        prop_oneof![3 => message(), 1 => repeated].boxed()
     }
 
-    fn apply(mut state: Highest, message: &Message) -> Highest {
-        for said in &message.statements {
-            if said.node == node(ME) {
-                let higher = state.claim.as_ref().is_none_or(|c| said.rank() > c.rank());
+    fn apply(mut state: ExpectedView, message: &Message) -> ExpectedView {
+        for record in &message.records {
+            if record.node == node(ME) {
+                let higher = state
+                    .claim
+                    .as_ref()
+                    .is_none_or(|c| record.rank() > c.rank());
                 if higher {
-                    state.claim = Some(said.clone());
+                    state.claim = Some(record.clone());
                 }
                 continue;
             }
-            let known = state.members.get(&said.node);
-            if known.is_none_or(|known| said.rank() > known.rank()) {
-                state.members.insert(said.node, said.clone());
+            let known = state.members.get(&record.node);
+            if known.is_none_or(|known| record.rank() > known.rank()) {
+                state.members.insert(record.node, record.clone());
             }
         }
         let version = state.versions.entry(node(message.from)).or_default();
@@ -135,20 +138,20 @@
 
 impl StateMachineTest for View {
     type SystemUnderTest = Membership;
-    type Reference = Oracle;
+    type Reference = ReferenceModel;
 
-    fn init_test(_: &Highest) -> Membership {
-        let me = statement(ME, INCARNATIONS, 1, Liveness::Alive);
+    fn init_test(_: &ExpectedView) -> Membership {
+        let me = member_record(ME, INCARNATIONS, 1, Liveness::Alive);
         Membership::new(me, Vec::new(), Timing::default())
     }
 
-    fn apply(mut view: Membership, _: &Highest, message: Message) -> Membership {
+    fn apply(mut view: Membership, _: &ExpectedView, message: Message) -> Membership {
         let gossip = Gossip {
             from: node(message.from),
             view_hash: 0,
             version: Version(message.version),
             announce: None,
-            updates: message.statements,
+            updates: message.records,
             reports: Vec::new(),
             summaries: Vec::new(),
             want_all: message.want_all,
@@ -160,7 +163,7 @@
         view
     }
 
-    fn check_invariants(view: &Membership, expected: &Highest) {
+    fn check_invariants(view: &Membership, expected: &ExpectedView) {
         let others = view.members().filter(|member| member.node != node(ME));
         let others: BTreeMap<NodeId, Member> = others.map(|m| (m.node, m.clone())).collect();
         assert_eq!(others, expected.members);
@@ -169,7 +172,7 @@
             assert!(view.me().rank() >= claim.rank(), "{claim:?} is not refuted");
         }
         for (sender, version) in &expected.versions {
-            assert_eq!(view.remembered(*sender), *version);
+            assert_eq!(view.highest_reported(*sender), *version);
         }
     }
 }
@@ -178,5 +181,5 @@
     #![proptest_config(fuzz::config(128))]
 
     #[test]
-    fn fuzz_membership_against_the_highest_statements(sequential 1..24 => View);
+    fn fuzz_membership_against_the_highest_ranked_records(sequential 1..24 => View);
 }
--- a/tests/testsuite/simulation.rs
+++ b/tests/testsuite/simulation.rs
@@ -21,34 +21,34 @@
 pub(crate) const MS: u64 = 1_000;
 pub(crate) const SECOND: u64 = 1_000 * MS;
 const HOP_US: u64 = 500;
-const FAR_HOP_US: u64 = 1_500;
+const REMOTE_HOP_US: u64 = 1_500;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Policy {
-    Ours,
-    Plain,
+    Product,
+    Baseline,
 }
 
 /// One backend server and how it misbehaves.
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
     /// Work takes so many times as long.
-    pub(crate) slowness: u64,
+    pub(crate) work_factor: u64,
     /// Until then it is cold, and work takes five times as long.
     pub(crate) cold_until_us: u64,
     /// It answers 500 at once, whatever its health endpoint says.
-    pub(crate) fails: bool,
+    pub(crate) always_fails: bool,
     /// It stands in the other data centre of the region; all callers are in the first.
-    pub(crate) far: bool,
+    pub(crate) is_remote: bool,
 }
 
 impl Default for Server {
     fn default() -> Self {
         Self {
-            slowness: 1,
+            work_factor: 1,
             cold_until_us: 0,
-            fails: false,
-            far: false,
+            always_fails: false,
+            is_remote: false,
         }
     }
 }
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stream {
     pub(crate) class: Class,
-    pub(crate) per_s: u64,
+    pub(crate) requests_per_s: u64,
     pub(crate) work_us: u64,
     pub(crate) timeout_us: u64,
     /// An answer after this is late.
@@ -78,26 +78,26 @@
     /// Nodes at which requests arrive.
     pub(crate) entries: usize,
     /// Whether requests look for a free slot before they wait.
-    pub(crate) looks: bool,
+    pub(crate) checks_free_slots: bool,
 }
 
 /// What callers of one class saw.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Seen {
+pub(crate) struct Outcomes {
     pub(crate) calls: u64,
-    pub(crate) good: u64,
+    pub(crate) succeeded: u64,
     /// Good ones within the target.
     pub(crate) on_time: u64,
     pub(crate) refused: u64,
     pub(crate) timed_out: u64,
     pub(crate) errors: u64,
     /// Good ones from the other data centre.
-    pub(crate) far: u64,
+    pub(crate) served_remotely: u64,
     pub(crate) attempts: u64,
     latencies_us: Vec<u64>,
 }
 
-impl Seen {
+impl Outcomes {
     pub(crate) fn percentile_ms(&mut self, percent: usize) -> f64 {
         self.latencies_us.sort_unstable();
         let last = self.latencies_us.len().saturating_sub(1);
@@ -111,7 +111,7 @@
     Arrive {
         stream: usize,
     },
-    AtGate {
+    ReachesGate {
         call: usize,
         attempt: u32,
         server: usize,
@@ -135,7 +135,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Answer {
-    Good,
+    Success,
     Error,
     Refused,
 }
@@ -149,8 +149,8 @@
     tried: Vec<NodeId>,
     search: Search,
     /// The attempt under way is a look.
-    looking: bool,
-    at: Option<(usize, Where)>,
+    checking_slot: bool,
+    at: Option<(usize, AttemptState)>,
     ended: bool,
 }
 
@@ -166,16 +166,16 @@
 }
 
 #[derive(Clone, Copy)]
-enum Where {
+enum AttemptState {
     UnderWay,
     Waiting(Ticket),
     Running { since_us: u64 },
 }
 
 struct Gate {
-    ours: Admission<(usize, u32)>,
-    plain: VecDeque<(usize, u32)>,
-    plain_running: u32,
+    product_admission: Admission<(usize, u32)>,
+    baseline_queue: VecDeque<(usize, u32)>,
+    baseline_running: u32,
 }
 
 struct Entry {
@@ -192,15 +192,15 @@
     sequence: u64,
     rng: StdRng,
     /// Of its own, so that both policies get the same requests.
-    arrivals: StdRng,
+    arrival_rng: StdRng,
     calls: Vec<Call>,
     gates: Vec<Gate>,
     entries: Vec<Entry>,
-    seen: BTreeMap<Class, Seen>,
+    outcomes: BTreeMap<Class, Outcomes>,
 }
 
 /// Runs a scenario to its end under a policy.
-pub(crate) fn run(scenario: &Scenario, policy: Policy) -> BTreeMap<Class, Seen> {
+pub(crate) fn run(scenario: &Scenario, policy: Policy) -> BTreeMap<Class, Outcomes> {
     let mut simulation = Simulation::new(scenario.clone(), policy);
     for stream in 0..scenario.streams.len() {
         let from_us = scenario.streams[stream].from_us;
@@ -210,7 +210,7 @@
         simulation.now_us = time_us;
         simulation.handle(event);
     }
-    simulation.seen
+    simulation.outcomes
 }
 
 impl Simulation {
@@ -219,18 +219,18 @@
         let there = place("cantabrico", "bilbao");
         let servers = scenario.servers.iter().zip(1_u16..);
         let members: Vec<Member> = servers
-            .map(|(server, number)| member(number, if server.far { &there } else { &here }))
+            .map(|(server, number)| member(number, if server.is_remote { &there } else { &here }))
             .collect();
         let gate = || {
-            let mut ours = Admission::default();
-            ours.set_limits(admission::Limits {
+            let mut product_admission = Admission::default();
+            product_admission.set_limits(admission::Limits {
                 slots: scenario.slots,
                 queue_len: scenario.queue_len,
             });
             Gate {
-                ours,
-                plain: VecDeque::new(),
-                plain_running: 0,
+                product_admission,
+                baseline_queue: VecDeque::new(),
+                baseline_running: 0,
             }
         };
         let entry = |number: usize| {
@@ -250,11 +250,11 @@
             events: BinaryHeap::new(),
             sequence: 0,
             rng: StdRng::seed_from_u64(7),
-            arrivals: StdRng::seed_from_u64(8),
+            arrival_rng: StdRng::seed_from_u64(8),
             calls: Vec::new(),
             gates: scenario.servers.iter().map(|_| gate()).collect(),
             entries: (0..scenario.entries).map(entry).collect(),
-            seen: BTreeMap::new(),
+            outcomes: BTreeMap::new(),
             scenario,
         }
     }
@@ -267,11 +267,11 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive { stream } => self.arrive(stream),
-            Event::AtGate {
+            Event::ReachesGate {
                 call,
                 attempt,
                 server,
-            } => self.at_gate(call, attempt, server),
+            } => self.reaches_gate(call, attempt, server),
             Event::Done {
                 call,
                 attempt,
@@ -314,22 +314,22 @@
         let call = self.calls.len();
         self.calls.push(Call {
             stream,
-            entry: self.arrivals.random_range(0..self.scenario.entries),
+            entry: self.arrival_rng.random_range(0..self.scenario.entries),
             began_us: self.now_us,
             attempt: 0,
             attempts: Attempts::new(&treatment, RETRIES_PER_TREE),
             tried: Vec::new(),
             search: Search::default(),
-            looking: false,
+            checking_slot: false,
             at: None,
             ended: false,
         });
-        self.seen.entry(stream.class).or_default().calls += 1;
+        self.outcomes.entry(stream.class).or_default().calls += 1;
         let entry = self.calls[call].entry;
         self.entries[entry].tokens.entry_for(&service()).earn();
         self.attempt(call);
-        let uniform: f64 = self.arrivals.random_range(0.000_001..1.0);
-        let gap_us = (-uniform.ln() * SECOND as f64 / stream.per_s as f64) as u64;
+        let uniform: f64 = self.arrival_rng.random_range(0.000_001..1.0);
+        let gap_us = (-uniform.ln() * SECOND as f64 / stream.requests_per_s as f64) as u64;
         let next_us = self.now_us + gap_us;
         if next_us < stream.until_us {
             self.at(next_us, Event::Arrive { stream: number });
@@ -342,7 +342,7 @@
         let attempt = call.attempt;
         let deadline_us = call.began_us + call.stream.timeout_us;
         let (server, timeout_us) = match self.policy {
-            Policy::Ours => {
+            Policy::Product => {
                 let entry = &mut self.entries[call.entry];
                 let left_us = |until_us: u64| until_us.saturating_sub(self.now_us);
                 let need = Need {
@@ -361,26 +361,27 @@
                     .choose(self.now_us, &entry.ranked, &need, &mut self.rng)
                     .expect("there are endpoints");
                 entry.balancer.begun(self.now_us, &chosen);
-                call.looking = self.scenario.looks && !call.search.waits_at(chosen.node);
+                call.checking_slot =
+                    self.scenario.checks_free_slots && !call.search.waits_at(chosen.node);
                 (server_of(&chosen), deadline_us)
             }
-            Policy::Plain => {
+            Policy::Baseline => {
                 let server = self.rng.random_range(0..self.scenario.servers.len());
                 let share_us = call.stream.timeout_us / 3;
                 (server, deadline_us.min(self.now_us + share_us))
             }
         };
-        call.at = Some((server, Where::UnderWay));
+        call.at = Some((server, AttemptState::UnderWay));
         let class = call.stream.class;
         let hop_us = self.hop_us(server);
-        let seen = self.seen.entry(class).or_default();
-        seen.attempts += 1;
-        let at_gate = Event::AtGate {
+        let outcomes = self.outcomes.entry(class).or_default();
+        outcomes.attempts += 1;
+        let reaches_gate = Event::ReachesGate {
             call: number,
             attempt,
             server,
         };
-        self.at(self.now_us + hop_us, at_gate);
+        self.at(self.now_us + hop_us, reaches_gate);
         self.at(
             timeout_us,
             Event::Timeout {
@@ -390,30 +391,34 @@
         );
     }
 
-    fn at_gate(&mut self, number: usize, attempt: u32, server: usize) {
-        if self.policy == Policy::Plain {
+    fn reaches_gate(&mut self, number: usize, attempt: u32, server: usize) {
+        if self.policy == Policy::Baseline {
             // Nobody tells it that the attempt has been given up.
-            self.gates[server].plain.push_back((number, attempt));
-            return self.settle(server);
+            self.gates[server]
+                .baseline_queue
+                .push_back((number, attempt));
+            return self.start_queued(server);
         }
         if !self.is_current(number, attempt) {
             return;
         }
         let call = &self.calls[number];
         let mut ask = call.stream.ask(call.began_us);
-        if call.looking {
+        if call.checking_slot {
             ask.patience_us = 0;
         }
         let wake = || (number, attempt);
-        let admitted = self.gates[server].ours.admit(self.now_us, &ask, wake);
+        let admitted = self.gates[server]
+            .product_admission
+            .admit(self.now_us, &ask, wake);
         match admitted {
             Admitted::Slot => self.start(number, attempt, server),
             Admitted::Queued(ticket) => {
-                self.calls[number].at = Some((server, Where::Waiting(ticket)));
+                self.calls[number].at = Some((server, AttemptState::Waiting(ticket)));
             }
             Admitted::Refused(_) => self.reply(number, attempt, server, Answer::Refused),
         }
-        self.settle(server);
+        self.start_queued(server);
     }
 
     fn start(&mut self, call: usize, attempt: u32, server: usize) {
@@ -423,13 +428,13 @@
         } else {
             1
         };
-        let work_us = match behaviour.fails {
+        let work_us = match behaviour.always_fails {
             true => 100,
-            false => self.calls[call].stream.work_us * behaviour.slowness * cold,
+            false => self.calls[call].stream.work_us * behaviour.work_factor * cold,
         };
         if self.is_current(call, attempt) {
             let since_us = self.now_us;
-            self.calls[call].at = Some((server, Where::Running { since_us }));
+            self.calls[call].at = Some((server, AttemptState::Running { since_us }));
         }
         let done = Event::Done {
             call,
@@ -440,19 +445,19 @@
     }
 
     fn done(&mut self, call: usize, attempt: u32, server: usize) {
-        if self.policy == Policy::Plain {
-            self.gates[server].plain_running -= 1;
+        if self.policy == Policy::Baseline {
+            self.gates[server].baseline_running -= 1;
         } else if !self.is_current(call, attempt) {
             return;
         } else {
             self.release(call, true);
         }
-        let answer = match self.scenario.servers[server].fails {
+        let answer = match self.scenario.servers[server].always_fails {
             true => Answer::Error,
-            false => Answer::Good,
+            false => Answer::Success,
         };
         self.reply(call, attempt, server, answer);
-        self.settle(server);
+        self.start_queued(server);
     }
 
     /// Gives back whatever a call holds at its gate.
@@ -461,13 +466,13 @@
         let Some((server, place)) = call.at.take() else {
             return;
         };
-        let gate = &mut self.gates[server].ours;
+        let gate = &mut self.gates[server].product_admission;
         match place {
-            Where::UnderWay => (),
-            Where::Waiting(ticket) => {
+            AttemptState::UnderWay => (),
+            AttemptState::Waiting(ticket) => {
                 gate.cancel(ticket);
             }
-            Where::Running { since_us } => {
+            AttemptState::Running { since_us } => {
                 let released = Released {
                     class: call.stream.class,
                     resource: &resource(call.stream.class),
@@ -490,16 +495,17 @@
     }
 
     fn hop_us(&self, server: usize) -> u64 {
-        match self.scenario.servers[server].far {
-            true => FAR_HOP_US,
+        match self.scenario.servers[server].is_remote {
+            true => REMOTE_HOP_US,
             false => HOP_US,
         }
     }
 
-    fn settle(&mut self, server: usize) {
+    fn start_queued(&mut self, server: usize) {
         match self.policy {
-            Policy::Ours => {
-                while let Some(((call, attempt), turn)) = self.gates[server].ours.next(self.now_us)
+            Policy::Product => {
+                while let Some(((call, attempt), turn)) =
+                    self.gates[server].product_admission.next(self.now_us)
                 {
                     match turn {
                         Turn::Slot => self.start(call, attempt, server),
@@ -510,12 +516,13 @@
                     }
                 }
             }
-            Policy::Plain => {
-                while self.gates[server].plain_running < self.scenario.slots {
-                    let Some((call, attempt)) = self.gates[server].plain.pop_front() else {
+            Policy::Baseline => {
+                while self.gates[server].baseline_running < self.scenario.slots {
+                    let Some((call, attempt)) = self.gates[server].baseline_queue.pop_front()
+                    else {
                         return;
                     };
-                    self.gates[server].plain_running += 1;
+                    self.gates[server].baseline_running += 1;
                     self.start(call, attempt, server);
                 }
             }
@@ -527,27 +534,27 @@
         let latency_us = self.now_us - call.began_us;
         let observed = match answer {
             Answer::Refused => Observed::Refused,
-            Answer::Good | Answer::Error => Observed::Answered {
+            Answer::Success | Answer::Error => Observed::Answered {
                 server_error: answer == Answer::Error,
             },
         };
         let target_us = call.stream.target_us;
-        let far = self.scenario.servers[server].far;
+        let is_remote = self.scenario.servers[server].is_remote;
         self.observe(number, server, observed);
-        let seen = self
-            .seen
+        let outcomes = self
+            .outcomes
             .entry(self.calls[number].stream.class)
             .or_default();
         match answer {
-            Answer::Good => {
-                seen.good += 1;
-                seen.far += u64::from(far);
-                seen.on_time += u64::from(latency_us <= target_us);
-                seen.latencies_us.push(latency_us);
+            Answer::Success => {
+                outcomes.succeeded += 1;
+                outcomes.served_remotely += u64::from(is_remote);
+                outcomes.on_time += u64::from(latency_us <= target_us);
+                outcomes.latencies_us.push(latency_us);
                 self.calls[number].ended = true;
             }
             Answer::Error => {
-                seen.errors += 1;
+                outcomes.errors += 1;
                 self.calls[number].ended = true;
             }
             Answer::Refused => self.failed(number, server, Failed::NotRun),
@@ -556,19 +563,19 @@
 
     fn timeout(&mut self, number: usize) {
         let at = self.calls[number].at;
-        if self.policy == Policy::Ours {
+        if self.policy == Policy::Product {
             self.release(number, false);
             if let Some((server, _)) = at {
-                self.settle(server);
+                self.start_queued(server);
                 self.observe(number, server, Observed::Lost);
             }
         }
         let call = &mut self.calls[number];
         let late = self.now_us >= call.began_us + call.stream.timeout_us;
-        if late || self.policy == Policy::Ours || call.attempt >= 3 {
+        if late || self.policy == Policy::Product || call.attempt >= 3 {
             call.ended = true;
             let class = call.stream.class;
-            self.seen.entry(class).or_default().timed_out += 1;
+            self.outcomes.entry(class).or_default().timed_out += 1;
         } else {
             self.attempt(number);
         }
@@ -580,7 +587,7 @@
         entry.balancer.observed(self.now_us, node, observed);
         entry.balancer.ended(node);
         let ask = self.calls[call].stream.ask(self.now_us);
-        let gate = &self.gates[server].ours;
+        let gate = &self.gates[server].product_admission;
         let resource = resource(ask.class);
         // A price list.
         entry.balancer.answered(&resource, 5_000);
@@ -591,7 +598,7 @@
     fn failed(&mut self, number: usize, server: usize, failed: Failed) {
         let call = &mut self.calls[number];
         call.at = None;
-        if call.looking {
+        if call.checking_slot {
             call.search.busy(node(server as u16 + 1));
             return self.attempt(number);
         }
@@ -602,7 +609,7 @@
         } else {
             call.ended = true;
             let class = call.stream.class;
-            self.seen.entry(class).or_default().refused += 1;
+            self.outcomes.entry(class).or_default().refused += 1;
         }
     }
 }
--- a/tests/testsuite/spread_decisions.rs
+++ b/tests/testsuite/spread_decisions.rs
@@ -8,7 +8,7 @@
 use dragonflywall::core::names::TeamName;
 use dragonflywall::core::version::{Digest, Stamp, Version};
 use dragonflywall::distribution::fetch::Peer;
-use dragonflywall::distribution::floor::Origin;
+use dragonflywall::distribution::floor::VersionSource;
 use dragonflywall::distribution::{Content, Fetch, Fetcher, Floor, Holder, Source};
 
 use crate::spread_network::stamp;
@@ -26,30 +26,30 @@
 }
 
 /// Moment at which the fetcher first goes to the store, asked every 10 ms; `None` within 20 s.
-fn goes_to_store(fetcher: &mut Fetcher) -> Option<u64> {
+fn first_fetch_ms(fetcher: &mut Fetcher) -> Option<u64> {
     (0..20_000)
         .step_by(10)
-        .find(|now_ms| fetcher.next(*now_ms, Version::NONE).is_some())
+        .find(|now_ms| fetcher.next_fetch(*now_ms, Version::NONE).is_some())
 }
 
 /// 520 nodes are told of a version that no peer holds yet. Only the gateway may go to the store at
 /// once; the others must leave it alone for long enough that the content reaches them, and must
 /// not come all together if it does not.
 #[test]
-fn herd_that_hears_of_a_head_leaves_the_store_alone() {
-    let mut moments = Vec::new();
+fn only_the_gateway_reads_the_store_at_once() {
+    let mut fetch_times_ms = Vec::new();
     for number in 0..520 {
         let mut fetcher = Fetcher::new(node(number + 1));
         fetcher.set_gateway_rank((number == 0).then_some(0));
-        fetcher.heard(0, stamp(1));
-        moments.push(goes_to_store(&mut fetcher).expect("it goes in the end"));
+        fetcher.note_head(0, stamp(1));
+        fetch_times_ms.push(first_fetch_ms(&mut fetcher).expect("it goes in the end"));
     }
-    let (gateway, others) = moments.split_first().expect("520 nodes");
+    let (gateway, others) = fetch_times_ms.split_first().expect("520 nodes");
     assert!(*gateway <= 200, "{gateway}");
-    assert!(others.iter().all(|moment| *moment >= 2_000));
+    assert!(others.iter().all(|fetch_ms| *fetch_ms >= 2_000));
     let mut by_second: BTreeMap<u64, u32> = BTreeMap::new();
-    for moment in others {
-        *by_second.entry(moment / 1_000).or_default() += 1;
+    for fetch_ms in others {
+        *by_second.entry(fetch_ms / 1_000).or_default() += 1;
     }
     // Each goes with a handful of reads; two thousand a second are allowed.
     assert!(
@@ -61,75 +61,89 @@
 /// A peer refuses at once, again and again, as one that restarts. The node must neither hammer it
 /// nor wait for it for ever.
 #[test]
-fn failed_fetches_are_tried_ever_more_slowly() {
+fn failed_fetches_back_off() {
     let mut fetcher = Fetcher::new(node(1));
-    let mut tries = 0;
+    let mut attempts = 0;
     for now_ms in 0..60_000 {
         // The peer goes on announcing, so there is always somebody to ask.
-        fetcher.held_by(now_ms, stamp(1), peer(2, Distance::DataCentre));
-        if let Some(fetch) = fetcher.next(now_ms, Version::NONE) {
-            tries += 1;
-            fetcher.done(now_ms, &fetch, false);
+        fetcher.note_holder(now_ms, stamp(1), peer(2, Distance::DataCentre));
+        if let Some(fetch) = fetcher.next_fetch(now_ms, Version::NONE) {
+            attempts += 1;
+            fetcher.fetch_ended(now_ms, &fetch, false);
         }
     }
-    assert!((8..=30).contains(&tries), "{tries} tries in a minute");
+    assert!((8..=30).contains(&attempts), "{attempts} tries in a minute");
 }
 
 /// Guards against a fetch that waits anew with each version that is announced meanwhile.
 #[test]
 fn newer_versions_do_not_postpone_a_fetch() {
-    const HOLD_MS: u64 = 300;
-    const GAP_MS: u64 = 140;
-    let mut fetcher = Fetcher::followed(node(1), HOLD_MS);
-    let announced = (0..50).map(|number| (number * GAP_MS, stamp(number + 1)));
+    const PEER_FETCH_DELAY_MS: u64 = 300;
+    const VERSION_GAP_MS: u64 = 140;
+    let mut fetcher = Fetcher::for_follower(node(1), PEER_FETCH_DELAY_MS);
+    let announced = (0..50).map(|number| (number * VERSION_GAP_MS, stamp(number + 1)));
     let fetched_ms = announced.into_iter().find_map(|(now_ms, stamp)| {
-        fetcher.held_by(now_ms, stamp, peer(2, Distance::DataCentre));
-        let until_next = now_ms..now_ms + GAP_MS;
+        fetcher.note_holder(now_ms, stamp, peer(2, Distance::DataCentre));
+        let until_next = now_ms..now_ms + VERSION_GAP_MS;
         until_next
             .into_iter()
-            .find(|at_ms| fetcher.next(*at_ms, Version::NONE).is_some())
+            .find(|at_ms| fetcher.next_fetch(*at_ms, Version::NONE).is_some())
     });
-    assert_eq!(fetched_ms, Some(HOLD_MS));
+    assert_eq!(fetched_ms, Some(PEER_FETCH_DELAY_MS));
 }
 
 /// Guards against versions that are each held back for a lead that has not told of the ones before.
 #[test]
-fn a_lead_that_is_late_is_not_waited_for_again_until_it_is_in_time() {
-    const HOLD_MS: u64 = 300;
+fn peers_are_asked_at_once_while_the_lead_is_late() {
+    const PEER_FETCH_DELAY_MS: u64 = 300;
     let near = peer(2, Distance::DataCentre);
-    let mut fetcher = Fetcher::followed(node(1), HOLD_MS);
-    fetcher.held_by(0, stamp(1), near);
-    assert_eq!(fetcher.next(HOLD_MS - 1, Version::NONE), None);
-    let fetch = fetcher.next(HOLD_MS, Version::NONE).expect("it has waited");
-    fetcher.done(HOLD_MS, &fetch, true);
-    fetcher.held_by(400, stamp(2), near);
-    let fetch = fetcher.next(400, Version(1)).expect("the lead is late");
-    fetcher.done(405, &fetch, true);
-    fetcher.source_told(410, Version(2));
-    fetcher.held_by(500, stamp(3), near);
-    assert_eq!(fetcher.next(500, Version(2)), None, "the lead told in time");
-    assert_eq!(fetcher.wake_at(Version(2)), Some(500 + HOLD_MS));
+    let mut fetcher = Fetcher::for_follower(node(1), PEER_FETCH_DELAY_MS);
+    fetcher.note_holder(0, stamp(1), near);
+    assert_eq!(
+        fetcher.next_fetch(PEER_FETCH_DELAY_MS - 1, Version::NONE),
+        None
+    );
+    let fetch = fetcher
+        .next_fetch(PEER_FETCH_DELAY_MS, Version::NONE)
+        .expect("it has waited");
+    fetcher.fetch_ended(PEER_FETCH_DELAY_MS, &fetch, true);
+    fetcher.note_holder(400, stamp(2), near);
+    let fetch = fetcher
+        .next_fetch(400, Version(1))
+        .expect("the lead is late");
+    fetcher.fetch_ended(405, &fetch, true);
+    fetcher.source_reported(410, Version(2));
+    fetcher.note_holder(500, stamp(3), near);
+    assert_eq!(
+        fetcher.next_fetch(500, Version(2)),
+        None,
+        "the lead told in time"
+    );
+    assert_eq!(
+        fetcher.next_fetch_at_ms(Version(2)),
+        Some(500 + PEER_FETCH_DELAY_MS)
+    );
 }
 
 /// Guards against reads of the store that each version that gossip tells of starts anew.
 #[test]
-fn a_follower_fetches_from_peers_alone() {
-    let mut fetcher = Fetcher::followed(node(1), 300);
+fn a_follower_never_fetches_from_the_store() {
+    let mut fetcher = Fetcher::for_follower(node(1), 300);
     fetcher.set_gateway_rank(Some(0));
-    fetcher.heard(0, stamp(1));
-    assert_eq!(goes_to_store(&mut fetcher), None);
-    assert_eq!(fetcher.wake_at(Version::NONE), None);
+    fetcher.note_head(0, stamp(1));
+    assert_eq!(first_fetch_ms(&mut fetcher), None);
+    assert_eq!(fetcher.next_fetch_at_ms(Version::NONE), None);
 }
 
 /// The region's gateway hears of a version from the store's side and from across the link; the
 /// region's other nodes hear it too. Content crosses the link once, whoever holds it nearer.
 #[test]
 fn only_the_gateway_fetches_across_the_link() {
-    let across = peer(9, Distance::Mesh);
+    let remote = peer(9, Distance::Mesh);
     let mut gateway = Fetcher::new(node(1));
     gateway.set_gateway_rank(Some(0));
-    gateway.held_by(0, stamp(1), across);
-    let fetch = gateway.next(0, Version::NONE).expect("at once");
+    gateway.note_holder(0, stamp(1), remote);
+    let fetch = gateway.next_fetch(0, Version::NONE).expect("at once");
     assert!(matches!(
         fetch.source,
         Source::Peer {
@@ -139,10 +153,10 @@
     ));
 
     let mut other = Fetcher::new(node(2));
-    other.held_by(0, stamp(1), across);
-    assert_eq!(other.next(1_000, Version::NONE), None);
-    other.held_by(1_000, stamp(1), peer(1, Distance::DataCentre));
-    let fetch = other.next(1_000, Version::NONE);
+    other.note_holder(0, stamp(1), remote);
+    assert_eq!(other.next_fetch(1_000, Version::NONE), None);
+    other.note_holder(1_000, stamp(1), peer(1, Distance::DataCentre));
+    let fetch = other.next_fetch(1_000, Version::NONE);
     let near =
         |fetch: &Fetch| matches!(fetch.source, Source::Peer { node: from, .. } if from == node(1));
     assert!(fetch.as_ref().is_some_and(near), "{fetch:?}");
@@ -151,23 +165,23 @@
 /// The store is down while a version is announced, so the gateway's tries are seconds apart. When a
 /// neighbour turns out to hold the version, the gateway fetches it there at once.
 #[test]
-fn content_that_turns_up_near_is_not_waited_for() {
+fn a_holder_in_the_region_ends_the_backoff() {
     let mut fetcher = Fetcher::new(node(1));
     fetcher.set_gateway_rank(Some(0));
-    fetcher.heard(0, stamp(1));
+    fetcher.note_head(0, stamp(1));
     let mut now_ms = 0;
     for _ in 0..12 {
-        let at_ms = (now_ms..).find(|at_ms| fetcher.next(*at_ms, Version::NONE).is_some());
+        let at_ms = (now_ms..).find(|at_ms| fetcher.next_fetch(*at_ms, Version::NONE).is_some());
         now_ms = at_ms.expect("it tries again");
         let fetch = Fetch {
-            want: stamp(1),
+            wanted: stamp(1),
             source: Source::Store,
         };
-        fetcher.done(now_ms, &fetch, false);
+        fetcher.fetch_ended(now_ms, &fetch, false);
     }
-    assert_eq!(fetcher.next(now_ms + 1_000, Version::NONE), None);
-    fetcher.held_by(now_ms + 1_000, stamp(1), peer(2, Distance::Region));
-    assert!(fetcher.next(now_ms + 1_000, Version::NONE).is_some());
+    assert_eq!(fetcher.next_fetch(now_ms + 1_000, Version::NONE), None);
+    fetcher.note_holder(now_ms + 1_000, stamp(1), peer(2, Distance::Region));
+    assert!(fetcher.next_fetch(now_ms + 1_000, Version::NONE).is_some());
 }
 
 fn team(name: &str) -> (TeamName, TeamRecord) {
@@ -181,7 +195,7 @@
 }
 
 /// Names that do not compress, so that a whole is longer than a few differences.
-fn name(number: u64) -> String {
+fn incompressible_name(number: u64) -> String {
     let digest = Digest::of(&number.to_be_bytes());
     format!("team-{digest}")
 }
@@ -190,7 +204,7 @@
 fn history(count: u64) -> Vec<Configuration> {
     let version = |number: u64| Configuration {
         version: Version(number),
-        teams: (0..number).map(|n| team(&name(n))).collect(),
+        teams: (0..number).map(|n| team(&incompressible_name(n))).collect(),
     };
     (1..=count).map(version).collect()
 }
@@ -247,14 +261,14 @@
 /// A restarted node is cut off from the platform. Peers that restarted with it know nothing, and
 /// peers of other data centres were not told before it enforced: neither may settle its floor.
 #[test]
-fn floor_waits_for_peers_that_can_know() {
-    let mut floor = Floor::new(0, Origin::Witnessed);
-    floor.answered(node(2), Distance::DataCentre, Version::NONE, Version::NONE);
+fn floor_does_not_count_peers_without_a_record() {
+    let mut floor = Floor::new(0, VersionSource::Acknowledged);
+    floor.record_answer(node(2), Distance::DataCentre, Version::NONE, Version::NONE);
     for number in 3..9 {
-        floor.answered(node(number), Distance::Mesh, Version::NONE, Version(4));
+        floor.record_answer(node(number), Distance::Mesh, Version::NONE, Version(4));
     }
     assert!(!floor.is_settled(600_000));
-    floor.answered(node(9), Distance::DataCentre, Version(7), Version(6));
+    floor.record_answer(node(9), Distance::DataCentre, Version(7), Version(6));
     assert!(floor.is_settled(600_000));
     assert_eq!(floor.version(), Version(7));
 }
@@ -263,14 +277,14 @@
 /// heard. The platform is away, and its successor hears the others first: they know of 4 only. It
 /// must wait for the one that knows, for as long as that one may still answer.
 #[test]
-fn floor_waits_for_every_peer_that_may_be_the_witness() {
-    let mut floor = Floor::new(0, Origin::Witnessed);
-    (2..6).for_each(|number| floor.asked(node(number)));
+fn floor_waits_for_every_asked_peer() {
+    let mut floor = Floor::new(0, VersionSource::Acknowledged);
+    (2..6).for_each(|number| floor.record_asked(node(number)));
     for number in 2..5 {
-        floor.answered(node(number), Distance::DataCentre, Version(4), Version(4));
+        floor.record_answer(node(number), Distance::DataCentre, Version(4), Version(4));
     }
     assert!(!floor.is_settled(1_000));
-    floor.answered(node(5), Distance::DataCentre, Version(5), Version(4));
+    floor.record_answer(node(5), Distance::DataCentre, Version(5), Version(4));
     assert!(floor.is_settled(1_000));
     assert_eq!(floor.version(), Version(5));
 }
@@ -279,30 +293,30 @@
 /// whose other nodes are all down. Peers elsewhere follow the store as well: what they enforce is as new
 /// as anything known there, and the node need not wait for the dead.
 #[test]
-fn a_follower_does_with_any_peer_after_a_second() {
-    let mut floor = Floor::new(0, Origin::Followed);
-    floor.asked(node(2));
-    floor.answered(node(9), Distance::Mesh, Version(3), Version(4));
+fn a_follower_accepts_any_peer_after_a_second() {
+    let mut floor = Floor::new(0, VersionSource::Followed);
+    floor.record_asked(node(2));
+    floor.record_answer(node(9), Distance::Mesh, Version(3), Version(4));
     assert!(!floor.is_settled(900), "the one asked may still answer");
     assert!(floor.is_settled(1_000));
     assert_eq!(floor.version(), Version(4));
-    let mut alone = Floor::new(0, Origin::Followed);
+    let mut alone = Floor::new(0, VersionSource::Followed);
     assert!(!alone.is_settled(600_000), "without any answer it waits");
 }
 
 /// The head is at or above whatever anybody has applied, so having read it is enough.
 #[test]
 fn head_settles_the_floor_at_once() {
-    let mut floor = Floor::new(0, Origin::Witnessed);
+    let mut floor = Floor::new(0, VersionSource::Acknowledged);
     assert!(!floor.is_settled(0));
-    floor.head_read(Version(5));
+    floor.record_head(Version(5));
     assert!(floor.is_settled(0));
     assert_eq!(floor.version(), Version(5));
 }
 
 /// A configuration large enough that a difference is shorter than the whole; its versions differ in
 /// nothing but their number, as when operators write the same again and again.
-fn alike(version: u64) -> Configuration {
+fn identical_configuration(version: u64) -> Configuration {
     let team = |number: u64| {
         let name = TeamName::new(format!("team-{number}"));
         let team = TeamRecord {
@@ -324,16 +338,20 @@
 /// the first leads back to 2: a peer that then asks for what is newer than 1 sends the node round in
 /// circles for ever, and with it all of its requests.
 #[test]
-fn differences_that_lead_back_are_refused() {
+fn chain_with_a_step_to_an_older_version_is_refused() {
     let mut source = Holder::default();
     for version in 1..=4 {
-        source.prepare_whole(alike(version)).expect("it closes");
+        source
+            .prepare_configuration(identical_configuration(version))
+            .expect("it closes");
     }
     let (newest, chain) = source.content_for(Version(1)).expect("it is newer");
     assert!(matches!(chain, Content::Chain(_)), "{chain:?}");
     let mut holder = Holder::default();
     for version in 1..=3 {
-        holder.prepare_whole(alike(version)).expect("it closes");
+        holder
+            .prepare_configuration(identical_configuration(version))
+            .expect("it closes");
     }
     holder.prepare(newest, &chain).expect_err("it leads back");
     assert_eq!(holder.held().version, Version(3));
