--- a/tests/testsuite/spread_deployment.rs
+++ b/tests/testsuite/spread_deployment.rs
@@ -10,35 +10,37 @@
 use dragonflywall::core::member::{Distance, NodeId};
 use dragonflywall::core::version::Version;
 use dragonflywall::distribution::fetch::Peer;
-use dragonflywall::distribution::lead_choice::{Ask, LeadChoice, LeadState, Leads, StoreFailure};
-use dragonflywall::distribution::{Budget, Fetch, Fetcher, Source};
-use dragonflywall::membership::link::NEWS_PAUSE_MS;
+use dragonflywall::distribution::lead_choice::{
+    LeadChoice, LeadState, Leads, NextRead, StoreFailure,
+};
+use dragonflywall::distribution::{ApplyBudget, Fetch, Fetcher, Source};
+use dragonflywall::membership::link::MIN_UPDATE_INTERVAL_MS;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 use crate::spread_network::stamp;
 
-const BUDGET: Budget = Budget::new(2_500);
+const BUDGET: ApplyBudget = ApplyBudget::new(2_500);
 const LEADS: usize = 3;
 /// Answers of the store, without the way there.
-const STORE_MS: u64 = 4;
+const STORE_LATENCY_MS: u64 = 4;
 
 /// What the store does to one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Trouble {
+pub(crate) enum StoreFault {
     #[default]
     None,
     /// Every call is refused.
     Refused,
     /// No call is answered.
-    Silent,
+    Unanswered,
     /// The connections of now are never answered, new ones are.
-    OldConnections,
+    OldConnectionsUnanswered,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    Store(Trouble),
+    Store(StoreFault),
     /// The process is gone, and stays so.
     Killed,
 }
@@ -47,41 +49,41 @@
 enum Event {
     Step(usize),
     Accept,
-    Due(u64),
+    Deadline(u64),
     Fault(usize),
     FaultEnds(usize),
     StoreAnswers {
-        at: usize,
-        asked: u64,
+        index: usize,
+        request_id: u64,
         version: Option<u64>,
     },
     StoreFails {
-        at: usize,
-        asked: u64,
-        silent: bool,
+        index: usize,
+        request_id: u64,
+        timed_out: bool,
     },
-    Asked {
+    LeadAsked {
         lead: usize,
         by: usize,
-        asked: u64,
+        request_id: u64,
         have: u64,
         until_ms: u64,
     },
     WaitEnds {
         lead: usize,
-        asked: u64,
+        request_id: u64,
     },
     LeadAnswers {
-        at: usize,
-        asked: u64,
+        index: usize,
+        request_id: u64,
         lead: usize,
         held: u64,
         age_ms: u64,
-        blind: bool,
+        store_failing: bool,
     },
-    LeadSilent {
-        at: usize,
-        asked: u64,
+    LeadFailed {
+        index: usize,
+        request_id: u64,
         lead: usize,
     },
     Gossip {
@@ -91,29 +93,29 @@
         held: u64,
     },
     Fetched {
-        at: usize,
+        index: usize,
         number: u64,
         held: Option<u64>,
     },
-    Wake(usize),
+    FetchDue(usize),
 }
 
 struct Waiter {
     by: usize,
-    asked: u64,
+    request_id: u64,
     have: u64,
 }
 
 struct Process {
     up: bool,
-    trouble: Trouble,
-    choice: LeadChoice,
+    store_fault: StoreFault,
+    lead_choice: LeadChoice,
     fetcher: Fetcher,
     fetching: Option<(u64, Fetch)>,
     held: u64,
     head: u64,
     /// Numbers what it asks of a lead or the store; answers to earlier questions are void.
-    asked: u64,
+    request_id: u64,
     /// A read of the store is under way since then.
     reading_since_ms: Option<u64>,
     store_read_ms: u64,
@@ -135,8 +137,8 @@
     rng: StdRng,
 }
 
-fn node(at: usize) -> NodeId {
-    let port = u16::try_from(at + 1).expect("few nodes");
+fn node(index: usize) -> NodeId {
+    let port = u16::try_from(index + 1).expect("few nodes");
     NodeId(SocketAddr::from((Ipv4Addr::new(10, 0, 0, 1), port)))
 }
 
@@ -164,47 +166,47 @@
             sequence: 0,
             rng: StdRng::seed_from_u64(seed),
         };
-        for at in 0..data_centres * per_data_centre {
-            deployment.processes.push(deployment.process(at));
-            deployment.after(0, Event::Step(at));
+        for index in 0..data_centres * per_data_centre {
+            deployment.processes.push(deployment.process(index));
+            deployment.after(0, Event::Step(index));
         }
         deployment.after(1_000, Event::Accept);
         deployment
     }
 
-    fn process(&self, at: usize) -> Process {
+    fn process(&self, index: usize) -> Process {
         let mut process = Process {
             up: true,
-            trouble: Trouble::None,
-            choice: LeadChoice::default(),
-            fetcher: Fetcher::followed(node(at), BUDGET.hold_ms()),
+            store_fault: StoreFault::None,
+            lead_choice: LeadChoice::default(),
+            fetcher: Fetcher::for_follower(node(index), BUDGET.peer_fetch_delay_ms()),
             fetching: None,
             held: 1,
             head: 1,
-            asked: 0,
+            request_id: 0,
             reading_since_ms: None,
             store_read_ms: self.now_ms,
             waiters: Vec::new(),
         };
-        process.choice.store_answered();
-        if self.is_first_of_region(at) {
-            let rank = gateway_rank(at % self.per_data_centre);
+        process.lead_choice.store_answered();
+        if self.is_in_first_data_centre_of_region(index) {
+            let rank = gateway_rank(index % self.per_data_centre);
             process.fetcher.set_gateway_rank(rank);
         }
         process
     }
 
-    fn place(&self, at: usize) -> usize {
-        at / self.per_data_centre
+    fn data_centre_of(&self, index: usize) -> usize {
+        index / self.per_data_centre
     }
 
-    fn is_first_of_region(&self, at: usize) -> bool {
-        self.place(at).is_multiple_of(2)
+    fn is_in_first_data_centre_of_region(&self, index: usize) -> bool {
+        self.data_centre_of(index).is_multiple_of(2)
     }
 
     /// Two data centres form a region.
     fn distance(&self, one: usize, other: usize) -> Distance {
-        let (one, other) = (self.place(one), self.place(other));
+        let (one, other) = (self.data_centre_of(one), self.data_centre_of(other));
         match (one == other, one / 2 == other / 2) {
             (true, _) => Distance::DataCentre,
             (_, true) => Distance::Region,
@@ -220,46 +222,46 @@
     }
 
     /// The store stands in the first region.
-    fn store_ms(&self, at: usize) -> u64 {
-        STORE_MS + 2 * self.latency_ms(0, at)
+    fn store_latency_ms(&self, index: usize) -> u64 {
+        STORE_LATENCY_MS + 2 * self.latency_ms(0, index)
     }
 
-    fn peer(&self, from: usize, at: usize) -> Peer {
+    fn peer(&self, from: usize, index: usize) -> Peer {
         Peer {
-            node: node(at),
-            address: node(at).0,
-            distance: self.distance(from, at),
+            node: node(index),
+            address: node(index).0,
+            distance: self.distance(from, index),
         }
     }
 
     /// All of the data centre, two bridges to the other one of the region, and two pairs between regions.
-    fn neighbours(&self, at: usize) -> Vec<usize> {
+    fn neighbours(&self, index: usize) -> Vec<usize> {
         let is_neighbour = |other: &usize| {
-            let rank = (at % self.per_data_centre, other % self.per_data_centre);
-            match self.distance(at, *other) {
-                Distance::DataCentre => *other != at,
+            let rank = (index % self.per_data_centre, other % self.per_data_centre);
+            match self.distance(index, *other) {
+                Distance::DataCentre => *other != index,
                 Distance::Region => rank.0 == rank.1 && rank.0 < 2,
                 Distance::Mesh => {
                     gateway_rank(rank.0).is_some()
                         && rank.0 == rank.1
-                        && self.is_first_of_region(at)
-                        && self.is_first_of_region(*other)
+                        && self.is_in_first_data_centre_of_region(index)
+                        && self.is_in_first_data_centre_of_region(*other)
                 }
             }
         };
         (0..self.processes.len()).filter(is_neighbour).collect()
     }
 
-    fn leads(&self, at: usize) -> Leads {
-        let first = self.place(at) * self.per_data_centre;
+    fn leads(&self, index: usize) -> Leads {
+        let first = self.data_centre_of(index) * self.per_data_centre;
         let alive = (first..first + self.per_data_centre).filter(|other| self.processes[*other].up);
         let ranked: Vec<usize> = alive.take(LEADS).collect();
-        let own = ranked.iter().position(|lead| *lead == at);
+        let own = ranked.iter().position(|lead| *lead == index);
         let before = &ranked[..own.unwrap_or(ranked.len())];
         Leads {
-            before: before.iter().map(|lead| self.peer(at, *lead)).collect(),
-            own: own.is_some(),
-            alone: self.data_centres == 1,
+            higher_ranked: before.iter().map(|lead| self.peer(index, *lead)).collect(),
+            is_lead: own.is_some(),
+            is_only_data_centre: self.data_centres == 1,
         }
     }
 
@@ -270,9 +272,9 @@
     }
 
     /// Lets `fault` strike `at` after a time, for a time.
-    pub(crate) fn strike(&mut self, after_ms: u64, for_ms: u64, at: usize, fault: Fault) {
+    pub(crate) fn inject(&mut self, after_ms: u64, for_ms: u64, index: usize, fault: Fault) {
         let number = self.faults.len();
-        self.faults.push((at, fault));
+        self.faults.push((index, fault));
         self.after(after_ms, Event::Fault(number));
         self.after(after_ms + for_ms, Event::FaultEnds(number));
     }
@@ -286,10 +288,10 @@
                 break;
             }
             match event {
-                Event::Due(version) => {
+                Event::Deadline(version) => {
                     let behind = self.processes.iter().enumerate();
                     let behind = behind.filter(|(_, node)| node.up && node.held < version);
-                    late.extend(behind.map(|(at, _)| (version, at)));
+                    late.extend(behind.map(|(index, _)| (version, index)));
                 }
                 event => self.handle(event),
             }
@@ -299,46 +301,68 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Due(_) => (),
-            Event::Step(at) => self.step(at),
+            Event::Deadline(_) => (),
+            Event::Step(index) => self.step(index),
             Event::Accept => self.accept(),
             Event::Fault(number) => self.fault(number),
             Event::FaultEnds(number) => self.fault_ends(number),
-            Event::StoreAnswers { at, asked, version } => self.store_answers(at, asked, version),
-            Event::StoreFails { at, asked, silent } => self.store_fails(at, asked, silent),
-            Event::Asked {
+            Event::StoreAnswers {
+                index,
+                request_id,
+                version,
+            } => self.store_answers(index, request_id, version),
+            Event::StoreFails {
+                index,
+                request_id,
+                timed_out,
+            } => self.store_fails(index, request_id, timed_out),
+            Event::LeadAsked {
                 lead,
                 by,
-                asked,
+                request_id,
                 have,
                 until_ms,
             } => {
-                self.lead_asked(lead, Waiter { by, asked, have }, until_ms);
+                self.lead_asked(
+                    lead,
+                    Waiter {
+                        by,
+                        request_id,
+                        have,
+                    },
+                    until_ms,
+                );
             }
-            Event::WaitEnds { lead, asked } => {
-                self.answer_waiters(lead, |waiter| waiter.asked == asked)
+            Event::WaitEnds { lead, request_id } => {
+                self.answer_waiters(lead, |waiter| waiter.request_id == request_id)
             }
             Event::LeadAnswers {
-                at,
-                asked,
+                index,
+                request_id,
                 lead,
                 held,
                 age_ms,
-                blind,
+                store_failing,
             } => {
-                if self.is_current(at, asked) {
+                if self.is_current(index, request_id) {
                     let state = LeadState {
                         store_age_ms: age_ms,
-                        blind,
+                        store_failing,
                     };
-                    self.lead_answers(at, lead, held, state);
+                    self.lead_answers(index, lead, held, state);
                 }
             }
-            Event::LeadSilent { at, asked, lead } => {
-                if self.is_current(at, asked) {
+            Event::LeadFailed {
+                index,
+                request_id,
+                lead,
+            } => {
+                if self.is_current(index, request_id) {
                     let now_ms = self.now_ms;
-                    self.processes[at].choice.lead_silent(now_ms, node(lead));
-                    self.step(at);
+                    self.processes[index]
+                        .lead_choice
+                        .lead_failed(now_ms, node(lead));
+                    self.step(index);
                 }
             }
             Event::Gossip {
@@ -347,88 +371,109 @@
                 head,
                 held,
             } => self.gossip(to, from, head, held),
-            Event::Fetched { at, number, held } => self.fetched(at, number, held),
-            Event::Wake(at) => self.fetch(at),
+            Event::Fetched {
+                index,
+                number,
+                held,
+            } => self.fetched(index, number, held),
+            Event::FetchDue(index) => self.fetch(index),
         }
     }
 
-    fn is_current(&self, at: usize, asked: u64) -> bool {
-        self.processes[at].up && self.processes[at].asked == asked
+    fn is_current(&self, index: usize, request_id: u64) -> bool {
+        self.processes[index].up && self.processes[index].request_id == request_id
     }
 
-    fn step(&mut self, at: usize) {
-        if !self.processes[at].up {
+    fn step(&mut self, index: usize) {
+        if !self.processes[index].up {
             return;
         }
-        let leads = self.leads(at);
+        let leads = self.leads(index);
         let now_ms = self.now_ms;
-        let process = &mut self.processes[at];
-        process.asked += 1;
+        let process = &mut self.processes[index];
+        process.request_id += 1;
         process.reading_since_ms = None;
-        let (asked, have) = (process.asked, process.held);
-        process.choice.set_leads(leads);
-        process.choice.note_held(now_ms, Version(have));
-        match process.choice.next(now_ms, BUDGET) {
-            Ask::Store => self.read_store(at, asked),
-            Ask::Lead {
+        let (request_id, have) = (process.request_id, process.held);
+        process.lead_choice.set_leads(leads);
+        process.lead_choice.note_held(now_ms, Version(have));
+        match process.lead_choice.next_read(now_ms, BUDGET) {
+            NextRead::Store => self.read_store(index, request_id),
+            NextRead::Lead {
                 lead,
                 wait_ms,
-                answer_ms,
+                answer_timeout_ms: answer_ms,
             } => {
                 let lead = position(lead.node);
-                let way_ms = self.latency_ms(at, lead);
+                let latency_ms = self.latency_ms(index, lead);
                 let until_ms = now_ms + wait_ms;
                 self.after(
-                    way_ms,
-                    Event::Asked {
+                    latency_ms,
+                    Event::LeadAsked {
                         lead,
-                        by: at,
-                        asked,
+                        by: index,
+                        request_id,
                         have,
                         until_ms,
                     },
                 );
-                self.after(wait_ms + answer_ms, Event::LeadSilent { at, asked, lead });
+                self.after(
+                    wait_ms + answer_ms,
+                    Event::LeadFailed {
+                        index,
+                        request_id,
+                        lead,
+                    },
+                );
             }
         }
     }
 
-    fn read_store(&mut self, at: usize, asked: u64) {
-        let way_ms = self.store_ms(at);
-        self.processes[at].reading_since_ms = Some(self.now_ms);
-        match self.processes[at].trouble {
-            Trouble::Refused => {
+    fn read_store(&mut self, index: usize, request_id: u64) {
+        let latency_ms = self.store_latency_ms(index);
+        self.processes[index].reading_since_ms = Some(self.now_ms);
+        match self.processes[index].store_fault {
+            StoreFault::Refused => {
                 self.after(
-                    way_ms,
+                    latency_ms,
                     Event::StoreFails {
-                        at,
-                        asked,
-                        silent: false,
+                        index,
+                        request_id,
+                        timed_out: false,
                     },
                 );
             }
-            Trouble::Silent => self.never_answered(at, asked),
-            Trouble::None | Trouble::OldConnections => {
-                let newer = self.accepted > self.processes[at].held;
+            StoreFault::Unanswered => self.store_times_out(index, request_id),
+            StoreFault::None | StoreFault::OldConnectionsUnanswered => {
+                let newer = self.accepted > self.processes[index].held;
                 let wait_ms = match newer {
                     true => 0,
-                    false => self.processes[at].choice.store_wait_ms(self.now_ms, BUDGET),
+                    false => self.processes[index]
+                        .lead_choice
+                        .store_wait_ms(self.now_ms, BUDGET),
                 };
                 let version = newer.then_some(self.accepted);
-                self.after(wait_ms + way_ms, Event::StoreAnswers { at, asked, version });
+                self.after(
+                    wait_ms + latency_ms,
+                    Event::StoreAnswers {
+                        index,
+                        request_id,
+                        version,
+                    },
+                );
             }
         }
     }
 
-    fn never_answered(&mut self, at: usize, asked: u64) {
-        let choice = &self.processes[at].choice;
-        let wait_ms = choice.store_wait_ms(self.now_ms, BUDGET) + choice.store_answer_ms(BUDGET);
+    fn store_times_out(&mut self, index: usize, request_id: u64) {
+        let lead_choice = &self.processes[index].lead_choice;
+        let wait_ms = lead_choice.store_wait_ms(self.now_ms, BUDGET)
+            + lead_choice.store_answer_timeout_ms(BUDGET);
         self.after(
             wait_ms,
             Event::StoreFails {
-                at,
-                asked,
-                silent: true,
+                index,
+                request_id,
+                timed_out: true,
             },
         );
     }
@@ -436,16 +481,20 @@
     fn accept(&mut self) {
         self.accepted += 1;
         let version = self.accepted;
-        self.after(BUDGET.apply_ms(), Event::Due(version));
-        for at in 0..self.processes.len() {
-            let process = &self.processes[at];
+        self.after(BUDGET.apply_ms(), Event::Deadline(version));
+        for index in 0..self.processes.len() {
+            let process = &self.processes[index];
             // A read that a silent connection hides is told nothing.
-            if process.reading_since_ms.is_some() && process.trouble == Trouble::None {
-                let asked = process.asked;
+            if process.reading_since_ms.is_some() && process.store_fault == StoreFault::None {
+                let request_id = process.request_id;
                 let version = Some(version);
                 self.after(
-                    self.store_ms(at) / 2,
-                    Event::StoreAnswers { at, asked, version },
+                    self.store_latency_ms(index) / 2,
+                    Event::StoreAnswers {
+                        index,
+                        request_id,
+                        version,
+                    },
                 );
             }
         }
@@ -456,99 +505,114 @@
     }
 
     fn fault(&mut self, number: usize) {
-        let (at, fault) = self.faults[number];
-        let asked = self.processes[at].asked;
-        let reads = self.processes[at].reading_since_ms.is_some();
+        let (index, fault) = self.faults[number];
+        let request_id = self.processes[index].request_id;
+        let reads = self.processes[index].reading_since_ms.is_some();
         match fault {
-            Fault::Killed => self.kill(at),
-            Fault::Store(trouble) => {
-                self.processes[at].trouble = trouble;
+            Fault::Killed => self.kill(index),
+            Fault::Store(store_fault) => {
+                self.processes[index].store_fault = store_fault;
                 if reads {
                     // Answers of before are void; the read ends as the trouble has it.
-                    self.processes[at].asked += 1;
-                    match trouble {
-                        Trouble::Refused => {
+                    self.processes[index].request_id += 1;
+                    match store_fault {
+                        StoreFault::Refused => {
                             self.after(
                                 1,
                                 Event::StoreFails {
-                                    at,
-                                    asked: asked + 1,
-                                    silent: false,
+                                    index,
+                                    request_id: request_id + 1,
+                                    timed_out: false,
                                 },
                             );
                         }
-                        _ => self.never_answered(at, asked + 1),
+                        _ => self.store_times_out(index, request_id + 1),
                     }
                 }
             }
         }
     }
 
-    fn kill(&mut self, at: usize) {
-        self.processes[at].up = false;
+    fn kill(&mut self, index: usize) {
+        self.processes[index].up = false;
         // A connection that is closed shows at once.
-        for waiter in std::mem::take(&mut self.processes[at].waiters) {
-            let (at, asked, lead) = (waiter.by, waiter.asked, at);
-            self.after(1, Event::LeadSilent { at, asked, lead });
+        for waiter in std::mem::take(&mut self.processes[index].waiters) {
+            let (index, request_id, lead) = (waiter.by, waiter.request_id, index);
+            self.after(
+                1,
+                Event::LeadFailed {
+                    index,
+                    request_id,
+                    lead,
+                },
+            );
         }
     }
 
     fn fault_ends(&mut self, number: usize) {
-        if let (at, Fault::Store(_)) = self.faults[number] {
-            self.processes[at].trouble = Trouble::None;
+        if let (index, Fault::Store(_)) = self.faults[number] {
+            self.processes[index].store_fault = StoreFault::None;
         }
     }
 
-    fn store_answers(&mut self, at: usize, asked: u64, version: Option<u64>) {
-        if !self.is_current(at, asked) {
+    fn store_answers(&mut self, index: usize, request_id: u64, version: Option<u64>) {
+        if !self.is_current(index, request_id) {
             return;
         }
         let now_ms = self.now_ms;
-        let process = &mut self.processes[at];
-        process.choice.store_answered();
+        let process = &mut self.processes[index];
+        process.lead_choice.store_answered();
         process.store_read_ms = now_ms;
         if let Some(version) = version {
-            process.fetcher.source_told(now_ms, Version(version));
-            self.learn(at, version);
+            process.fetcher.source_reported(now_ms, Version(version));
+            self.learn(index, version);
         }
-        self.step(at);
+        self.step(index);
     }
 
-    fn store_fails(&mut self, at: usize, asked: u64, silent: bool) {
-        if !self.is_current(at, asked) {
+    fn store_fails(&mut self, index: usize, request_id: u64, timed_out: bool) {
+        if !self.is_current(index, request_id) {
             return;
         }
-        let failure = if silent {
-            StoreFailure::Silent
+        let failure = if timed_out {
+            StoreFailure::TimedOut
         } else {
             StoreFailure::Refused
         };
-        let process = &mut self.processes[at];
-        process.asked += 1;
+        let process = &mut self.processes[index];
+        process.request_id += 1;
         process.reading_since_ms = None;
         // New connections are answered.
-        if process.trouble == Trouble::OldConnections {
-            process.trouble = Trouble::None;
+        if process.store_fault == StoreFault::OldConnectionsUnanswered {
+            process.store_fault = StoreFault::None;
         }
-        let pause_ms = process.choice.store_failed(failure, BUDGET);
-        if process.choice.is_blind() {
-            self.answer_waiters(at, |_| true);
+        let pause_ms = process.lead_choice.store_failed(failure, BUDGET);
+        if process.lead_choice.is_store_failing() {
+            self.answer_waiters(index, |_| true);
         }
-        self.after(pause_ms, Event::Step(at));
+        self.after(pause_ms, Event::Step(index));
     }
 
     fn lead_asked(&mut self, lead: usize, waiter: Waiter, until_ms: u64) {
         if !self.processes[lead].up {
-            let (at, asked) = (waiter.by, waiter.asked);
-            return self.after(1, Event::LeadSilent { at, asked, lead });
+            let (index, request_id) = (waiter.by, waiter.request_id);
+            return self.after(
+                1,
+                Event::LeadFailed {
+                    index,
+                    request_id,
+                    lead,
+                },
+            );
         }
-        let (have, asked) = (waiter.have, waiter.asked);
+        let (have, request_id) = (waiter.have, waiter.request_id);
         self.processes[lead].waiters.push(waiter);
         let process = &self.processes[lead];
-        if process.held > have || process.choice.is_blind() || until_ms <= self.now_ms {
-            return self.answer_waiters(lead, |waiter| waiter.asked == asked);
+        if process.held > have || process.lead_choice.is_store_failing() || until_ms <= self.now_ms
+        {
+            return self.answer_waiters(lead, |waiter| waiter.request_id == request_id);
         }
-        self.after(until_ms - self.now_ms, Event::WaitEnds { lead, asked });
+        self.after(until_ms - self.now_ms, Event::WaitEnds { lead, request_id });
     }
 
     fn answer_waiters(&mut self, lead: usize, is_due: impl Fn(&Waiter) -> bool) {
@@ -557,56 +621,57 @@
             .into_iter()
             .partition(|waiter| is_due(waiter));
         process.waiters = waiting;
-        let (held, blind) = (process.held, process.choice.is_blind());
+        let (held, store_failing) = (process.held, process.lead_choice.is_store_failing());
         let age_ms = self.now_ms - process.store_read_ms;
         let due: Vec<Waiter> = due;
         for waiter in due {
-            let (at, asked) = (waiter.by, waiter.asked);
-            let way_ms = self.latency_ms(lead, at);
+            let (index, request_id) = (waiter.by, waiter.request_id);
+            let latency_ms = self.latency_ms(lead, index);
             self.after(
-                way_ms,
+                latency_ms,
                 Event::LeadAnswers {
-                    at,
-                    asked,
+                    index,
+                    request_id,
                     lead,
                     held,
                     age_ms,
-                    blind,
+                    store_failing,
                 },
             );
         }
     }
 
-    fn lead_answers(&mut self, at: usize, lead: usize, held: u64, state: LeadState) {
+    fn lead_answers(&mut self, index: usize, lead: usize, held: u64, state: LeadState) {
         let now_ms = self.now_ms;
-        let process = &mut self.processes[at];
+        let process = &mut self.processes[index];
         process
-            .choice
+            .lead_choice
             .lead_answered(now_ms, node(lead), state, BUDGET);
         let read_ms = now_ms.saturating_sub(state.store_age_ms);
         process.store_read_ms = process.store_read_ms.max(read_ms);
         if held > process.held {
-            process.fetcher.source_told(now_ms, Version(held));
-            self.learn(at, held);
+            process.fetcher.source_reported(now_ms, Version(held));
+            self.learn(index, held);
         }
-        self.step(at);
+        self.step(index);
     }
 
-    fn learn(&mut self, at: usize, version: u64) {
-        let process = &mut self.processes[at];
+    fn learn(&mut self, index: usize, version: u64) {
+        let process = &mut self.processes[index];
         if version > process.held {
             process.held = version;
             process.head = process.head.max(version);
-            self.answer_waiters(at, |waiter| waiter.have < version);
-            self.announce(at);
+            self.answer_waiters(index, |waiter| waiter.have < version);
+            self.announce(index);
         }
-        self.fetch(at);
+        self.fetch(index);
     }
 
     fn announce(&mut self, from: usize) {
         let (head, held) = (self.processes[from].head, self.processes[from].held);
         for to in self.neighbours(from) {
-            let pause_ms = self.rng.random_range(0..=NEWS_PAUSE_MS) + self.latency_ms(from, to);
+            let pause_ms =
+                self.rng.random_range(0..=MIN_UPDATE_INTERVAL_MS) + self.latency_ms(from, to);
             self.after(
                 pause_ms,
                 Event::Gossip {
@@ -627,9 +692,9 @@
         let now_ms = self.now_ms;
         let process = &mut self.processes[to];
         if held > process.held {
-            process.fetcher.held_by(now_ms, stamp(held), holder);
+            process.fetcher.note_holder(now_ms, stamp(held), holder);
         }
-        process.fetcher.heard(now_ms, stamp(head));
+        process.fetcher.note_head(now_ms, stamp(head));
         if head > process.head {
             process.head = head;
             self.announce(to);
@@ -637,25 +702,28 @@
         self.fetch(to);
     }
 
-    fn fetch(&mut self, at: usize) {
+    fn fetch(&mut self, index: usize) {
         let now_ms = self.now_ms;
-        let process = &mut self.processes[at];
+        let process = &mut self.processes[index];
         let held = Version(process.held);
         if !process.up || process.fetching.is_some() {
             return;
         }
-        if let Some(fetch) = process.fetcher.next(now_ms, held) {
+        if let Some(fetch) = process.fetcher.next_fetch(now_ms, held) {
             self.sequence += 1;
             let number = self.sequence;
-            self.processes[at].fetching = Some((number, fetch));
-            return self.ask_holder(at, number, &fetch);
+            self.processes[index].fetching = Some((number, fetch));
+            return self.ask_holder(index, number, &fetch);
         }
-        if let Some(wake_ms) = process.fetcher.wake_at(held) {
-            self.after(wake_ms.saturating_sub(now_ms).max(1), Event::Wake(at));
+        if let Some(wake_ms) = process.fetcher.next_fetch_at_ms(held) {
+            self.after(
+                wake_ms.saturating_sub(now_ms).max(1),
+                Event::FetchDue(index),
+            );
         }
     }
 
-    fn ask_holder(&mut self, at: usize, number: u64, fetch: &Fetch) {
+    fn ask_holder(&mut self, index: usize, number: u64, fetch: &Fetch) {
         let Source::Peer { node, .. } = fetch.source else {
             panic!("a follower fetches from peers alone");
         };
@@ -663,21 +731,28 @@
         let held = self.processes[holder]
             .up
             .then_some(self.processes[holder].held);
-        let pause_ms = 2 * self.latency_ms(at, holder);
-        self.after(pause_ms, Event::Fetched { at, number, held });
+        let pause_ms = 2 * self.latency_ms(index, holder);
+        self.after(
+            pause_ms,
+            Event::Fetched {
+                index,
+                number,
+                held,
+            },
+        );
     }
 
-    fn fetched(&mut self, at: usize, number: u64, held: Option<u64>) {
+    fn fetched(&mut self, index: usize, number: u64, held: Option<u64>) {
         let now_ms = self.now_ms;
-        let process = &mut self.processes[at];
+        let process = &mut self.processes[index];
         let Some((_, fetch)) = process.fetching.filter(|(fetching, _)| *fetching == number) else {
             return;
         };
         process.fetching = None;
-        process.fetcher.done(now_ms, &fetch, held.is_some());
+        process.fetcher.fetch_ended(now_ms, &fetch, held.is_some());
         match held {
-            Some(version) => self.learn(at, version),
-            None => self.fetch(at),
+            Some(version) => self.learn(index, version),
+            None => self.fetch(index),
         }
     }
 }
--- a/tests/testsuite/spread_failures.rs
+++ b/tests/testsuite/spread_failures.rs
@@ -70,7 +70,7 @@
 /// A data centre is cut off; a version is published that it cannot hear of. It goes on serving
 /// with what it has, and catches up when the links heal.
 #[tokio::test(flavor = "multi_thread")]
-async fn data_centre_that_is_cut_off_serves_on_and_catches_up() {
+async fn partitioned_data_centre_keeps_serving_and_catches_up() {
     let mesh = small_mesh().await;
     mesh.network.set_cut(true, |from, to| from == 1 && to != 1);
     assert!(publish_change(&mesh, 31).await);
@@ -98,7 +98,7 @@
 /// The regions lose each other until each half holds the other for dead; a version is published
 /// on the store's side. After the link heals the other region enforces it, without any restart.
 #[tokio::test(flavor = "multi_thread")]
-async fn regions_that_lost_each_other_agree_again() {
+async fn partitioned_regions_converge_after_the_link_heals() {
     let mesh = small_mesh().await;
     mesh.network
         .set_cut(true, |from, to| (from == 2) != (to == 2));
@@ -124,7 +124,7 @@
 /// The store is down. The nodes keep what they have, and one that starts afresh gets it from its
 /// peers and is ready; what is published after the outage spreads as ever.
 #[tokio::test(flavor = "multi_thread")]
-async fn node_that_starts_without_the_store_is_served_by_its_peers() {
+async fn node_that_starts_without_the_store_fetches_from_its_peers() {
     let mut mesh = small_mesh().await;
     mesh.platform.set_faults(Faults {
         down: true,
@@ -186,7 +186,7 @@
 /// knows is frozen, and all it reaches are nodes that were cut off and still enforce version 1. It
 /// must not serve with 1; once the peer is back it serves with 2.
 #[tokio::test(flavor = "multi_thread")]
-async fn restarted_node_never_goes_below_what_it_enforced() {
+async fn restarted_node_never_enforces_an_older_version() {
     let mut mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     mesh.network.set_cut(true, |from, to| from == 1 && to != 1);
     assert!(publish_change(&mesh, 31).await);
--- a/tests/testsuite/spread_leads.rs
+++ b/tests/testsuite/spread_leads.rs
@@ -4,19 +4,21 @@
 
 use dragonflywall::core::member::{Distance, NodeId};
 use dragonflywall::core::version::Version;
-use dragonflywall::distribution::Budget;
+use dragonflywall::distribution::ApplyBudget;
 use dragonflywall::distribution::fetch::Peer;
-use dragonflywall::distribution::lead_choice::{Ask, LeadChoice, LeadState, Leads, StoreFailure};
-use dragonflywall::membership::link::NEWS_PAUSE_MS;
+use dragonflywall::distribution::lead_choice::{
+    LeadChoice, LeadState, Leads, NextRead, StoreFailure,
+};
+use dragonflywall::membership::link::MIN_UPDATE_INTERVAL_MS;
 
-const BUDGET: Budget = Budget::new(2_500);
-const HEARS: LeadState = LeadState {
+const BUDGET: ApplyBudget = ApplyBudget::new(2_500);
+const STORE_READABLE: LeadState = LeadState {
     store_age_ms: 100,
-    blind: false,
+    store_failing: false,
 };
-const BLIND: LeadState = LeadState {
+const STORE_FAILING: LeadState = LeadState {
     store_age_ms: 100,
-    blind: true,
+    store_failing: true,
 };
 
 fn lead(number: u16) -> Peer {
@@ -30,147 +32,151 @@
 
 /// A choice that has asked the store once, as each life begins.
 fn started(before: &[u16], own: bool) -> LeadChoice {
-    let mut choice = LeadChoice::default();
-    choice.set_leads(Leads {
-        before: before.iter().map(|number| lead(*number)).collect(),
-        own,
-        alone: false,
+    let mut lead_choice = LeadChoice::default();
+    lead_choice.set_leads(Leads {
+        higher_ranked: before.iter().map(|number| lead(*number)).collect(),
+        is_lead: own,
+        is_only_data_centre: false,
     });
-    assert_eq!(choice.next(0, BUDGET), Ask::Store);
-    choice.store_answered();
-    choice
+    assert_eq!(lead_choice.next_read(0, BUDGET), NextRead::Store);
+    lead_choice.store_answered();
+    lead_choice
 }
 
-fn asked(choice: &mut LeadChoice, now_ms: u64) -> Option<(u16, u64)> {
-    match choice.next(now_ms, BUDGET) {
-        Ask::Store => None,
-        Ask::Lead { lead, wait_ms, .. } => Some((lead.address.port(), wait_ms)),
+fn queried_lead(lead_choice: &mut LeadChoice, now_ms: u64) -> Option<(u16, u64)> {
+    match lead_choice.next_read(now_ms, BUDGET) {
+        NextRead::Store => None,
+        NextRead::Lead { lead, wait_ms, .. } => Some((lead.address.port(), wait_ms)),
     }
 }
 
-fn answers(choice: &mut LeadChoice, now_ms: u64, number: u16, state: LeadState) -> bool {
-    choice.lead_answered(now_ms, lead(number).node, state, BUDGET)
+fn lead_answers(lead_choice: &mut LeadChoice, now_ms: u64, number: u16, state: LeadState) -> bool {
+    lead_choice.lead_answered(now_ms, lead(number).node, state, BUDGET)
 }
 
 /// Guards against followers of a lead that answers and hears nothing of the store.
 #[test]
-fn a_blind_lead_is_replaced_by_the_next() {
+fn a_lead_that_cannot_read_the_store_is_replaced_by_the_next() {
     let wait_ms = BUDGET.follow_wait_ms();
-    let mut choice = started(&[1, 2, 3], false);
+    let mut lead_choice = started(&[1, 2, 3], false);
     assert_eq!(
-        asked(&mut choice, 0),
+        queried_lead(&mut lead_choice, 0),
         Some((1, 0)),
         "it asks before it waits"
     );
-    assert!(answers(&mut choice, 0, 1, HEARS));
-    assert_eq!(asked(&mut choice, 0), Some((1, wait_ms)));
-    assert!(!answers(&mut choice, 10, 1, BLIND));
-    assert_eq!(asked(&mut choice, 10), Some((2, 0)));
-    assert!(answers(&mut choice, 10, 2, HEARS));
-    assert_eq!(asked(&mut choice, 10), Some((2, wait_ms)));
+    assert!(lead_answers(&mut lead_choice, 0, 1, STORE_READABLE));
+    assert_eq!(queried_lead(&mut lead_choice, 0), Some((1, wait_ms)));
+    assert!(!lead_answers(&mut lead_choice, 10, 1, STORE_FAILING));
+    assert_eq!(queried_lead(&mut lead_choice, 10), Some((2, 0)));
+    assert!(lead_answers(&mut lead_choice, 10, 2, STORE_READABLE));
+    assert_eq!(queried_lead(&mut lead_choice, 10), Some((2, wait_ms)));
     // The first is asked again after a while.
-    assert_eq!(asked(&mut choice, 4_000), Some((1, 0)));
+    assert_eq!(queried_lead(&mut lead_choice, 4_000), Some((1, 0)));
 }
 
 #[test]
-fn an_old_word_of_the_store_is_no_help() {
+fn a_lead_with_stale_store_data_is_skipped() {
     let old = LeadState {
         store_age_ms: BUDGET.store_age_max_ms() + 1,
-        blind: false,
+        store_failing: false,
     };
-    let mut choice = started(&[1], true);
-    assert!(!answers(&mut choice, 0, 1, old));
-    assert_eq!(asked(&mut choice, 0), None);
+    let mut lead_choice = started(&[1], true);
+    assert!(!lead_answers(&mut lead_choice, 0, 1, old));
+    assert_eq!(queried_lead(&mut lead_choice, 0), None);
 }
 
 #[test]
-fn a_lead_reads_the_store_once_its_betters_are_of_no_help() {
-    let mut choice = started(&[1, 2], true);
-    assert!(!answers(&mut choice, 0, 1, BLIND));
-    choice.lead_silent(0, lead(2).node);
-    assert_eq!(asked(&mut choice, 0), None);
-    choice.store_answered();
-    assert!(!choice.is_blind());
+fn a_lead_reads_the_store_when_higher_ranked_leads_fail() {
+    let mut lead_choice = started(&[1, 2], true);
+    assert!(!lead_answers(&mut lead_choice, 0, 1, STORE_FAILING));
+    lead_choice.lead_failed(0, lead(2).node);
+    assert_eq!(queried_lead(&mut lead_choice, 0), None);
+    lead_choice.store_answered();
+    assert!(!lead_choice.is_store_failing());
 }
 
 /// Guards against a data centre whose nodes all read a store that refuses all of them, again and again.
 #[test]
-fn a_node_that_is_no_lead_reads_seldom_while_nobody_helps() {
-    let mut choice = started(&[1, 2, 3], false);
+fn a_non_lead_reads_the_store_rarely_when_all_leads_fail() {
+    let mut lead_choice = started(&[1, 2, 3], false);
     for number in 1..=3 {
-        assert!(!answers(&mut choice, 0, number, BLIND));
+        assert!(!lead_answers(&mut lead_choice, 0, number, STORE_FAILING));
     }
-    assert_eq!(asked(&mut choice, 0), None);
-    let pause_ms = choice.store_failed(StoreFailure::Refused, BUDGET);
-    assert_eq!(pause_ms, BUDGET.solo_pause_ms());
+    assert_eq!(queried_lead(&mut lead_choice, 0), None);
+    let pause_ms = lead_choice.store_failed(StoreFailure::Refused, BUDGET);
+    assert_eq!(pause_ms, BUDGET.non_lead_store_pause_ms());
     assert_eq!(
-        asked(&mut choice, 0),
+        queried_lead(&mut lead_choice, 0),
         Some((1, 0)),
         "it may be of help by now"
     );
 }
 
 #[test]
-fn a_node_whose_reads_fail_tells_its_followers() {
-    let mut choice = started(&[], true);
-    choice.store_failed(StoreFailure::Refused, BUDGET);
-    assert!(!choice.is_blind(), "one refusal may be a rate ceiling");
-    choice.store_failed(StoreFailure::Refused, BUDGET);
-    assert!(choice.is_blind());
-    choice.store_answered();
-    assert!(!choice.is_blind());
-    choice.store_failed(StoreFailure::Silent, BUDGET);
-    assert!(choice.is_blind());
+fn failed_store_reads_are_reported_to_followers() {
+    let mut lead_choice = started(&[], true);
+    lead_choice.store_failed(StoreFailure::Refused, BUDGET);
+    assert!(
+        !lead_choice.is_store_failing(),
+        "one refusal may be a rate ceiling"
+    );
+    lead_choice.store_failed(StoreFailure::Refused, BUDGET);
+    assert!(lead_choice.is_store_failing());
+    lead_choice.store_answered();
+    assert!(!lead_choice.is_store_failing());
+    lead_choice.store_failed(StoreFailure::TimedOut, BUDGET);
+    assert!(lead_choice.is_store_failing());
 }
 
 /// Guards against a store that is slow for long and whose answers are all given up.
 #[test]
-fn a_store_that_answers_late_gets_more_time() {
-    let mut choice = started(&[], true);
-    let usual_ms = choice.store_answer_ms(BUDGET);
-    choice.store_failed(StoreFailure::Silent, BUDGET);
-    assert_eq!(choice.store_answer_ms(BUDGET), 2 * usual_ms);
-    choice.store_answered();
-    assert_eq!(choice.store_answer_ms(BUDGET), usual_ms);
+fn store_answer_timeout_grows_after_a_timeout() {
+    let mut lead_choice = started(&[], true);
+    let initial_ms = lead_choice.store_answer_timeout_ms(BUDGET);
+    lead_choice.store_failed(StoreFailure::TimedOut, BUDGET);
+    assert_eq!(lead_choice.store_answer_timeout_ms(BUDGET), 2 * initial_ms);
+    lead_choice.store_answered();
+    assert_eq!(lead_choice.store_answer_timeout_ms(BUDGET), initial_ms);
 }
 
 /// Guards against a silent connection that hides versions for as long as a read may wait in quiet times.
 #[test]
-fn reads_of_the_store_wait_longer_only_where_that_does_no_harm() {
+fn store_reads_wait_longer_only_when_versions_are_rare_and_others_read() {
     let (short_ms, long_ms) = (BUDGET.short_store_wait_ms(), BUDGET.long_store_wait_ms());
-    let mut choice = started(&[], true);
-    assert_eq!(choice.store_wait_ms(0, BUDGET), long_ms);
-    choice.note_held(0, Version(1));
+    let mut lead_choice = started(&[], true);
+    assert_eq!(lead_choice.store_wait_ms(0, BUDGET), long_ms);
+    lead_choice.note_held(0, Version(1));
     assert_eq!(
-        choice.store_wait_ms(5_000, BUDGET),
+        lead_choice.store_wait_ms(5_000, BUDGET),
         short_ms,
         "versions come"
     );
     assert_eq!(
-        choice.store_wait_ms(15_000, BUDGET),
+        lead_choice.store_wait_ms(15_000, BUDGET),
         long_ms,
         "they have ceased"
     );
-    choice.set_leads(Leads {
-        before: Vec::new(),
-        own: true,
-        alone: true,
+    lead_choice.set_leads(Leads {
+        higher_ranked: Vec::new(),
+        is_lead: true,
+        is_only_data_centre: true,
     });
     assert_eq!(
-        choice.store_wait_ms(15_000, BUDGET),
+        lead_choice.store_wait_ms(15_000, BUDGET),
         short_ms,
         "nobody else reads"
     );
 }
 
 /// Longest time for which news is gathered on its way through a data centre and a bridge, or two.
-const GOSSIP_MS: u64 = 4 * NEWS_PAUSE_MS;
+const GOSSIP_DELAY_MS: u64 = 4 * MIN_UPDATE_INTERVAL_MS;
 
 /// Ways of a version to a node, and the longest that each takes with one failure after the other.
-fn ways(budget: Budget) -> Vec<(&'static str, u64)> {
-    let lead_silent_ms = budget.follow_wait_ms() + budget.follow_answer_ms();
-    let store_ms = budget.store_answer_ms();
-    let fetched_ms = GOSSIP_MS + budget.hold_ms() + budget.near_fetch_ms();
+fn worst_path_times(budget: ApplyBudget) -> Vec<(&'static str, u64)> {
+    let lead_timeout_ms = budget.follow_wait_ms() + budget.follow_answer_timeout_ms();
+    let store_ms = budget.store_answer_timeout_ms();
+    let peer_fetch_ms =
+        GOSSIP_DELAY_MS + budget.peer_fetch_delay_ms() + budget.region_fetch_timeout_ms();
     vec![
         (
             "the lead has gone or is blind, the next reads the store",
@@ -178,11 +184,11 @@
         ),
         (
             "the lead is silent, the next reads the store",
-            lead_silent_ms + store_ms,
+            lead_timeout_ms + store_ms,
         ),
         (
             "two leads are silent, the third reads the store",
-            lead_silent_ms + budget.probe_answer_ms() + store_ms,
+            lead_timeout_ms + budget.probe_answer_timeout_ms() + store_ms,
         ),
         (
             "the only data centre's lead reads on a silent connection",
@@ -190,33 +196,35 @@
         ),
         (
             "all readers here hear nothing, peers elsewhere do",
-            fetched_ms,
+            peer_fetch_ms,
         ),
         (
             "the same, and the first peer asked is silent",
-            fetched_ms + budget.near_fetch_ms(),
+            peer_fetch_ms + budget.region_fetch_timeout_ms(),
         ),
         (
             "the same by the bridge, and then again inside the data centre",
-            fetched_ms + 2 * budget.near_fetch_ms(),
+            peer_fetch_ms + 2 * budget.region_fetch_timeout_ms(),
         ),
         (
             "all readers of the region hear nothing, the other region's do",
-            fetched_ms + budget.far_fetch_ms(),
+            peer_fetch_ms + budget.cross_region_fetch_timeout_ms(),
         ),
         (
             "nobody helps a node that is no lead, then the store answers it",
-            budget.solo_pause_ms() + store_ms + 3 * budget.probe_answer_ms().min(NEWS_PAUSE_MS),
+            budget.non_lead_store_pause_ms()
+                + store_ms
+                + 3 * budget.probe_answer_timeout_ms().min(MIN_UPDATE_INTERVAL_MS),
         ),
     ]
 }
 
 /// Guards against waits that are each reasonable and together longer than a version may take.
 #[test]
-fn no_way_of_a_version_takes_longer_than_its_budget() {
+fn no_distribution_path_exceeds_the_apply_budget() {
     for apply_ms in [2_000, 2_500, 3_000, 5_000, 15_000] {
-        for (way, worst_ms) in ways(Budget::new(apply_ms)) {
-            assert!(worst_ms <= apply_ms, "{way}: {worst_ms} of {apply_ms} ms");
+        for (path, worst_ms) in worst_path_times(ApplyBudget::new(apply_ms)) {
+            assert!(worst_ms <= apply_ms, "{path}: {worst_ms} of {apply_ms} ms");
         }
     }
 }
--- a/tests/testsuite/spread_membership.rs
+++ b/tests/testsuite/spread_membership.rs
@@ -2,30 +2,30 @@
 
 use dragonflywall::core::member::{BackendState, Liveness, Member};
 use dragonflywall::core::version::Version;
-use dragonflywall::membership::{Kind, Membership};
+use dragonflywall::membership::{Membership, NeighbourKind};
 
-use crate::spread_network::{TICK_MS, TestNetwork, alive, stamp};
+use crate::spread_network::{TICK_MS, TestNetwork, alive_nodes, stamp};
 
-fn joined(per_data_centre: u8) -> TestNetwork {
+fn converged_network(per_data_centre: u8) -> TestNetwork {
     let mut network = TestNetwork::new(per_data_centre);
-    network.run_until("all know all", 60_000, TestNetwork::agree);
+    network.run_until("all know all", 60_000, TestNetwork::has_converged);
     network
 }
 
 /// Pseudo-random but the same in each run.
-fn chance(seed: u64) -> u64 {
+fn pseudo_random_percent(seed: u64) -> u64 {
     seed.wrapping_mul(0x9E37_79B9_7F4A_7C15).rotate_left(29) % 100
 }
 
 /// Six groups of nodes that each know only three neighbours find each other and agree on who is
 /// there, and when nothing happens no further statements travel.
 #[test]
-fn nodes_find_each_other_and_fall_silent() {
-    let mut network = joined(10);
+fn nodes_converge_and_stop_sending_updates() {
+    let mut network = converged_network(10);
     network.run_for(15_000);
-    let before = network.statements_sent;
+    let before = network.records_sent;
     network.run_for(20_000);
-    assert_eq!(network.statements_sent, before);
+    assert_eq!(network.records_sent, before);
 }
 
 /// What a node spends on heartbeats must not grow with the mesh: more nodes, and each still starts
@@ -33,7 +33,7 @@
 #[test]
 fn heartbeats_per_node_do_not_grow_with_the_mesh() {
     let per_node = |per_data_centre: u8| {
-        let mut network = joined(per_data_centre);
+        let mut network = converged_network(per_data_centre);
         network.run_for(20_000);
         let before = network.exchanges;
         network.run_for(60_000);
@@ -64,7 +64,7 @@
 /// A version is announced by one node and known to all long before the next heartbeat is due.
 #[test]
 fn announcement_reaches_every_node_at_once() {
-    let mut network = joined(20);
+    let mut network = converged_network(20);
     network.run_for(10_000);
     assert!(held_everywhere_ms(&mut network, 3).is_some());
 }
@@ -72,11 +72,14 @@
 /// Guards against a region that hears of nothing until the death of its gateway is certain.
 #[test]
 fn a_version_crosses_between_regions_right_after_a_gateway_has_died() {
-    let mut network = joined(6);
+    let mut network = converged_network(6);
     network.run_for(10_000);
     let is_gateway = |position: &usize| {
         let node = network.nodes[*position].as_ref();
-        node.is_some_and(|node| node.neighbours().any(|(_, kind)| kind == Kind::Gateway))
+        node.is_some_and(|node| {
+            node.neighbours()
+                .any(|(_, kind)| kind == NeighbourKind::Gateway)
+        })
     };
     let gateways: Vec<usize> = (0..network.nodes.len()).filter(is_gateway).collect();
     assert_eq!(gateways.len(), 2, "one of each region: {gateways:?}");
@@ -88,9 +91,9 @@
 /// Every node enforces a version; the report of each stays in its data centre, and the count of
 /// each data centre is known at all nodes, so that an operator can ask any of them.
 #[test]
-fn summaries_tell_every_node_what_each_data_centre_enforces() {
-    let mut network = joined(8);
-    let across = network.statements_across;
+fn summaries_of_each_data_centre_reach_every_node() {
+    let mut network = converged_network(8);
+    let crossed_before = network.cross_region_records;
     for position in 0..network.nodes.len() {
         network.node(position).set_held(stamp(4));
         network.node(position).set_enforced(Version(4));
@@ -105,114 +108,114 @@
         };
         network.running().all(knows)
     });
-    assert_eq!(network.statements_across, across);
+    assert_eq!(network.cross_region_records, crossed_before);
 }
 
 /// A node is paused for as long as it takes to be declared dead, and goes on: it is back in
 /// everybody's view, and did not take the others for dead because its own calls had timed out.
 #[test]
-fn paused_node_is_not_thrown_out_for_good() {
-    let mut network = joined(6);
-    let paused = network.statements[5].node;
+fn paused_node_rejoins_without_suspecting_others() {
+    let mut network = converged_network(6);
+    let paused = network.records[5].node;
     // It has just begun to tell all its neighbours something, and has no answer yet.
-    network.set_passes(move |from, _, _| from.node != paused);
+    network.set_filter(move |from, _, _| from.node != paused);
     network.node(5).set_held(stamp(1));
     network.run_for(300);
-    network.set_passes(|_, _, _| true);
+    network.set_filter(|_, _, _| true);
     network.freeze(5);
     network.run_until("the paused node is given up", 60_000, |network| {
         let others = network.running().filter(|n| n.me().node != paused);
         others
             .into_iter()
-            .all(|node| !alive(node).contains(&paused))
+            .all(|node| !alive_nodes(node).contains(&paused))
     });
-    let statements_of_others = |network: &TestNetwork| {
+    let highest_sequence_of_others = |network: &TestNetwork| {
         let members = network.running().flat_map(|n| n.members());
         let others = members.filter(|m| m.node != paused);
         others.map(|m| m.sequence).max()
     };
-    let before = statements_of_others(&network);
-    network.thaw(5);
-    network.run_until("it is back", 60_000, TestNetwork::agree);
+    let before = highest_sequence_of_others(&network);
+    network.resume(5);
+    network.run_until("it is back", 60_000, TestNetwork::has_converged);
     // Nobody else had to refute anything.
-    assert_eq!(statements_of_others(&network), before);
+    assert_eq!(highest_sequence_of_others(&network), before);
 }
 
 /// A VM is replaced by one with the same address whose clock is an hour behind, so everything it
 /// says looks older than what the mesh remembers of its predecessor.
 #[test]
-fn restarted_node_supersedes_its_past_although_its_clock_went_back() {
-    let mut network = joined(6);
+fn restarted_node_with_an_earlier_clock_supersedes_its_old_record() {
+    let mut network = converged_network(6);
     network.stop(7);
     network.run_for(20_000);
-    network.statements[7].incarnation_us = 10;
+    network.records[7].incarnation_us = 10;
     network.start(7);
-    network.run_until("it is back", 60_000, TestNetwork::agree);
+    network.run_until("it is back", 60_000, TestNetwork::has_converged);
 }
 
 /// The link between the regions is cut until each half holds the other for dead, and heals. Nobody
 /// restarts and the platform is not asked: they must find each other by probing.
 #[test]
-fn halves_that_hold_each_other_for_dead_merge_again() {
-    let mut network = joined(8);
-    network.set_passes(|from, to, _| from.place.region == to.place.region);
+fn regions_that_declared_each_other_dead_merge_again() {
+    let mut network = converged_network(8);
+    network.set_filter(|from, to, _| from.place.region == to.place.region);
     network.run_until("each half is on its own", 120_000, |network| {
-        network.running().all(|node| alive(node).len() == 24)
+        network.running().all(|node| alive_nodes(node).len() == 24)
     });
     network.run_for(600_000);
-    network.set_passes(|_, _, _| true);
-    let before = network.statements_across;
-    network.run_until("one mesh again", 120_000, TestNetwork::agree);
+    network.set_filter(|_, _, _| true);
+    let before = network.cross_region_records;
+    network.run_until("one mesh again", 120_000, TestNetwork::has_converged);
     network.run_for(20_000);
     // Each of 48 nodes has to refute its death once; whole views cross a few times, not per node.
-    let crossed = network.statements_across - before;
+    let crossed = network.cross_region_records - before;
     assert!(crossed < 48 * 12, "{crossed} statements crossed");
 }
 
 /// One data centre is cut off from all others, which must not cost the others any member, and
 /// comes back.
 #[test]
-fn data_centre_that_was_cut_off_comes_back() {
-    let mut network = joined(8);
-    let cut = |member: &Member| member.place.data_centre.as_str() == "dc-1";
-    network.set_passes(move |from, to, _| cut(from) == cut(to));
+fn partitioned_data_centre_rejoins() {
+    let mut network = converged_network(8);
+    let is_isolated = |member: &Member| member.place.data_centre.as_str() == "dc-1";
+    network.set_filter(move |from, to, _| is_isolated(from) == is_isolated(to));
     network.run_until("both sides know", 120_000, |network| {
-        let expected = |node: &Membership| match cut(node.me()) {
+        let expected = |node: &Membership| match is_isolated(node.me()) {
             true => 8,
             false => 40,
         };
         network
             .running()
-            .all(|node| alive(node).len() == expected(node))
+            .all(|node| alive_nodes(node).len() == expected(node))
     });
     // Until suspicion has become death.
     network.run_for(30_000);
-    network.set_passes(|_, _, _| true);
-    network.run_until("one mesh again", 120_000, TestNetwork::agree);
+    network.set_filter(|_, _, _| true);
+    network.run_until("one mesh again", 120_000, TestNetwork::has_converged);
 }
 
 /// A fifth of all messages is lost for a minute, so nodes are suspected and declared dead wrongly;
 /// afterwards everybody is alive in every view.
 #[test]
-fn lost_messages_leave_no_lasting_damage() {
-    let mut network = joined(8);
-    network.set_passes(|_, _, number| chance(number) >= 20);
+fn membership_recovers_from_message_loss() {
+    let mut network = converged_network(8);
+    network.set_filter(|_, _, number| pseudo_random_percent(number) >= 20);
     network.run_for(60_000);
-    network.set_passes(|_, _, _| true);
-    network.run_until("all know all", 60_000, TestNetwork::agree);
+    network.set_filter(|_, _, _| true);
+    network.run_until("all know all", 60_000, TestNetwork::has_converged);
 }
 
 /// All processes die and start again at the same moment, with nothing but three addresses each:
 /// they find each other, and the greetings do not become a storm.
 #[test]
-fn herd_that_restarts_at_once_meets_again() {
-    let mut network = joined(20);
+fn nodes_that_all_restart_at_once_converge() {
+    let mut network = converged_network(20);
     let before = network.exchanges;
     for position in 0..network.nodes.len() {
-        network.statements[position].incarnation_us += 1_000_000;
+        network.records[position].incarnation_us += 1_000_000;
         network.start(position);
     }
-    network.run_until("all know all", 60_000, TestNetwork::agree);
+    network.run_until("all know all", 60_000, TestNetwork::has_converged);
     let per_node = (network.exchanges - before) / network.nodes.len() as u64;
     assert!(per_node < 150, "{per_node} exchanges per node");
 }
@@ -221,52 +224,56 @@
 /// back when they start again.
 #[test]
 fn half_of_the_nodes_die_and_come_back() {
-    let mut network = joined(10);
+    let mut network = converged_network(10);
     let dead: Vec<usize> = (0..network.nodes.len()).filter(|n| n % 2 == 0).collect();
     for position in &dead {
         network.stop(*position);
     }
-    network.run_until("the dead are known", 120_000, TestNetwork::agree);
-    let holds_tombstone = |m: &Member| m.liveness == Liveness::Dead;
-    assert!(network.running().all(|n| n.members().any(holds_tombstone)));
+    network.run_until("the dead are known", 120_000, TestNetwork::has_converged);
+    let is_dead = |m: &Member| m.liveness == Liveness::Dead;
+    assert!(network.running().all(|n| n.members().any(is_dead)));
     for position in dead {
-        network.statements[position].incarnation_us += 1_000_000;
+        network.records[position].incarnation_us += 1_000_000;
         network.start(position);
     }
-    network.run_until("all are back", 120_000, TestNetwork::agree);
+    network.run_until("all are back", 120_000, TestNetwork::has_converged);
 }
 
 /// A node is about to enforce a version and cannot reach anybody of its data centre, who would be
 /// asked for its floor if it died. Peers elsewhere hear of it, but that must not count.
 #[test]
-fn version_is_witnessed_by_the_own_data_centre() {
-    let mut network = joined(4);
-    let lonely = network.statements[0].clone();
-    network.set_passes(move |from, to, _| {
-        from.place != to.place || (from.node != lonely.node && to.node != lonely.node)
+fn only_the_own_data_centre_acknowledges_a_version() {
+    let mut network = converged_network(4);
+    let isolated = network.records[0].clone();
+    network.set_filter(move |from, to, _| {
+        from.place != to.place || (from.node != isolated.node && to.node != isolated.node)
     });
     network.node(0).set_held(stamp(5));
     network.run_for(3_000);
-    assert_eq!(network.node(0).witnessed(), Version::NONE);
-    network.set_passes(|_, _, _| true);
+    assert_eq!(network.node(0).acknowledged_version(), Version::NONE);
+    network.set_filter(|_, _, _| true);
     network.run_until("witnessed", 60_000, |network| {
         let node = network.running().next().expect("it runs");
-        node.witnessed() == Version(5)
+        node.acknowledged_version() == Version(5)
     });
-    let lonely = network.statements[0].clone();
-    let mut near = network.running().filter(|n| n.me().place == lonely.place);
-    assert!(near.any(|n| n.me().node != lonely.node && n.remembered(lonely.node) == Version(5)));
+    let isolated = network.records[0].clone();
+    let mut near = network.running().filter(|n| n.me().place == isolated.place);
+    assert!(
+        near.any(
+            |n| n.me().node != isolated.node && n.highest_reported(isolated.node) == Version(5)
+        )
+    );
 }
 
 /// A node has just told its neighbours something when it says goodbye and ends. Gathering news must
 /// not hold back the goodbye, since there is no later message: callers would go on being sent there.
 #[test]
-fn goodbye_is_not_held_back() {
-    let mut network = joined(8);
+fn leave_message_is_not_batched() {
+    let mut network = converged_network(8);
     network.run_for(20_000);
-    let leaver = network.node(20);
-    leaver.set_backend(None, BackendState::Draining);
-    let node = leaver.me().node;
+    let leaving = network.node(20);
+    leaving.set_backend(None, BackendState::Draining);
+    let node = leaving.me().node;
     // All neighbours have been told by now, and the next news would be gathered.
     network.run_until("the draining is known", 1_000, |network| {
         let draining = |n: &Membership| {
@@ -280,7 +287,7 @@
     network.run_for(3);
     network.leave(20);
     network.run_until("the goodbye is known", 1_000, |network| {
-        network.running().all(|n| !alive(n).contains(&node))
+        network.running().all(|n| !alive_nodes(n).contains(&node))
     });
 }
 
@@ -288,27 +295,27 @@
 /// the node enforced on the word of the other alone and both died, nobody would know; so it waits
 /// for the second, or until that one is suspected.
 #[test]
-fn version_needs_two_witnesses() {
-    let mut network = joined(4);
+fn version_needs_two_acknowledgements() {
+    let mut network = converged_network(4);
     network.run_for(20_000);
     let node = network.node(0);
     let me = node.me().node;
     let ring: Vec<_> = node
         .neighbours()
-        .filter(|(_, k)| *k == Kind::Ring)
+        .filter(|(_, k)| *k == NeighbourKind::Ring)
         .collect();
     let (slow, _) = ring[0];
     assert_eq!(ring.len(), 2);
-    network.set_passes(move |from, to, _| from.node != me || to.node != slow);
+    network.set_filter(move |from, to, _| from.node != me || to.node != slow);
     network.node(0).set_held(stamp(5));
     network.run_for(TICK_MS + 50);
-    let knows = |n: &Membership| n.remembered(me) == Version(5);
+    let knows = |n: &Membership| n.highest_reported(me) == Version(5);
     assert!(network.running().any(knows));
-    assert_eq!(network.node(0).witnessed(), Version::NONE);
-    network.set_passes(|_, _, _| true);
+    assert_eq!(network.node(0).acknowledged_version(), Version::NONE);
+    network.set_filter(|_, _, _| true);
     network.run_until("witnessed", 10_000, |network| {
         let node = network.running().next().expect("it runs");
-        node.witnessed() == Version(5)
+        node.acknowledged_version() == Version(5)
     });
     assert!(network.running().filter(|n| knows(n)).count() >= 2);
 }
--- a/tests/testsuite/spread_network.rs
+++ b/tests/testsuite/spread_network.rs
@@ -6,7 +6,7 @@
 use dragonflywall::core::member::{BackendState, Liveness, Member, NodeId, Place};
 use dragonflywall::core::names::{DataCentreName, RegionName, ServiceName};
 use dragonflywall::core::version::{Digest, Stamp, Version};
-use dragonflywall::membership::link::NEWS_PAUSE_MS;
+use dragonflywall::membership::link::MIN_UPDATE_INTERVAL_MS;
 use dragonflywall::membership::{Exchange, Gossip, Membership, Timing};
 
 /// Between two ticks of a node.
@@ -22,22 +22,22 @@
 }
 
 /// Decides whether a message passes from one node to another.
-type Passes = Box<dyn Fn(&Member, &Member, u64) -> bool>;
+type MessageFilter = Box<dyn Fn(&Member, &Member, u64) -> bool>;
 
 /// The nodes, the messages under way, and the time.
 pub(crate) struct TestNetwork {
     pub(crate) nodes: Vec<Option<Membership>>,
-    pub(crate) statements: Vec<Member>,
+    pub(crate) records: Vec<Member>,
     pub(crate) now_ms: u64,
     /// Exchanges started so far.
     pub(crate) exchanges: u64,
     /// Statements carried so far.
-    pub(crate) statements_sent: u64,
+    pub(crate) records_sent: u64,
     /// Statements carried from one region to another so far.
-    pub(crate) statements_across: u64,
+    pub(crate) cross_region_records: u64,
     frozen: BTreeSet<usize>,
-    woken: BTreeSet<usize>,
-    passes: Passes,
+    wake_scheduled: BTreeSet<usize>,
+    filter: MessageFilter,
     events: BTreeMap<(u64, u64), Event>,
     scheduled: u64,
 }
@@ -54,24 +54,24 @@
     pub(crate) fn new(per_data_centre: u8) -> Self {
         let mut network = Self {
             nodes: Vec::new(),
-            statements: Vec::new(),
+            records: Vec::new(),
             now_ms: 1_000,
             exchanges: 0,
-            statements_sent: 0,
-            statements_across: 0,
+            records_sent: 0,
+            cross_region_records: 0,
             frozen: BTreeSet::new(),
-            woken: BTreeSet::new(),
-            passes: Box::new(|_, _, _| true),
+            wake_scheduled: BTreeSet::new(),
+            filter: Box::new(|_, _, _| true),
             events: BTreeMap::new(),
             scheduled: 0,
         };
         for data_centre in 0..6 {
             for number in 0..per_data_centre {
-                let member = statement(data_centre, number);
-                network.statements.push(member);
+                let member = member_record(data_centre, number);
+                network.records.push(member);
             }
         }
-        for position in 0..network.statements.len() {
+        for position in 0..network.records.len() {
             network.nodes.push(None);
             let phase_ms = network.now_ms + position as u64 * 7 % TICK_MS;
             network.schedule(phase_ms, Event::Tick(position));
@@ -82,9 +82,9 @@
 
     /// Starts a node, as after the loss of all its memory.
     pub(crate) fn start(&mut self, position: usize) {
-        let count = self.statements.len();
-        let seeds = (1..=3).map(|step| self.statements[(position + step) % count].external);
-        let member = self.statements[position].clone();
+        let count = self.records.len();
+        let seeds = (1..=3).map(|step| self.records[(position + step) % count].external);
+        let member = self.records[position].clone();
         let membership = Membership::new(member, seeds.collect(), Timing::default());
         self.nodes[position] = Some(membership);
     }
@@ -105,12 +105,12 @@
     }
 
     /// The process goes on, with all the timeouts that ran out meanwhile.
-    pub(crate) fn thaw(&mut self, position: usize) {
+    pub(crate) fn resume(&mut self, position: usize) {
         self.frozen.remove(&position);
     }
 
-    pub(crate) fn set_passes(&mut self, passes: impl Fn(&Member, &Member, u64) -> bool + 'static) {
-        self.passes = Box::new(passes);
+    pub(crate) fn set_filter(&mut self, filter: impl Fn(&Member, &Member, u64) -> bool + 'static) {
+        self.filter = Box::new(filter);
     }
 
     pub(crate) fn node(&mut self, position: usize) -> &mut Membership {
@@ -154,7 +154,9 @@
             assert!(
                 self.now_ms - begin_ms < limit_ms,
                 "never came: {what}; alive by view: {:?}",
-                self.running().map(|n| alive(n).len()).collect::<Vec<_>>()
+                self.running()
+                    .map(|n| alive_nodes(n).len())
+                    .collect::<Vec<_>>()
             );
             self.run_for(10);
         }
@@ -162,9 +164,9 @@
     }
 
     /// Whether every running node knows exactly the running ones as alive.
-    pub(crate) fn agree(&self) -> bool {
+    pub(crate) fn has_converged(&self) -> bool {
         let running: BTreeSet<NodeId> = self.running().map(|node| node.me().node).collect();
-        self.running().all(|node| alive(node) == running)
+        self.running().all(|node| alive_nodes(node) == running)
     }
 
     pub(crate) fn running(&self) -> impl Iterator<Item = &Membership> {
@@ -183,7 +185,7 @@
                 self.tick(position);
             }
             Event::Wake(position) => {
-                self.woken.remove(&position);
+                self.wake_scheduled.remove(&position);
                 self.tick(position);
             }
             Event::Request(from, to, exchange) => self.request(from, to, exchange),
@@ -220,28 +222,29 @@
             let event = Event::Request(position, exchange.address, exchange);
             self.schedule(now_ms + delay_ms, event);
         }
-        if self.node(position).has_deferred(now_ms) && self.woken.insert(position) {
-            self.schedule(now_ms + NEWS_PAUSE_MS, Event::Wake(position));
+        if self.node(position).has_deferred_updates(now_ms) && self.wake_scheduled.insert(position)
+        {
+            self.schedule(now_ms + MIN_UPDATE_INTERVAL_MS, Event::Wake(position));
         }
     }
 
     fn request(&mut self, from: usize, address: SocketAddr, exchange: Exchange) {
         let to = self
-            .statements
+            .records
             .iter()
             .position(|member| member.node.0 == address || member.external == address)
             .expect("every address is a node's");
-        let near = &self.statements[from];
-        let far = &self.statements[to];
-        let across = near.place.region != far.place.region;
-        let delay_ms = if across { 20 } else { 1 };
-        let there = (self.passes)(near, far, self.scheduled);
-        let back = (self.passes)(far, near, self.scheduled + 1);
+        let near = &self.records[from];
+        let far = &self.records[to];
+        let is_cross_region = near.place.region != far.place.region;
+        let delay_ms = if is_cross_region { 20 } else { 1 };
+        let request_passes = (self.filter)(near, far, self.scheduled);
+        let answer_passes = (self.filter)(far, near, self.scheduled + 1);
         if self.nodes[to].is_none() {
             self.schedule(self.now_ms + delay_ms, Event::Failure(from, exchange));
             return;
         }
-        if !there || self.frozen.contains(&to) {
+        if !request_passes || self.frozen.contains(&to) {
             self.schedule(self.now_ms + TIMEOUT_MS, Event::Failure(from, exchange));
             return;
         }
@@ -249,28 +252,32 @@
         let now_ms = self.now_ms;
         let answer = self.node(to).receive(now_ms, &exchange.gossip);
         self.now_ms -= delay_ms;
-        let statements = (exchange.gossip.updates.len() + answer.updates.len()) as u64;
-        self.statements_sent += statements;
-        self.statements_across += if across { statements } else { 0 };
-        let event = match back {
+        let records = (exchange.gossip.updates.len() + answer.updates.len()) as u64;
+        self.records_sent += records;
+        self.cross_region_records += if is_cross_region { records } else { 0 };
+        let event = match answer_passes {
             true => Event::Answer(from, exchange, answer),
             false => Event::Failure(from, exchange),
         };
-        let wait_ms = if back { 2 * delay_ms } else { TIMEOUT_MS };
+        let wait_ms = if answer_passes {
+            2 * delay_ms
+        } else {
+            TIMEOUT_MS
+        };
         self.schedule(self.now_ms + wait_ms, event);
         self.tick(to);
     }
 }
 
 /// The nodes that `node` believes to be alive.
-pub(crate) fn alive(node: &Membership) -> BTreeSet<NodeId> {
+pub(crate) fn alive_nodes(node: &Membership) -> BTreeSet<NodeId> {
     node.members()
         .filter(|member| member.liveness == Liveness::Alive)
         .map(|member| member.node)
         .collect()
 }
 
-fn statement(data_centre: u8, number: u8) -> Member {
+fn member_record(data_centre: u8, number: u8) -> Member {
     let node = SocketAddr::from((Ipv4Addr::new(10, 0, data_centre, number), 7000));
     let external = SocketAddr::from((Ipv4Addr::new(192, 168, data_centre, number), 7000));
     let region = if data_centre < 3 { "norte" } else { "sul" };
--- a/tests/testsuite/spread_timing.rs
+++ b/tests/testsuite/spread_timing.rs
@@ -7,13 +7,13 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::spread_deployment::{Deployment, Fault, Trouble};
+use crate::spread_deployment::{Deployment, Fault, StoreFault};
 
 fn assert_in_time(deployment: Deployment, what: &str) {
     let late = deployment.run();
     let mut by_node: BTreeMap<usize, usize> = BTreeMap::new();
-    for (_, at) in &late {
-        *by_node.entry(*at).or_default() += 1;
+    for (_, index) in &late {
+        *by_node.entry(*index).or_default() += 1;
     }
     assert!(
         late.is_empty(),
@@ -29,12 +29,16 @@
 
 /// Guards against a lead that answers its followers and hears nothing of the store.
 #[test]
-fn versions_are_in_time_behind_a_lead_that_hears_nothing() {
-    for trouble in [Trouble::Refused, Trouble::Silent, Trouble::OldConnections] {
+fn versions_are_in_time_behind_a_lead_that_cannot_read_the_store() {
+    for store_fault in [
+        StoreFault::Refused,
+        StoreFault::Unanswered,
+        StoreFault::OldConnectionsUnanswered,
+    ] {
         for data_centres in [1, 2, 4] {
             let mut deployment = Deployment::new(data_centres, 4, 2);
-            deployment.strike(5_000, 12_000, 0, Fault::Store(trouble));
-            let what = format!("{trouble:?}, {data_centres} data centres");
+            deployment.inject(5_000, 12_000, 0, Fault::Store(store_fault));
+            let what = format!("{store_fault:?}, {data_centres} data centres");
             assert_in_time(deployment, &what);
         }
     }
@@ -43,19 +47,19 @@
 /// Guards against a data centre whose leads fail one after the other.
 #[test]
 fn versions_are_in_time_while_leads_fail_in_turn() {
-    for trouble in [Trouble::Refused, Trouble::Silent] {
+    for store_fault in [StoreFault::Refused, StoreFault::Unanswered] {
         let mut deployment = Deployment::new(2, 5, 3);
-        deployment.strike(4_000, 9_000, 0, Fault::Store(trouble));
-        deployment.strike(5_000, 9_000, 1, Fault::Store(trouble));
-        deployment.strike(6_500, 0, 2, Fault::Killed);
-        deployment.strike(8_000, 9_000, 3, Fault::Store(trouble));
-        assert_in_time(deployment, &format!("{trouble:?}"));
+        deployment.inject(4_000, 9_000, 0, Fault::Store(store_fault));
+        deployment.inject(5_000, 9_000, 1, Fault::Store(store_fault));
+        deployment.inject(6_500, 0, 2, Fault::Killed);
+        deployment.inject(8_000, 9_000, 3, Fault::Store(store_fault));
+        assert_in_time(deployment, &format!("{store_fault:?}"));
     }
 }
 
 /// Guards against failures drawn at random that together keep a version from a node for too long.
 #[test]
-fn versions_are_in_time_under_drawn_failures() {
+fn versions_are_in_time_under_random_failures() {
     const SEEDS: u64 = 200;
     for seed in 0..SEEDS {
         let mut rng = StdRng::seed_from_u64(seed);
@@ -65,17 +69,21 @@
         let nodes = data_centres * per_data_centre;
         // A third of the nodes at a time, in three series that overlap.
         for series in 0..3 {
-            let trouble = [Trouble::Refused, Trouble::Silent, Trouble::OldConnections];
-            let trouble = trouble[rng.random_range(0..trouble.len())];
+            let store_fault = [
+                StoreFault::Refused,
+                StoreFault::Unanswered,
+                StoreFault::OldConnectionsUnanswered,
+            ];
+            let store_fault = store_fault[rng.random_range(0..store_fault.len())];
             let begin_ms = 3_000 + series * 7_000 + rng.random_range(0..3_000);
             let for_ms = rng.random_range(500..9_000);
-            let struck = rand::seq::index::sample(&mut rng, nodes, nodes.div_ceil(3));
-            for at in struck {
-                deployment.strike(begin_ms, for_ms, at, Fault::Store(trouble));
+            let affected = rand::seq::index::sample(&mut rng, nodes, nodes.div_ceil(3));
+            for index in affected {
+                deployment.inject(begin_ms, for_ms, index, Fault::Store(store_fault));
             }
         }
         let killed = rng.random_range(0..nodes);
-        deployment.strike(rng.random_range(4_000..20_000), 0, killed, Fault::Killed);
+        deployment.inject(rng.random_range(4_000..20_000), 0, killed, Fault::Killed);
         assert_in_time(deployment, &format!("seed {seed}"));
     }
 }
