--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -131,7 +131,7 @@
     match origin {
         ConfigurationOrigin::Published(_) => Fetcher::new(node.proxy.local_id),
         ConfigurationOrigin::Feed(_) => {
-            Fetcher::followed(node.proxy.local_id, node.budget().hold_ms())
+            Fetcher::for_follower(node.proxy.local_id, node.budget().peer_fetch_delay_ms())
         }
     }
 }
@@ -149,8 +149,8 @@
         myself.send_interval(TICK_INTERVAL, || ConfigurationMsg::Tick);
         let now_ms = clock::since_ms(node.proxy.started);
         let floor_origin = match origin {
-            ConfigurationOrigin::Published(_) => floor::Origin::Witnessed,
-            ConfigurationOrigin::Feed(_) => floor::Origin::Followed,
+            ConfigurationOrigin::Published(_) => floor::VersionSource::Acknowledged,
+            ConfigurationOrigin::Feed(_) => floor::VersionSource::Followed,
         };
         Ok(State {
             fetcher: new_fetcher(&node, &origin),
@@ -249,7 +249,7 @@
         let previous_ranks = (self.role.gateway_rank, self.role.watcher_rank);
         self.role = role;
         self.floor
-            .set_last_in_data_centre(self.role.last_in_data_centre);
+            .set_only_node_of_data_centre(self.role.last_in_data_centre);
         if previous_ranks != (self.role.gateway_rank, self.role.watcher_rank) {
             self.set_gateway_rank(now_ms);
             self.next_head_poll_ms = self
@@ -263,10 +263,10 @@
         if stamp.version > held.max(self.fetcher.head().version) {
             version_metrics::log_heard(stamp.version, holder.map(|peer| peer.node), held);
         }
-        self.holder.announce(stamp);
+        self.holder.note_announced(stamp);
         match holder {
-            Some(peer) => self.fetcher.held_by(now_ms, stamp, peer),
-            None => self.fetcher.heard(now_ms, stamp),
+            Some(peer) => self.fetcher.note_holder(now_ms, stamp, peer),
+            None => self.fetcher.note_head(now_ms, stamp),
         }
     }
 
--- a/src/node/content.rs
+++ b/src/node/content.rs
@@ -19,7 +19,7 @@
     match fetch.source {
         Source::Store => match origin {
             ConfigurationOrigin::Published(store) => {
-                store::read_offer(store, held, fetch.want).await
+                store::read_offer(store, held, fetch.wanted).await
             }
             ConfigurationOrigin::Feed(_) => {
                 log::error!("a node that follows the store fetches from peers alone");
@@ -30,11 +30,11 @@
             address, distance, ..
         } => {
             let mut client = node.control_pool.client(address)?;
-            let response = client.fetch(held.version, fetch.want.version);
+            let response = client.fetch(held.version, fetch.wanted.version);
             let budget = node.budget();
             let timeout_ms = match distance {
-                Distance::DataCentre | Distance::Region => budget.near_fetch_ms(),
-                Distance::Mesh => budget.far_fetch_ms(),
+                Distance::DataCentre | Distance::Region => budget.region_fetch_timeout_ms(),
+                Distance::Mesh => budget.cross_region_fetch_timeout_ms(),
             };
             let timeout = Duration::from_millis(timeout_ms);
             let response = tokio::time::timeout(timeout, response).await;
--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -23,7 +23,7 @@
 use crate::core::mechanism::Mechanism;
 use crate::decide::pacing::jittered_ms;
 use crate::distribution::fetch::Peer;
-use crate::distribution::lead_choice::{Ask, LeadChoice, Leads, StoreFailure};
+use crate::distribution::lead_choice::{LeadChoice, Leads, NextRead, StoreFailure};
 use crate::store::{Error, Feed, Position, Told};
 use crate::util::clock;
 
@@ -75,16 +75,16 @@
     async fn step(&mut self) {
         let ask = self.next_ask();
         let follows = match &ask {
-            Ask::Store => None,
-            Ask::Lead { lead, .. } => Some(lead.node),
+            NextRead::Store => None,
+            NextRead::Lead { lead, .. } => Some(lead.node),
         };
         self.node.followed_node.send_replace(follows);
         match ask {
-            Ask::Store => self.read_store().await,
-            Ask::Lead {
+            NextRead::Store => self.read_store().await,
+            NextRead::Lead {
                 lead,
                 wait_ms,
-                answer_ms,
+                answer_timeout_ms: answer_ms,
             } => {
                 let wait = Duration::from_millis(wait_ms);
                 self.ask_lead(lead, wait, Duration::from_millis(answer_ms))
@@ -92,17 +92,17 @@
             }
         }
         self.node.store_failing.send_if_modified(|stored| {
-            let is_failing = self.lead_choice.is_blind();
+            let is_failing = self.lead_choice.is_store_failing();
             std::mem::replace(stored, is_failing) != is_failing
         });
     }
 
-    fn next_ask(&mut self) -> Ask {
+    fn next_ask(&mut self) -> NextRead {
         let now_ms = self.node.proxy.uptime_ms();
         self.lead_choice.set_leads(self.leads());
         self.lead_choice
             .note_held(now_ms, *self.node.held_version.borrow());
-        self.lead_choice.next(now_ms, self.node.budget())
+        self.lead_choice.next_read(now_ms, self.node.budget())
     }
 
     fn leads(&self) -> Leads {
@@ -110,8 +110,8 @@
         match self.node.proxy.without().is_enabled(Mechanism::StoreReader) {
             true => leads,
             false => Leads {
-                before: Vec::new(),
-                own: true,
+                higher_ranked: Vec::new(),
+                is_lead: true,
                 ..leads
             },
         }
@@ -122,7 +122,7 @@
         let Some(mut client) = self.node.control_pool.client(lead.address) else {
             return self
                 .lead_choice
-                .lead_silent(self.node.proxy.uptime_ms(), lead.node);
+                .lead_failed(self.node.proxy.uptime_ms(), lead.node);
         };
         let started = Instant::now();
         let mut leads = self.node.leads.subscribe();
@@ -136,10 +136,10 @@
             Ok(response) => response,
             Err(error) => {
                 log::info!(lead:% = lead.node, error:%, took_ms; "the lead gives no answer");
-                self.node.control_pool.forget(lead.address);
+                self.node.control_pool.discard(lead.address);
                 return self
                     .lead_choice
-                    .lead_silent(self.node.proxy.uptime_ms(), lead.node);
+                    .lead_failed(self.node.proxy.uptime_ms(), lead.node);
             }
         };
         let offered = response.offer.as_ref();
@@ -152,7 +152,7 @@
             .lead_answered(now_ms, lead.node, state, budget)
         {
             log::info!(
-                lead:% = lead.node, store_age_ms = state.store_age_ms, blind = state.blind;
+                lead:% = lead.node, store_age_ms = state.store_age_ms, blind = state.store_failing;
                 "the lead hears nothing of the store"
             );
         }
@@ -168,7 +168,8 @@
     async fn read_store(&mut self) {
         let last_read_age_ms = self.node.proxy.store_age_ms().unwrap_or(0);
         let budget = self.node.budget();
-        let answer_timeout = Duration::from_millis(self.lead_choice.store_answer_ms(budget));
+        let answer_timeout =
+            Duration::from_millis(self.lead_choice.store_answer_timeout_ms(budget));
         let started = Instant::now();
         let recent = self
             .position
@@ -209,7 +210,7 @@
 
     async fn handle_store_failure(&mut self, error: &Error, took_ms: u64) {
         let failure = match error {
-            Error::Silent { .. } => StoreFailure::Silent,
+            Error::Silent { .. } => StoreFailure::TimedOut,
             _ => StoreFailure::Refused,
         };
         let pause_ms = self.lead_choice.store_failed(failure, self.node.budget());
@@ -218,7 +219,7 @@
         self.send(ConfigurationMsg::StoreReadFailed);
         self.node
             .store_failing
-            .send_replace(self.lead_choice.is_blind());
+            .send_replace(self.lead_choice.is_store_failing());
         tokio::time::sleep(Duration::from_millis(pause_ms)).await;
     }
 
--- a/src/node/registration.rs
+++ b/src/node/registration.rs
@@ -226,7 +226,7 @@
     let salt = local_member.node.to_string();
     seed_rows.sort_by_cached_key(|row| {
         let distance = local_member.place.distance_to(&row.place);
-        (distance, neighbours::weight(row.node, &salt))
+        (distance, neighbours::node_hash(row.node, &salt))
     });
     let address = |row: &NodeRow| match row.place == local_member.place {
         true => row.node.0,
--- a/src/node/store.rs
+++ b/src/node/store.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use crate::core::version::{Stamp, Version};
-use crate::distribution::{Content, Offer, Step};
+use crate::distribution::{Content, DeltaStep, Offer};
 use crate::ops::query::accepted;
 use crate::store::http::HttpStore;
 use crate::store::rows::VersionRow;
@@ -66,12 +66,12 @@
     Some(rows)
 }
 
-async fn read_deltas(store: &HttpStore, rows: &[VersionRow]) -> Option<Vec<Step>> {
+async fn read_deltas(store: &HttpStore, rows: &[VersionRow]) -> Option<Vec<DeltaStep>> {
     let mut steps = Vec::with_capacity(rows.len());
     for row in rows {
         let delta = accepted::object(store, &row.delta_object).await.ok()?;
         let stamp = row.stamp;
-        steps.push(Step { stamp, delta });
+        steps.push(DeltaStep { stamp, delta });
     }
     Some(steps)
 }
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -20,7 +20,7 @@
 use crate::core::routing::{ResolvedTarget, Route};
 use crate::decide::retry::{self, Attempts};
 use crate::decide::split;
-use crate::distribution::Applied;
+use crate::distribution::CompiledConfiguration;
 use crate::proxy::state::ProxyState;
 
 mod request_log;
@@ -141,7 +141,7 @@
 
 async fn route_and_run(
     node: &Arc<ProxyState>,
-    applied: &Applied,
+    applied: &CompiledConfiguration,
     parts: &Parts,
     body: &ReplayableBody,
     mut context: RequestContext,
@@ -189,7 +189,11 @@
     }
 }
 
-fn find_route<'a>(applied: &'a Applied, parts: &Parts, host: &str) -> Result<&'a Route, Failure> {
+fn find_route<'a>(
+    applied: &'a CompiledConfiguration,
+    parts: &Parts,
+    host: &str,
+) -> Result<&'a Route, Failure> {
     let (method, path) = (parts.method.as_str(), parts.uri.path());
     if let Some(route) = applied.routes.find(host, method, path) {
         return Ok(route);
@@ -207,7 +211,7 @@
 }
 
 /// Refuses a body that says from the start that it is too long; see [`ReplayableBody`] for the others.
-fn check_body_len(applied: &Applied, body: &ReplayableBody) -> Result<(), Failure> {
+fn check_body_len(applied: &CompiledConfiguration, body: &ReplayableBody) -> Result<(), Failure> {
     let limits = applied.configuration.caller_limits();
     let body_max_bytes = limits.map_or(u64::MAX, |limits| limits.body_max_bytes);
     match body.min_len_bytes() > body_max_bytes {
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -29,7 +29,7 @@
 use crate::decide::intake::{Intake, LinkShare};
 use crate::decide::placement::{Balancer, LoadReport};
 use crate::decide::retry::{RetryPolicy, ServiceTokens};
-use crate::distribution::Applied;
+use crate::distribution::CompiledConfiguration;
 use crate::node::settings::{ReloadableSettings, Settings};
 use crate::util::clock;
 
@@ -45,7 +45,7 @@
     pub(crate) header_profile: &'static HeaderProfile,
     pub(crate) local_id: NodeId,
     pub(crate) started: Instant,
-    pub(crate) enforced: ArcSwapOption<Applied>,
+    pub(crate) enforced: ArcSwapOption<CompiledConfiguration>,
     pub(crate) view: ArcSwap<MembershipView>,
     /// What this node, as an entry, has seen of endpoints.
     balancer: Mutex<Balancer>,
@@ -259,7 +259,7 @@
 }
 
 /// How much a backend server takes, and how many connections.
-fn backend_limits(backend: &LocalBackend, applied: &Applied) -> (Limits, u32) {
+fn backend_limits(backend: &LocalBackend, applied: &CompiledConfiguration) -> (Limits, u32) {
     let Some(service) = applied.configuration.service(&backend.service) else {
         return (Limits::default(), 0);
     };
