--- a/src/node.rs
+++ b/src/node.rs
@@ -1,8 +1,8 @@
-//! The long-running process: listeners, actors, and the state that they share.
+//! The node process: its listeners, its control actors and tasks, and the state that they share.
 //!
-//! [`start`] binds the listeners and starts the control actors (membership, configuration,
-//! registration); [`NodeHandle::drain`] ends them in order. Requests do not pass through the actors:
-//! they read [`state::NodeState`], which the actors write.
+//! [`start`] binds the listeners and starts the membership and configuration actors and the background
+//! tasks, such as registration; [`NodeHandle::drain`] stops them in order. Requests do not pass through
+//! the actors: they read the shared state in [`state::NodeState`], which the actors update.
 
 pub(crate) mod backend_announcements;
 pub(crate) mod configuration;
--- a/src/node/backend_announcements.rs
+++ b/src/node/backend_announcements.rs
@@ -1,4 +1,4 @@
-//! The backend server of the node's own VM, as its announcements describe it.
+//! Handles the announcements of the backend server on the node's own VM.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,22 +12,24 @@
 use crate::proxy::health::{self, Health};
 use crate::proxy::local_backend::LocalBackend;
 
-/// Questions to a backend server that has announced itself, and the pause between two of them. Together
-/// about a heartbeat, after which the next announcement comes.
+/// Health checks of a backend server after its announcement. With [`HEALTH_CHECK_INTERVAL`] between them they
+/// take about one heartbeat interval of the backend server, after which it announces itself again.
 const HEALTH_CHECK_ATTEMPTS: u32 = 12;
+/// Pause between two of these health checks.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a node answers to an announcement.
+/// A node's reply to an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnnouncementReply {
-    /// It was taken in, or is known already.
+    /// The announcement was applied, is to be confirmed by a health check, or was ignored as repeated or outdated.
     Accepted,
-    /// The node is draining its backend server and takes no "serving".
+    /// The node is draining its backend server, and so ignores an announcement that it is serving.
     Draining,
 }
 
 impl NodeState {
-    /// Takes in an announcement: the gate follows it at once, the mesh hears of it.
+    /// Handles an announcement. If it is valid and new, admission opens or closes at once, and the new state
+    /// spreads to the mesh by gossip.
     pub(crate) fn handle_announcement(
         self: &Arc<Self>,
         announcement: &Announcement,
@@ -41,7 +43,7 @@
             Heard::Outdated => {
                 log::info!(
                     instance:? = announcement.instance, state:? = announcement.state;
-                    "an announcement came too late"
+                    "ignored an outdated announcement"
                 );
                 return AnnouncementReply::Accepted;
             }
@@ -60,20 +62,20 @@
         AnnouncementReply::Accepted
     }
 
-    /// Asks a backend server that is said to take work whether it does, and takes it up then. Without an
-    /// answer the next announcement is the next occasion.
+    /// Checks the health of a backend server that announced that it is serving, and applies the announcement
+    /// once the check confirms it. If no check is answered, the next announcement starts new ones.
     async fn check_health(self: &Arc<Self>, announcement: &Announcement) {
         for _ in 0..HEALTH_CHECK_ATTEMPTS {
             match health::ask(&self.proxy, announcement).await {
                 Health::Serving(instance) => return self.handle_confirmation(&instance),
                 Health::Refusing => {
-                    log::info!(instance:? = announcement.instance; "the backend server announced itself, but takes no work");
+                    log::info!(instance:? = announcement.instance; "the announced backend server refuses requests");
                     return;
                 }
                 Health::Unknown => tokio::time::sleep(HEALTH_CHECK_INTERVAL).await,
             }
         }
-        log::info!(instance:? = announcement.instance; "the backend server announced itself, but gave no answer");
+        log::info!(instance:? = announcement.instance; "health checks of the announced backend server gave no result");
     }
 
     fn handle_confirmation(&self, instance: &InstanceName) {
@@ -82,19 +84,20 @@
             Some(announcement) if !self.is_stopping() => self.apply_announcement(&announcement),
             Some(_) => (),
             None => {
-                log::info!(instance:%; "the backend server that answers is not the one that announced itself last");
+                log::info!(instance:%; "the health check was answered by another backend server than the one announced last");
             }
         }
     }
 
-    /// Takes up what the process before this one has heard last, unless something was heard since.
+    /// Handles the announcement that the previous process of this node stored in its row, unless the backend
+    /// server has announced itself to this process already.
     pub(crate) fn restore_backend(self: &Arc<Self>, announcement: &Announcement) {
         let configured = self.proxy.settings.backend_server.as_ref();
         let is_own = configured.is_some_and(|configured| {
             configured.service == announcement.service && configured.address == announcement.address
         });
         if is_own && self.announcements().is_silent() {
-            log::info!(instance:? = announcement.instance; "took up the backend server known before");
+            log::info!(instance:? = announcement.instance; "restored the backend server from the stored row");
             self.handle_announcement(announcement);
         }
     }
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -1,4 +1,5 @@
-//! The actor that drives [`Holder`], [`Fetcher`] and [`Floor`]: their sockets and their time.
+//! The actor that distributes and enforces configurations on this node. It does the network calls and provides the
+//! time for the state machines [`Holder`], [`Fetcher`] and [`Floor`].
 
 mod head;
 mod peers;
@@ -22,85 +23,94 @@
 use crate::store::http::HttpStore;
 use crate::util::clock;
 
-/// How often floors, refreshes and head reads are looked after. Content does not wait for it.
+/// Interval of the check for floor queries, refreshes and head reads that are due. Content is handled without
+/// waiting for it.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Between two rounds of questions about the floor.
+/// Interval between two rounds of floor queries to the neighbours.
 const FLOOR_QUERY_INTERVAL_MS: u64 = 500;
 
-/// A node that knows no peer takes itself for alone only after so long: its greetings take a
-/// moment, and alone it would enforce without a witness.
+/// Time after the start from which a node that has found no peer counts as alone. Its first contacts with peers take
+/// a moment, and a node that counts as alone enforces versions without confirmation by a peer.
 const ALONE_AFTER_MS: u64 = 3_000;
 
-/// What this node's part in the mesh is.
+/// The role of this node in the mesh, as the membership actor computes it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Role {
+    /// Rank among the gateways of the region, which fetch content across regions; 0 is the active one.
     pub(crate) gateway_rank: Option<usize>,
+    /// Rank among the watchers of the data centre, which poll the head row more often than other nodes.
     pub(crate) watcher_rank: Option<usize>,
     pub(crate) neighbours: Vec<Peer>,
-    /// Highest own version that a peer has confirmed to have heard.
+    /// Highest version of this node whose receipt enough peers have confirmed. It is not lost if this node restarts.
     pub(crate) witnessed_version: Version,
+    /// Whether no other node is known to be alive.
     pub(crate) alone: bool,
-    /// Nobody knows of another node in the data centre, alive or dead.
+    /// Whether no other node of the data centre is known, alive or dead, except nodes that have left.
     pub(crate) last_in_data_centre: bool,
 }
 
 #[derive(Debug)]
 pub(crate) enum ConfigurationMsg {
     Tick,
-    /// The fetcher's next moment may have come.
+    /// The time for which the fetcher scheduled its next action has come.
     FetchDue,
-    /// Somebody knows of this version, or holds it.
+    /// A version was announced by gossip or by a hint. `holder` is the sender if it holds the content.
     Announced {
         stamp: Stamp,
         holder: Option<Peer>,
     },
-    /// A fetch ended that was made while `base_version` was held.
+    /// A fetch has ended. `base_version` is the version that was held when it started.
     Fetched {
         fetch: Fetch,
         base_version: Version,
         found: Option<Offer>,
     },
-    /// The head row was read, or not.
+    /// A read of the head row has ended; `head` is none if it failed.
     HeadRead {
         head: Option<Stamp>,
         took_ms: u64,
     },
-    /// The store was read: a configuration that was written into it as a whole, if there is news.
+    /// A read of the configuration feed has succeeded. `configuration` is none if there is no new version.
     StoreRead {
         configuration: Option<Box<Configuration>>,
-        /// How old the store's last word was when the read began.
+        /// Time from the last successful read to the start of this one, so that a new version was accepted no
+        /// earlier than that.
         last_read_age_ms: u64,
     },
-    /// The store could not be read.
+    /// A read of the configuration feed has failed.
     StoreReadFailed,
-    /// The node that reads the store for this data centre handed on a version newer than `base_version`.
+    /// The lead of this data centre has sent a version newer than `base_version`.
     LeadOffer {
         offer: Offer,
         base_version: Version,
     },
-    /// A peer told what it remembers of this node, and what it enforces.
+    /// A peer has answered a floor query. `reported` is the highest version that it knows this node to have
+    /// reported, also before a restart; `enforced` is the version that the peer enforces.
     FloorAnswered {
         peer: Peer,
         reported: Version,
         enforced: Stamp,
     },
-    /// The process was frozen until now.
+    /// The process was frozen and must refresh its configuration before it admits requests.
     Refresh,
     SetRole(Role),
+    /// Returns the content of the version held, nothing if it is not newer than the given one.
     GetOffer(Version, RpcReplyPort<Option<Offer>>),
+    /// Returns the stamp of the enforced version.
     GetEnforced(RpcReplyPort<Stamp>),
-    /// The membership actor is there; it is told of every version held and enforced.
+    /// Sets the membership actor, which receives every version held and enforced.
     SetMembership(ActorRef<MembershipMsg>),
 }
 
 /// Where accepted configurations come from.
 #[derive(Clone, Debug)]
 pub(crate) enum ConfigurationOrigin {
-    /// Published by the product's own command; the head is read here and heard of from peers.
+    /// Versions are published by the `publish` command. Nodes read the head from this store, and get new versions
+    /// from peers too.
     Published(HttpStore),
-    /// Written by operators as a whole, and followed by [`crate::node::follower`], which gives up what is
-    /// under way and asks anew when it is notified.
+    /// Operators write each configuration into the store as a whole, and [`crate::node::follower`] follows these.
+    /// A notification makes it abort the read in progress and read again.
     Feed(Arc<Notify>),
 }
 
@@ -111,9 +121,9 @@
     origin: ConfigurationOrigin,
     holder: Holder,
     fetcher: Fetcher,
-    /// When the version held was accepted, as far as clocks and answers tell.
+    /// Earliest time at which the version held can have been accepted, in milliseconds since the process started.
     held_accepted_ms: u64,
-    /// Longest time from a version's acceptance to its enforcement.
+    /// Longest time from the acceptance of a version to its enforcement, since the process started.
     max_enforcement_age_ms: u64,
     floor: Floor,
     role: Role,
@@ -268,7 +278,7 @@
         }
     }
 
-    /// Logs the beginning and the end of an outage, not each failed read.
+    /// Logs the start and the end of an outage of the platform, but not each failed read.
     fn record_store_read(&mut self, store_answered: bool) {
         match (self.store_available, store_answered) {
             (true, false) => log::warn!("the platform does not answer; what is enforced stays"),
@@ -278,7 +288,8 @@
         self.store_available = store_answered;
     }
 
-    /// Enforces what is held once the floor is settled and a peer remembers it.
+    /// Enforces the version held, if it is not below the floor and enough peers have recorded it. While the floor is
+    /// unknown or too high, readiness checks report why.
     fn enforce_held(&mut self, now_ms: u64) {
         let newest = self.holder.held().version;
         let replace_held = |held: &mut Version| std::mem::replace(held, newest) != newest;
@@ -306,7 +317,7 @@
         if let Some(applied) = self.holder.enforce() {
             let age_ms = self.held_age_ms(now_ms);
             version_metrics::record_enforced(stamp, age_ms);
-            // One from before the start was in force elsewhere all the while.
+            // A version accepted before this process started is not measured: it was enforced elsewhere already.
             if self.held_accepted_ms > 0 {
                 self.max_enforcement_age_ms = self.max_enforcement_age_ms.max(age_ms);
                 version_metrics::record_enforcement_age(age_ms, self.max_enforcement_age_ms);
@@ -317,22 +328,23 @@
         }
     }
 
-    /// Whether a version may be enforced as far as it has to be remembered by others.
+    /// Whether enough peers have recorded that this node is about to enforce the version. A restarted node asks its
+    /// peers for this record, so that it never enforces an older version than before.
     fn is_witnessed(&self, now_ms: u64, stamp: Stamp) -> bool {
         match self.origin {
             ConfigurationOrigin::Published(_) => {
                 let alone = self.role.alone && now_ms >= ALONE_AFTER_MS;
                 self.role.witnessed_version >= stamp.version || alone
             }
-            // The store's own row is newer than anything that was ever enforced, and is read first
-            // after a restart.
+            // No peer needs to record it: the row in the store is at least as new as any enforced version, and a
+            // restarted node reads it first.
             ConfigurationOrigin::Feed(_) => true,
         }
     }
 
     fn send_to_membership(&self, message: MembershipMsg) {
         if let Some(membership) = &self.membership {
-            // The actor is gone only while the process ends.
+            // Sending fails only while the process is shutting down.
             let _ = membership.cast(message);
         }
     }
--- a/src/node/configuration/head.rs
+++ b/src/node/configuration/head.rs
@@ -1,4 +1,4 @@
-//! The head row, as the backstop of hints and gossip where versions are published.
+//! Polls the head row of the store, as a fallback if hints and gossip about published versions are lost.
 
 use ractor::ActorRef;
 
@@ -7,26 +7,28 @@
 use crate::node::membership::MembershipMsg;
 use crate::node::store;
 
-/// How often the head is read as the backstop of hints and gossip: by the region's first gateway, by the
-/// watcher of each data centre, and by everybody else.
+/// Longest pause between polls by the first gateway of the region, if the store is near.
 const GATEWAY_POLL_MS: u64 = 2_000;
+/// Longest pause between polls by the first watcher of each data centre, if the store is near.
 const WATCHER_POLL_MS: u64 = 10_000;
+/// Longest pause between polls by all other nodes.
 const MEMBER_POLL_MS: u64 = 120_000;
 
-/// Until the first read has worked, which settles the floor.
+/// Longest pause between polls while this node enforces no version: a successful read settles the floor.
 const STARTUP_POLL_MS: u64 = 1_000;
 
-/// First reads of a herd of 520 are spread over this.
+/// Span over which the first polls are spread, for the case that 520 nodes start at the same time.
 pub(super) const FIRST_HEAD_POLL_SPREAD_MS: u64 = 1_000;
 
-/// A read that takes this long crosses no regional link and meets no slow platform. One that takes
-/// longer is made less often, up to [`MAX_POLL_FACTOR`] times: the link is paid for by volume, a
-/// slow platform needs rest, and the region nearest the platform hears of a version anyway.
+/// Duration of a read from a store in the same region that is not overloaded. If reads take longer, the pauses grow
+/// in proportion, up to [`MAX_POLL_FACTOR`] times: the link between regions is billed by volume, an overloaded
+/// platform needs fewer reads, and the region nearest the platform reads a new version in time anyway.
 const NEAR_READ_MS: u64 = 5;
+/// Largest factor by which a slow store lengthens the pauses.
 const MAX_POLL_FACTOR: u64 = 8;
 
-/// Before this age a node that knows nobody leaves the store to others: in a herd everybody is
-/// the only member of its own view for a moment, and so its first gateway.
+/// Time after the start in which a node that has found no peer does not act as a gateway. When many nodes start at
+/// the same time, each is the only member of its own view for a moment, and so the first gateway in it.
 const STARTUP_GRACE_MS: u64 = 1_500;
 
 impl State {
--- a/src/node/configuration/peers.rs
+++ b/src/node/configuration/peers.rs
@@ -1,4 +1,5 @@
-//! What peers are asked: below which version nothing may be enforced, and after a freeze what is in force.
+//! Floor queries to peers: below which version this node must not enforce after a restart, and which version is
+//! enforced elsewhere after a freeze.
 
 use std::sync::atomic::Ordering;
 
@@ -9,14 +10,14 @@
 use crate::core::version::{Stamp, Version};
 use crate::distribution::fetch::Peer;
 
-/// Longest time that a node woken from a freeze refuses work. Peers answer in milliseconds; one
-/// that is cut off serves what it has.
+/// Longest time for which a node refuses requests after a freeze. Peers answer within milliseconds; a node that
+/// reaches no peer serves the version that it has after this time.
 const REFRESH_TIMEOUT_MS: u64 = 2_000;
 
-/// Peers whose word ends a refresh, unless the head itself was read.
+/// Number of peers whose answers complete a refresh if the head itself was not read.
 const REFRESH_QUORUM: usize = 2;
 
-/// A refresh under way.
+/// A configuration refresh after a freeze, during which the node refuses requests.
 #[derive(Debug)]
 pub(super) struct Refresh {
     deadline_ms: u64,
@@ -82,8 +83,8 @@
         self.query_floor(myself);
     }
 
-    /// The refresh ends once what was heard from peers or the platform is in force here, or when
-    /// its time is up.
+    /// Ends the refresh once the version that peers or the platform reported is enforced here, or after
+    /// [`REFRESH_TIMEOUT_MS`].
     pub(super) fn try_end_refresh(&mut self, now_ms: u64) {
         let Some(refresh) = &self.refresh else { return };
         let has_quorum = refresh.head_read || refresh.peers.len() >= REFRESH_QUORUM;
@@ -91,7 +92,7 @@
         if (has_quorum && caught_up) || now_ms >= refresh.deadline_ms {
             self.refresh = None;
             self.node.proxy.refreshing.store(false, Ordering::Release);
-            log::info!(caught_up; "admits work again");
+            log::info!(caught_up; "refresh after a freeze has ended; admitting requests");
         }
     }
 }
--- a/src/node/configuration/version_metrics.rs
+++ b/src/node/configuration/version_metrics.rs
@@ -1,22 +1,22 @@
-//! Logs and measures by which way versions reach this node, and how late.
+//! Logs and metrics of how versions reach this node and how old they are then.
 
 use crate::core::member::{Distance, NodeId};
 use crate::core::version::{Stamp, Version};
 use crate::distribution::Source;
 
-/// Way by which the content of a version comes to a node.
+/// Where a node received the content of a version from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum VersionSource {
-    /// Read from the store.
+    /// Read from the store by this node.
     Store,
-    /// From the node of the data centre that reads the store for the others.
+    /// Sent by the lead of the data centre, which reads the store for the other nodes.
     Lead,
-    /// Fetched from a peer after gossip told of it.
+    /// Fetched from a peer at this distance, after the version was announced by gossip.
     Peer(Distance),
 }
 
 impl VersionSource {
-    /// Word for logs and metrics.
+    /// Name in logs and metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::Store => "store",
@@ -37,24 +37,24 @@
     }
 }
 
-/// A version was heard of for the first time; `holder` has its content.
+/// Logs that a version was announced to this node for the first time. `holder` has its content.
 pub(crate) fn log_heard(version: Version, holder: Option<NodeId>, held: Version) {
     let holder = holder.map(|node| node.to_string());
-    log::info!(version = version.0, holder:? = holder, held = held.0; "heard of a version");
+    log::info!(version = version.0, holder:? = holder, held = held.0; "a new version was announced");
 }
 
-/// What is known of a version whose content has just come.
+/// A version whose content was just received.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LearntVersion {
     pub(crate) version: Version,
     pub(crate) source: VersionSource,
-    /// Since it was first heard of here.
+    /// Time since the version was first announced to this node.
     pub(crate) heard_ms: u64,
-    /// At most since it was accepted, as far as clocks and answers tell.
+    /// Upper estimate of the time since the version was accepted.
     pub(crate) age_ms: u64,
 }
 
-/// The content of a version has come.
+/// Logs and counts the receipt of a version's content.
 pub(crate) fn record_learnt(learnt: &LearntVersion) {
     let way = learnt.source.as_str();
     log::info!(
@@ -64,7 +64,8 @@
     metrics::counter!("dragonflywall_versions_learnt_total", "way" => way).increment(1);
 }
 
-/// A version is in force, at most `age_ms` after it was accepted as far as clocks and answers tell.
+/// Logs that a version is enforced, and sets the metric of the enforced version. `age_ms` is an upper estimate of the
+/// time since the version was accepted.
 pub(crate) fn record_enforced(stamp: Stamp, age_ms: u64) {
     log::info!(
         version = stamp.version.0, digest:% = stamp.digest.short(), age_ms;
@@ -73,7 +74,7 @@
     metrics::gauge!("dragonflywall_enforced_version").set(stamp.version.0 as f64);
 }
 
-/// Measures the age at which a version came into force; `max_age_ms` is the longest of this process.
+/// Records the age of a version at its enforcement. `max_age_ms` is the maximum since the process started.
 pub(crate) fn record_enforcement_age(age_ms: u64, max_age_ms: u64) {
     metrics::histogram!("dragonflywall_version_age_seconds").record(age_ms as f64 / 1_000.0);
     metrics::gauge!("dragonflywall_version_age_max_seconds").set(max_age_ms as f64 / 1_000.0);
--- a/src/node/configuration/versions.rs
+++ b/src/node/configuration/versions.rs
@@ -1,4 +1,4 @@
-//! The ways of a version's content to this node, and from it to others.
+//! Receives the content of versions from the store, a lead or a peer, and offers it to other nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use crate::node::membership::MembershipMsg;
 
 impl State {
-    /// Takes in what the store told. A configuration older than the one held is refused by the holder.
+    /// Handles an answer of the configuration feed. A configuration that is not newer than the one held is ignored.
     pub(super) fn handle_store_read(
         &mut self,
         now_ms: u64,
@@ -106,7 +106,8 @@
         self.fetcher.done(now_ms, fetch, prepared);
     }
 
-    /// Whether the version is held now. `base_version` was held when its content was asked for.
+    /// Gives the offered content to the holder and returns whether the version is held now. `base_version` is the
+    /// version that was held when the content was requested.
     pub(super) fn prepare(
         &mut self,
         now_ms: u64,
@@ -124,12 +125,13 @@
             .increment(bytes);
         let held = self.holder.held().version;
         if stamp.version <= held {
-            // It came another way meanwhile.
+            // It has arrived from another source in the meantime.
             return true;
         }
         if held != base_version && !matches!(content, Content::Snapshot(_)) {
-            // Differences from what was held then; whoever follows asks again for those from now.
-            log::debug!(version = stamp.version.0, base_version = base_version.0, held = held.0; "differences from an older version");
+            // The content is a difference to a version that is no longer held. The next request asks for the
+            // difference to the one held now.
+            log::debug!(version = stamp.version.0, base_version = base_version.0, held = held.0; "dropped a delta: its base version is no longer held");
             return false;
         }
         match self.holder.prepare(*stamp, content) {
@@ -142,7 +144,8 @@
         true
     }
 
-    /// The content of a version that was accepted `age_ms` ago, or earlier, is held now.
+    /// Notes that the content of a version is held now. It was accepted `age_ms` ago, or when it was first announced
+    /// here, whichever is earlier.
     pub(super) fn record_learnt(
         &mut self,
         now_ms: u64,
@@ -164,7 +167,7 @@
         now_ms.saturating_sub(self.held_accepted_ms)
     }
 
-    /// What a peer that holds `base_version` gets.
+    /// Returns the content for a peer that holds `base_version`, nothing if that is not older than the version held.
     pub(super) fn offer_newer_than(&self, now_ms: u64, base_version: Version) -> Option<Offer> {
         let (stamp, content) = self.holder.content_for(base_version)?;
         let age_ms = self.held_age_ms(now_ms);
@@ -176,7 +179,7 @@
     }
 
     pub(super) fn record_refused(&self, version: Version, error: &holder::Error) {
-        log::warn!(version = version.0, error:? = error; "refused a configuration");
+        log::warn!(version = version.0, error:? = error; "rejected an invalid configuration");
         metrics::counter!("dragonflywall_refused_content_total").increment(1);
     }
 }
--- a/src/node/content.rs
+++ b/src/node/content.rs
@@ -1,4 +1,4 @@
-//! Fetches content from a peer or the store, as the fetcher has decided.
+//! Fetches configuration content from a peer or the store, as decided by [`crate::distribution::Fetcher`].
 
 use std::time::Duration;
 
@@ -9,7 +9,8 @@
 use crate::node::state::NodeState;
 use crate::node::store;
 
-/// Makes a fetch; what was found, if anything.
+/// Runs `fetch` and returns the content, or nothing if the source fails, does not have it or exceeds its time
+/// limit. A peer sends the difference from `held` where it can.
 pub(crate) async fn fetch(
     node: &NodeState,
     origin: &ConfigurationOrigin,
@@ -22,7 +23,9 @@
                 store::read_offer(store, held, fetch.want).await
             }
             ConfigurationOrigin::Feed(_) => {
-                log::error!("a node that follows the store fetches from peers alone");
+                log::error!(
+                    "unexpected fetch from the store: this node follows the configuration feed and fetches only from peers"
+                );
                 None
             }
         },
--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -1,15 +1,15 @@
-//! Follows a configuration that operators write into the store as a whole.
+//! Follows the configuration that operators write into the store as a whole.
 //!
-//! One node of each data centre, its lead, has a read of the store under way that tells of each new
-//! version within a round trip; the others have one under way at the lead, and get the difference.
-//! [`LeadChoice`] decides who that is. What comes neither way in time is fetched from peers, see
-//! [`crate::distribution::fetch`].
+//! One node of each data centre, its lead, keeps a long poll open at the store, which returns each new version
+//! within one round trip. The other nodes keep a long poll open at the lead, which returns the difference to the
+//! version that they hold. [`LeadChoice`] selects the lead. A version that arrives neither way in time is fetched
+//! from peers, see [`crate::distribution::fetch`].
 //!
-//! | way | why (not) |
+//! | design | why it is used or not |
 //! |---|---|
-//! | every node reads the store | 83 nodes that each read 56 KB four times a second in a burst of changes need more than the link between the regions carries |
-//! | news by gossip alone | a node that is cut off from its neighbours and not from the store, or whose neighbours have just died, hears of a version too late |
-//! | **a lead for each data centre** | a lead that is gone, or hears nothing of the store, is replaced by the next |
+//! | every node reads the store | not used: in a burst of changes, 83 nodes that each read 56 KB four times a second need more than the link between the regions carries |
+//! | new versions spread by gossip alone | not used: a node that is cut off from its neighbours but not from the store, or whose neighbours have just died, receives a version too late |
+//! | **one lead for each data centre** | used: a lead that is gone, or cannot read the store, is replaced by the next |
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -27,14 +27,15 @@
 use crate::store::{Error, Feed, Position, Told};
 use crate::util::clock;
 
-/// A position that was reached longer ago is given up for the newest configuration: the store answers with
-/// every version since, a whole configuration each.
+/// Age from which a position is dropped and the newest configuration is read instead. A read from an old position
+/// would return every version since then, each a whole configuration.
 const MAX_POSITION_AGE: Duration = Duration::from_secs(1);
 
-/// An answer that takes so much longer than it was to wait for news is logged as late.
+/// An answer is logged as late if it takes this much longer than its long poll was allowed to wait.
 const LATE_ANSWER_MS: u64 = 300;
 
-/// Follows `feed`, or a lead, until `stop`; `resync` asks for the newest version at once.
+/// Follows `feed` or a lead until `stop` is cancelled. A notification of `resync` aborts the read in progress and
+/// reads the newest version at once.
 pub(crate) async fn run(
     node: Arc<NodeState>,
     feed: impl Feed,
@@ -57,7 +58,7 @@
     feed: F,
     configuration: ActorRef<ConfigurationMsg>,
     lead_choice: LeadChoice,
-    /// Up to where the store's history is known, and since when.
+    /// Position in the history of the store up to which this node has read, and when it was reached.
     position: Option<(Position, Instant)>,
 }
 
@@ -66,7 +67,7 @@
         loop {
             tokio::select! {
                 () = self.step() => (),
-                // The process was frozen: what is under way may be from before.
+                // The process was frozen: the read in progress may have started before the freeze.
                 () = resync.notified() => self.position = None,
             }
         }
@@ -128,14 +129,14 @@
         let mut leads = self.node.leads.subscribe();
         let answer = tokio::select! {
             answer = client.follow(base_version, wait, answer_timeout) => answer,
-            // Another one may be better by now.
+            // The ranking has changed, so that another lead may be preferred now.
             _ = leads.changed() => return,
         };
         let took_ms = clock::since_ms(started);
         let response = match answer {
             Ok(response) => response,
             Err(error) => {
-                log::info!(lead:% = lead.node, error:%, took_ms; "the lead gives no answer");
+                log::info!(lead:% = lead.node, error:%, took_ms; "the lead did not answer");
                 self.node.control_pool.forget(lead.address);
                 return self
                     .lead_choice
@@ -152,8 +153,8 @@
             .lead_answered(now_ms, lead.node, state, budget)
         {
             log::info!(
-                lead:% = lead.node, store_age_ms = state.store_age_ms, blind = state.blind;
-                "the lead hears nothing of the store"
+                lead:% = lead.node, store_age_ms = state.store_age_ms, store_failing = state.blind;
+                "the lead cannot read the store or its data is too old"
             );
         }
         self.node.proxy.store_was_read(state.store_age_ms);
@@ -190,7 +191,9 @@
                 self.handle_store_answer(answer, last_read_age_ms);
             }
             Err(Error::HistoryGone) => {
-                log::info!("the store has dropped its history; reading the newest version");
+                log::info!(
+                    "the store no longer has the history after the last position; reading the newest version"
+                );
                 self.position = None;
             }
             Err(error) => self.handle_store_failure(&error, took_ms).await,
@@ -223,15 +226,15 @@
     }
 
     fn send(&self, message: ConfigurationMsg) {
-        // The actor is gone only while the process ends.
+        // Sending fails only while the process is shutting down.
         let _ = self.configuration.cast(message);
     }
 }
 
-/// Logs an answer that took longer than `wait`, for which it may wait for news, and [`LATE_ANSWER_MS`].
+/// Logs an answer that took [`LATE_ANSWER_MS`] longer than `wait`, the time limit of its long poll, or more.
 fn log_late_answer(source: &str, took_ms: u64, wait: Duration, len_bytes: usize) {
     let wait_ms = clock::whole_ms(wait);
     if took_ms >= wait_ms + LATE_ANSWER_MS {
-        log::warn!(source, took_ms, wait_ms, len_bytes; "an answer came late");
+        log::warn!(source, took_ms, wait_ms, len_bytes; "late answer to a long poll");
     }
 }
--- a/src/node/freeze.rs
+++ b/src/node/freeze.rs
@@ -1,9 +1,10 @@
-//! Notices that the process was frozen, so that it catches up before it admits new work.
+//! Detects that the process was frozen, so that it catches up before it admits new requests.
 //!
-//! A freeze shows as a gap between two ticks, by the steady clock or, where that stands still as in a suspended
-//! VM, by the clock that counts suspensions. The time of day is not looked at: it may be set at any time. A
-//! request that is served before the first tick after the gap is caught by admission, which compares the time of
-//! the last tick ([`ProxyState::is_fresh`](crate::proxy::state::ProxyState::is_fresh)).
+//! A freeze is a gap between two ticks of a timer. The gap is measured by the monotonic clock and, because that
+//! clock stands still while a VM is suspended, by the boot clock, which includes suspensions. The wall clock is
+//! not used since it can be set at any time. A request that arrives before the first tick after a freeze is
+//! refused by admission, which checks the time of the last tick
+//! ([`ProxyState::is_fresh`](crate::proxy::state::ProxyState::is_fresh)).
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,8 +18,10 @@
 use crate::proxy::state::FREEZE_GAP_MS;
 use crate::util::clock;
 
+/// Time between two ticks; much shorter than [`FREEZE_GAP_MS`], so that normal scheduling delays are no freeze.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
+/// Runs the ticks until `stop` is cancelled. After a freeze it blocks admission and starts a configuration refresh.
 pub(crate) async fn watch(
     node: Arc<NodeState>,
     configuration: ActorRef<ConfigurationMsg>,
@@ -38,9 +41,9 @@
         let gap_ms = monotonic_gap_ms.max(boot_gap_ms);
         last_boot_us = boot_us;
         if gap_ms >= FREEZE_GAP_MS {
-            log::warn!(gap_ms; "this process was frozen; it catches up before it admits work");
+            log::warn!(gap_ms; "the process was frozen; it refreshes its configuration before it admits requests");
             metrics::counter!("dragonflywall_freezes_total").increment(1);
-            // Before the tick is noted, so that admission sees one or the other.
+            // Set before `last_tick_ms`, so that admission sees either the flag or the old tick.
             node.proxy.refreshing.store(true, Ordering::Release);
             let _ = configuration.cast(ConfigurationMsg::Refresh);
         }
--- a/src/node/listeners.rs
+++ b/src/node/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners of a node: bound before anything else starts, served once the actors are there.
+//! The listeners of a node: bound before anything else starts, and served once the actors run.
 
 mod operators;
 
@@ -18,18 +18,18 @@
 use crate::peer::server::ControlService;
 use crate::proxy::listener;
 
-/// Addresses on which connections are accepted already.
+/// Bound sockets. Connections can be established but are not served before [`Listeners::serve`].
 pub(crate) struct Listeners {
     caller: TcpListener,
     peer: TcpListener,
     operator: TcpListener,
-    /// For readiness, if it is asked for at an address of its own.
+    /// Additional listener for readiness checks, if configured.
     ready: Option<TcpListener>,
-    /// For announcements, likewise.
+    /// Separate listener for announcements of the backend server, if configured.
     announce: Option<TcpListener>,
 }
 
-/// Where a node listens: as asked, and with the port that the system picked for port 0.
+/// Addresses that a node listens on, with the port that the system chose where port 0 is configured.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Addresses {
     pub(crate) caller: SocketAddr,
@@ -40,7 +40,7 @@
 }
 
 impl Listeners {
-    /// Binds every listener of `settings`.
+    /// Binds all listeners that `settings` configures.
     pub(crate) async fn bind(settings: &Settings) -> Result<Self> {
         Ok(Self {
             caller: listen("callers", settings.caller_listen).await?,
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Where they listen.
+    /// Returns the addresses of the bound sockets.
     pub(crate) fn addresses(&self, settings: &Settings) -> Addresses {
         Addresses {
             caller: local_address(&self.caller, settings.caller_listen),
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Serves all of them as part of `tasks`; what serves callers and peers is waited for apart.
+    /// Serves all listeners in `tasks`. Returns the tasks that serve callers and peers, since a shutdown waits for
+    /// each of them separately.
     pub(crate) fn serve(
         self,
         node: &Arc<NodeState>,
--- a/src/node/listeners/operators.rs
+++ b/src/node/listeners/operators.rs
@@ -1,4 +1,4 @@
-//! The listeners for operators and for what the users' platform asks.
+//! HTTP servers for operators and for the requests of the users' platform.
 
 use std::sync::Arc;
 
@@ -12,12 +12,12 @@
 use crate::proxy::body;
 use crate::proxy::listener::{Builder, may_speak, serve_all, unauthorized};
 
-/// Answers operators and the backend server of the VM.
+/// Serves requests of operators and announcements of the VM's backend server.
 pub(crate) async fn serve(listener: TcpListener, operator: Arc<Operator>, stop: CancellationToken) {
     let handle = move |request: Request<Incoming>| {
         let operator = Arc::clone(&operator);
         async move {
-            // Whoever restarts VMs asks for readiness and holds no secret of the mesh.
+            // Readiness is checked by the system that replaces VMs, which does not have the mesh token.
             let is_public = request.uri().path() == "/ready";
             if !is_public && !may_speak(&operator.node.proxy, &request) {
                 return unauthorized();
@@ -31,8 +31,8 @@
     serve_all(listener, builder, stop.clone(), stop, handle).await;
 }
 
-/// Answers the platform's questions for readiness and takes what the VM's backend server says, each
-/// at an address of its own. Whoever reaches these addresses may ask.
+/// Serves the platform's readiness checks or the announcements of the VM's backend server, which each have a
+/// listener. Requests need no token.
 pub(crate) async fn serve_platform(
     listener: TcpListener,
     operator: Arc<Operator>,
@@ -43,7 +43,7 @@
         async move { operator.handle_platform(request).await.map(body::boxed) }
     };
     let mut builder = Builder::new(TokioExecutor::new()).http1_only();
-    // Asked once a second by whoever does, often on a new connection, and each holds 30 KB.
+    // Clients send one request a second, often on a new connection, and an open connection takes 30 KB.
     builder.http1().timer(TokioTimer::new()).keep_alive(false);
     serve_all(listener, builder, stop.clone(), stop, handle).await;
 }
--- a/src/node/liveness_log.rs
+++ b/src/node/liveness_log.rs
@@ -1,4 +1,4 @@
-//! Logs what changed between two views of the mesh, for whoever reads the log after a failure.
+//! Logs changes in the liveness of mesh members, for the analysis of failures.
 
 use std::collections::HashMap;
 
@@ -6,9 +6,10 @@
 use crate::proxy::decisions::{Decisions, Weight};
 use crate::proxy::view::View;
 
-/// Logs each member whose liveness is not what it was, with the state of its backend server.
-/// Suspicions come and go with every pause of a VM, and all members are new to a node that starts:
-/// both are routine. A death or a return is not.
+/// Logs each member whose liveness differs between the views `before` and `after`.
+///
+/// Suspicions are routine, since every short pause of a VM causes one, and so are joins, since a starting node sees
+/// all members as new. Deaths, departures and returns are notable.
 pub(crate) fn log_liveness(decisions: &Decisions, before: &View, after: &View) {
     let known: HashMap<NodeId, Liveness> = before
         .members
@@ -20,8 +21,10 @@
             (Some(before), now) if *before == now => continue,
             (None, _) => (Weight::Routine, "member joined"),
             (Some(_), Liveness::Suspect) => (Weight::Routine, "member is suspect"),
-            (Some(Liveness::Suspect), Liveness::Alive) => (Weight::Routine, "member answers again"),
-            (Some(_), Liveness::Alive) => (Weight::Notable, "member is back"),
+            (Some(Liveness::Suspect), Liveness::Alive) => {
+                (Weight::Routine, "member is no longer suspect")
+            }
+            (Some(_), Liveness::Alive) => (Weight::Notable, "member is alive again"),
             (Some(_), Liveness::Dead) => (Weight::Notable, "member is dead"),
             (Some(_), Liveness::Left) => (Weight::Notable, "member left"),
         };
--- a/src/node/logging.rs
+++ b/src/node/logging.rs
@@ -1,7 +1,7 @@
 //! Structured logs on standard output, as text or JSON.
 //!
-//! A line is handed to a thread of its own that writes it, so that a reader of the output that stops
-//! reading blocks no request. What that thread cannot take is dropped and counted.
+//! A dedicated thread writes the lines, so that requests do not block when the reader of the output stops
+//! reading. The queue of that thread is bounded; lines that do not fit are dropped and counted.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -18,14 +18,14 @@
 
 mod bounded;
 
-/// Lines that wait to be written. About 300 bytes each: a reader that has stopped costs the process
-/// 1.2 MB at most.
+/// Capacity of the queue of lines to write. At about 300 bytes per line, a reader that has stopped reading costs
+/// the process 1.2 MB at most.
 pub const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Longest wait for the last lines when the process ends; writing all that may wait takes a tenth of it.
+/// Longest wait for the last lines at exit. Writing a full queue takes a tenth of it.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Installs the process's logger. A second call changes nothing.
+/// Installs the logger of the process. Further calls have no effect.
 pub fn init(format: LogFormat, level: LevelFilter) {
     let stdout = append::Stdout::default();
     let stdout = match format {
@@ -46,24 +46,25 @@
     }
 }
 
-/// Waits until all lines are written, but no longer than [`FLUSH_TIMEOUT`]: a reader that has stopped must
-/// not keep the process from ending.
+/// Waits until all lines are written, but no longer than [`FLUSH_TIMEOUT`]: a reader that has stopped reading must
+/// not prevent the process from exiting.
 pub fn flush() {
     let (sender, flushed) = mpsc::channel();
     std::thread::spawn(move || {
         log::logger().flush();
-        // Nobody waits any more once the time is up.
+        // Sending fails if the receiver has timed out.
         let _ = sender.send(());
     });
     let _ = flushed.recv_timeout(FLUSH_TIMEOUT);
 }
 
-/// Libraries log at their own levels; operators asked for this program's.
+/// Accepts only the log records of this program: the configured level is meant for them, and libraries log at
+/// levels of their own.
 fn own_targets_filter() -> logforth::filter::rustlog::RustLogFilter {
     logforth::filter::rustlog::RustLogFilterBuilder::from_spec("dragonflywall=all").build()
 }
 
-/// How many lines wait, and how many found no room.
+/// Bounds the queue of lines to write, and counts the lines that are dropped because it is full.
 #[derive(Debug)]
 pub struct QueueLimit {
     max_lines: usize,
@@ -72,7 +73,7 @@
 }
 
 impl QueueLimit {
-    /// For `max_lines` lines.
+    /// Creates the bound of a queue of at most `max_lines` lines.
     pub fn new(max_lines: usize) -> Arc<Self> {
         Arc::new(Self {
             max_lines,
@@ -81,7 +82,7 @@
         })
     }
 
-    /// Takes room for one line; without room the line counts as dropped.
+    /// Reserves space for one line. Returns false, and counts the line as dropped, if the queue is full.
     pub fn try_reserve(&self) -> bool {
         let before = self.queued.fetch_add(1, Ordering::AcqRel);
         if before < self.max_lines {
@@ -93,12 +94,12 @@
         false
     }
 
-    /// A line was written.
+    /// Releases the space of a line that was written.
     pub fn release(&self) {
         self.queued.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Lines dropped since this was last asked.
+    /// Returns the number of lines dropped since the last call, and resets it.
     pub fn take_dropped(&self) -> u64 {
         self.dropped.swap(0, Ordering::AcqRel)
     }
--- a/src/node/logging/bounded.rs
+++ b/src/node/logging/bounded.rs
@@ -1,7 +1,7 @@
-//! The bound on lines that wait for the writing thread.
+//! Bounds the queue of the thread that writes log lines.
 //!
-//! If nobody reads the process's output, that thread waits alone; a line beyond the bound is dropped and counted,
-//! and no request waits.
+//! If nobody reads the output of the process, only that thread blocks. Lines that exceed the bound are dropped and
+//! counted, so that requests never wait for the log.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 
 use super::QueueLimit;
 
-/// In front of the thread: lets in as many lines as there is room for.
+/// Appender in front of the queue: passes a line on only if [`QueueLimit`] has space for it.
 #[derive(Debug)]
 pub(super) struct ReservingAppend<A> {
     queue_limit: Arc<QueueLimit>,
@@ -36,7 +36,7 @@
     }
 }
 
-/// On the thread: gives room back once a line is written.
+/// Appender on the writing thread: releases the space of a line once it is written.
 #[derive(Debug)]
 pub(super) struct ReleasingAppend<A> {
     queue_limit: Arc<QueueLimit>,
--- a/src/node/membership.rs
+++ b/src/node/membership.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the membership state machine and does its exchanges.
+//! The actor that owns the [`Membership`] state machine and runs its gossip exchanges with peers.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,33 +20,36 @@
 use crate::proxy::view::View;
 use crate::util::clock;
 
-/// How often due heartbeats and suspicions are looked for. News does not wait for it.
+/// Interval of the check for heartbeats and suspicions that are due. New information is sent without waiting for it.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Between two copies of the view for requests: a burst of changes, as when a herd restarts, makes
-/// one copy instead of hundreds; a draining server still disappears at once for a person.
+/// Shortest time between two copies of the view for requests. A burst of changes, such as a simultaneous restart of
+/// many nodes, causes one copy instead of hundreds. A draining backend server still disappears from the view without
+/// a noticeable delay.
 const MIN_VIEW_INTERVAL_MS: u64 = 50;
 
 #[derive(Debug)]
 pub(crate) enum MembershipMsg {
     Tick,
-    /// News that was gathered may go out.
+    /// Deferred information may be sent now.
     SendDeferred,
-    /// A peer started an exchange.
+    /// A peer sent gossip; the reply is this node's gossip.
     Receive(Gossip, RpcReplyPort<Gossip>),
-    /// An exchange of ours was answered.
+    /// A peer answered an exchange that this node started.
     ExchangeAnswered(Exchange, Gossip),
-    /// An exchange of ours was not answered.
+    /// A peer did not answer an exchange that this node started.
     ExchangeFailed(Exchange),
     AddSeeds(Vec<SocketAddr>),
     SetBackend(Option<ServiceName>, BackendState),
-    /// A version is accepted, as a hint or the head row says.
+    /// The version of this stamp was accepted, according to a hint or to the head row in the store.
     SetHead(Stamp),
-    /// The content is here and about to be enforced.
+    /// This node holds the content of this version and is about to enforce it.
     SetHeld(Stamp),
     SetEnforced(Version),
+    /// Returns the highest version that the given node has reported, also before a restart. A restarted node
+    /// asks its peers for it, since it stores nothing on disk.
     GetRecordedVersion(NodeId, RpcReplyPort<Version>),
-    /// Say goodbye and answer once the neighbours have been told.
+    /// Announces to the neighbours that this node leaves, and replies once these exchanges have ended.
     Leave(RpcReplyPort<()>),
 }
 
@@ -103,7 +106,7 @@
             MembershipMsg::SendDeferred => state.send_scheduled = false,
             MembershipMsg::Receive(gossip, reply) => {
                 let answer = state.membership.receive(now_ms, &gossip);
-                // A caller that gave up waiting hears of it again with the next heartbeat.
+                // If the peer has timed out, it gets the same information with the next heartbeat.
                 let _ = reply.send(answer);
                 state.forward_announcement(&gossip);
             }
@@ -167,9 +170,10 @@
         });
     }
 
-    /// Passes on what a peer knows of, and whether it holds it.
+    /// Passes the version that a peer announces to the configuration actor, with the peer as a holder of its
+    /// content if it has that.
     fn forward_announcement(&self, gossip: &Gossip) {
-        // A stamp that this node has confirmed to know is not repeated; its version tells.
+        // A peer omits the stamp once this node has confirmed it. The version number then identifies it.
         let head = self.membership.head();
         let shared_head = (head.version == gossip.version).then_some(head);
         let Some(stamp) = gossip.announce.or(shared_head) else {
@@ -180,7 +184,7 @@
             stamp,
             holder: self.peer(gossip.from).filter(|_| holds),
         };
-        // The actor is gone only while the process ends.
+        // Sending fails only while the process is shutting down.
         let _ = self.configuration.cast(announced);
     }
 
@@ -192,7 +196,7 @@
         })
     }
 
-    /// Tells the configuration actor what this node's part is, when it changes.
+    /// Recomputes the role and the leads of this node. Sends the role to the configuration actor if it has changed.
     fn update_role(&mut self) {
         let neighbours = self.membership.neighbours();
         let role = Role {
@@ -230,15 +234,15 @@
         let mut exchanges = tokio::task::JoinSet::new();
         for exchange in self.membership.tick(now_ms) {
             if let Some(mut client) = self.node.control_pool.client(exchange.address) {
-                // A neighbour that does not hear it finds out by its own heartbeat.
+                // A neighbour that is not reached detects the departure by its own heartbeat.
                 exchanges.spawn(async move { client.exchange(&exchange.gossip).await });
             }
         }
         exchanges.join_all().await;
     }
 
-    /// Gives requests a new copy of the view, if it changed and the last one is not too young;
-    /// the next tick makes up for it then.
+    /// Publishes a copy of the membership view for requests if it has changed. Within [`MIN_VIEW_INTERVAL_MS`] of
+    /// the last copy it does nothing, and the next message or tick publishes the change.
     fn publish_view(&mut self, now_ms: u64) {
         let generation = self.membership.generation();
         let is_recent = now_ms.saturating_sub(self.view_published_ms) < MIN_VIEW_INTERVAL_MS;
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -1,12 +1,12 @@
-//! The operator listener: what the node is doing, and what its own VM may ask of it.
+//! Handles requests at the operator listener, and those of the users' platform.
 //!
 //! | request | meaning |
 //! |---|---|
-//! | `GET /ready` | 200 when the node enforces a configuration and takes work, else 503 and why |
-//! | `GET /status` | [`Status`] as JSON |
-//! | `GET /metrics` | Prometheus text |
-//! | `POST /backend-server` | the local backend server announces itself: [`Announcement`] |
-//! | `POST /drain` | the backend server gets no new work; answers how much it still has |
+//! | `GET /ready` | 200 if the node enforces a configuration and accepts requests, else 503 with the reason |
+//! | `GET /status` | the state of the node and its view of the mesh: [`Status`] as JSON |
+//! | `GET /metrics` | metrics as Prometheus text |
+//! | `POST /backend-server` | announcement of the local backend server: [`Announcement`] as JSON |
+//! | `POST /drain` | stops sending new requests to the backend server; returns how many are in flight |
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -27,6 +27,7 @@
 use crate::node::state::NodeState;
 use crate::platform::listeners;
 
+/// Longest body of an announcement. A valid one has a few hundred bytes.
 const ANNOUNCEMENT_MAX_BYTES: usize = 4 << 10;
 
 pub(crate) struct Operator {
@@ -58,7 +59,7 @@
         self.metrics.render()
     }
 
-    /// Why the node takes no requests, if it takes none.
+    /// Returns why the node does not accept requests; nothing if it does.
     pub(crate) fn not_ready_reason(&self) -> Option<&'static str> {
         if self.node.proxy.leaving.is_cancelled() {
             return Some("draining");
@@ -105,11 +106,11 @@
         }
     }
 
-    /// Drains the backend server and leaves the node up as an entry for callers. May be asked again
-    /// to see how much is left.
+    /// Drains the backend server. The node still serves its callers. Repeated calls only return the number of
+    /// requests in flight.
     fn drain(&self) -> Response<Full<Bytes>> {
         if !self.node.drained_by_operator.swap(true, Ordering::AcqRel) {
-            log::info!("draining the backend server by command");
+            log::info!("an operator drains the backend server");
             let backend = self.node.proxy.backend.load();
             let service = backend.as_ref().map(|backend| backend.service.clone());
             self.node.proxy.close_gate();
@@ -120,7 +121,7 @@
         json(&serde_json::json!({ "draining": true, "in_flight": in_flight }))
     }
 
-    /// The same in the words of the users' platform.
+    /// Handles the readiness checks and announcements of the users' platform, which have other paths and bodies.
     pub(crate) async fn handle_platform(
         &self,
         request: Request<Incoming>,
@@ -138,12 +139,12 @@
         let path = parts.uri.path();
         match listeners::announcement(&parts.method, path, &body.to_bytes(), local) {
             Ok(announcement) => {
-                // Whether or not its "ready" is taken, it has been heard.
+                // The reply is the same whether or not the announcement has an effect: it was received.
                 self.node.handle_announcement(&announcement);
                 text(StatusCode::OK, "noted\n")
             }
             Err(error) => {
-                log::warn!(path, error:%; "an announcement names no backend server to use");
+                log::warn!(path, error:%; "rejected an invalid announcement of a backend server");
                 text(StatusCode::BAD_REQUEST, format!("{error}\n"))
             }
         }
@@ -175,7 +176,7 @@
 }
 
 fn json(value: &impl Serialize) -> Response<Full<Bytes>> {
-    let body = serde_json::to_vec(value).expect("statuses always encode");
+    let body = serde_json::to_vec(value).expect("the value can be encoded as JSON");
     let mut response = text(StatusCode::OK, body);
     let json = hyper::header::HeaderValue::from_static("application/json");
     response
--- a/src/node/registration.rs
+++ b/src/node/registration.rs
@@ -1,13 +1,17 @@
-//! Registers the node with the platform and reads who else is registered.
+//! Registers the node in the platform's table and reads the registrations of other nodes as seeds.
 //!
-//! The table's rows are a bootstrap hint and nothing more: a node that cannot register is reached through its
-//! peers, and one that cannot read the list uses `--peer-seeds`.
+//! The rows are only hints for the start: a node that cannot register is reached through its peers, and a node that
+//! cannot read the table uses `--peer-seeds`.
 //!
-//! A herd that starts at once must stay below the table's rates: each node reads its own row, then one page at a
-//! random moment of a span that grows with the time that the first read took, and writes its own row at a random
-//! moment of a span that grows with the number of rows it found. Each reads the rows behind its own key, so that no
-//! few nodes are everybody's seeds. Half of the nodes reach the table across the billed link, so pages are short,
-//! rows are renewed seldom, and only the watchers of each data centre read again, to find nodes that started apart.
+//! Many nodes that start at the same time must stay below the rate limits of the table:
+//!
+//! - Each node reads its own row first, then one page of rows after a random delay, whose upper bound is the time that
+//!   the first read took. It then writes its own row after a random delay, whose upper bound grows with the number of
+//!   rows in the page.
+//! - Each node reads the rows that follow its own key, so that the seeds of all nodes are spread over the mesh.
+//! - Half of the nodes reach the table across the link between the regions, which is billed by volume. So pages are
+//!   short, rows are renewed seldom, and after the start only the watchers of each data centre read further pages,
+//!   which finds nodes that have formed a separate mesh.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,31 +32,34 @@
 use crate::store::{Result, Row, Table, Transaction};
 use crate::util::clock;
 
-/// Between renewals. 520 nodes renew about once in two seconds together.
+/// Interval between renewals of the own row. 520 nodes together write about one row every two seconds.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(1_200);
-/// Reads of the watchers after the start: those who started at the same time register meanwhile.
+/// Pauses before the first further reads of the watchers, by which they find nodes that started at the same time and
+/// have registered since.
 const FOLLOW_UP_READ_DELAYS: [Duration; 3] = [
     Duration::from_secs(2),
     Duration::from_secs(4),
     Duration::from_secs(15),
 ];
-/// A row that was not renewed for three renewals is of a VM that is gone.
+/// Age from which a row is ignored: after three missed renewals its VM is gone.
 const MAX_ROW_AGE_MS: u64 = 3 * 1_200_000;
-/// Until the first tries have worked.
+/// Pauses between failed attempts to register or to read seeds; they double with each failure in a row.
 const RETRY_BACKOFF: Backoff = Backoff::new(400, RETRY_MAX_MS);
+/// Longest of these pauses.
 const RETRY_MAX_MS: u64 = 10_000;
-/// Registrations read at a time: enough to find a live one, a fraction of the mesh.
+/// Rows in a page: enough to find a live node, and a fraction of the mesh.
 const PAGE_ROWS: u32 = 16;
-/// And while the node has found nobody, since those may all be of VMs that are gone.
+/// Rows in a page while the node has found no other live node: all rows of a short page may be of VMs that are gone.
 const LARGE_PAGE_ROWS: u32 = 128;
-/// The first page is read within as long a span as the read of the own row took: a store that answers at
-/// once has room for more, and one that a herd of 520 asks at the same moment makes it wait. This is the
-/// longest such span, and that of a node whose first read failed: 520 reads in it, and as many first looks
-/// at the head, are half of the table's ceiling.
+/// Longest random delay before the first page is read. The upper bound of the delay is the time that the read of the
+/// own row took, because a store that answers slowly is under load. If that read failed, it is this value: in this
+/// time 520 nodes read a page each and the head once, which is half of the table's rate limit.
 const MAX_FIRST_PAGE_SPREAD: Duration = Duration::from_millis(1_000);
-/// Span of the writes of a herd per row found. A full page means a large mesh.
+/// Upper bound of the random delay before the own row is written, per row in the page. A full page indicates a
+/// large mesh, and so possibly many nodes that write at the same time.
 const WRITE_SPREAD_PER_ROW: Duration = Duration::from_millis(120);
 
+/// Registers the node and looks for other nodes until `stop` is cancelled.
 pub(crate) async fn run(
     node: Arc<NodeState>,
     local_member: Member,
@@ -78,9 +85,9 @@
 }
 
 impl Registration {
-    /// Reads the own row and takes up the backend server that the process before this one knew, so that it is of use
-    /// before its next announcement. A row that is out of date does no harm: each request names the instance that it
-    /// is meant for, any other turns it away, and the next announcement sets it right.
+    /// Reads the own row and restores the backend server that the previous process stored in it, so that it gets
+    /// requests before its next announcement. An outdated row does no harm: each request names the instance that it
+    /// is for, any other instance refuses it, and the next announcement corrects the state.
     async fn read_own_row(&self) -> Result<()> {
         let Some(row) = self.store.row(&node_key(self.local_member.node)).await? else {
             return Ok(());
@@ -91,7 +98,7 @@
                     self.node.restore_backend(&announcement);
                 }
             }
-            Err(error) => log::warn!(error:%; "the own row cannot be read"),
+            Err(error) => log::warn!(error:%; "cannot decode the stored row of this node"),
         }
         Ok(())
     }
@@ -101,13 +108,13 @@
         tokio::join!(self.discover_late_nodes(), self.renew_row());
     }
 
-    /// Reads and writes until the node is registered and has found somebody.
+    /// Reads seeds and writes the own row, again until both succeed and another live node is known.
     async fn join_mesh(&self) {
         let started = Instant::now();
         let spread = match self.read_own_row().await {
             Ok(()) => started.elapsed().min(MAX_FIRST_PAGE_SPREAD),
             Err(error) => {
-                log::info!(error:%; "the own row was not read");
+                log::info!(error:%; "cannot read the stored row of this node");
                 MAX_FIRST_PAGE_SPREAD
             }
         };
@@ -140,7 +147,8 @@
         }
     }
 
-    /// Writes the row again now and then, and when it no longer says what is beside the node.
+    /// Rewrites the own row every [`RENEWAL_INTERVAL`], and whenever the announced state of the backend server
+    /// changes.
     async fn renew_row(&self) {
         loop {
             tokio::select! {
@@ -149,7 +157,7 @@
             }
             let mut failures = 0;
             while let Err(error) = self.register().await {
-                log::debug!(error:%; "the own row was not written");
+                log::debug!(error:%; "cannot write the row of this node");
                 sleep_jittered(Duration::from_millis(RETRY_BACKOFF.pause_ms(failures))).await;
                 failures += 1;
             }
@@ -166,7 +174,7 @@
         let alone = self.is_alone();
         if alone || watchers.contains(&self.local_member.node) {
             let rows = if alone { LARGE_PAGE_ROWS } else { PAGE_ROWS };
-            // A failure is made up for with the next read.
+            // A failure is ignored; the next read comes after the next pause.
             let _ = self.read_seeds(rows).await;
         }
     }
@@ -179,7 +187,7 @@
             renewed_ms: clock::wall_ms(),
             backend: self.node.announcements().serving().cloned(),
         };
-        let value = serde_json::to_string(&row).expect("rows always encode");
+        let value = serde_json::to_string(&row).expect("the row can be encoded as JSON");
         let transaction = Transaction {
             conditions: Vec::new(),
             puts: [(node_key(self.local_member.node), value)].into(),
@@ -187,8 +195,8 @@
         self.store.transact(&transaction).await.map(drop)
     }
 
-    /// Reads a page of registrations behind the own one, or the first page at the end of the list.
-    /// Returns how many rows there were.
+    /// Reads the page of rows after the own key, and the first page of the table as well if that is less than half
+    /// full. Sends the addresses to the membership actor as seeds, and returns the number of rows.
     async fn read_seeds(&self, page_rows: u32) -> Result<u32> {
         let own_key = node_key(self.local_member.node);
         let mut rows = self.store.rows(NODE_PREFIX, &own_key, page_rows).await?;
@@ -201,19 +209,22 @@
     }
 }
 
-/// Half to whole of the pause, so that nodes that started together drift apart.
+/// Sleeps for a random time between half of `pause` and all of it, so that nodes that started at the same time
+/// spread their requests.
 async fn sleep_jittered(pause: Duration) {
     let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
     let jittered_ms = pacing::jittered_ms(pause_ms, rand::random());
     tokio::time::sleep(Duration::from_millis(jittered_ms)).await;
 }
 
+/// Sleeps for a random time of at most `span`.
 async fn sleep_random(span: Duration) {
     let share = rand::rng().random_range(0.0..1.0);
     tokio::time::sleep(span.mul_f64(share)).await;
 }
 
-/// Addresses to greet, nearest first: an answer with the whole view need not cross the link.
+/// Returns the peer addresses in `rows`, nearest first, so that the answer with the whole view does not cross the
+/// link between the regions if possible.
 fn seeds(rows: &BTreeMap<String, Row>, local_member: &Member) -> Vec<SocketAddr> {
     let now_ms = clock::wall_ms();
     let mut seed_rows: Vec<NodeRow> = rows
@@ -222,7 +233,7 @@
         .filter(|row| row.node != local_member.node)
         .filter(|row| now_ms.saturating_sub(row.renewed_ms) < MAX_ROW_AGE_MS)
         .collect();
-    // Nodes that read the same page must not all greet the same few.
+    // Nodes that read the same page sort it differently, so that they do not all contact the same few nodes.
     let salt = local_member.node.to_string();
     seed_rows.sort_by_cached_key(|row| {
         let distance = local_member.place.distance_to(&row.place);
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -1,7 +1,7 @@
-//! Takes in a settings file that changes under a running node, told by SIGHUP or found changed.
+//! Reloads the settings file of a running node, on SIGHUP or when the file has changed.
 //!
-//! What can change without a restart does; the rest is named in the log and waits for one. A file
-//! that cannot be read, or only in part, changes nothing.
+//! Settings that can change without a restart take effect at once. Changes of listed settings that need a restart
+//! are named in the log. A file that cannot be read or has an invalid value changes nothing.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -13,16 +13,17 @@
 use super::settings::{Settings, file};
 use super::state::NodeState;
 
-/// How often the file is looked at. A change without a signal is in force about as soon as a
-/// configuration is.
+/// How often the file is checked for changes. A change without a signal takes effect about as fast as a new
+/// configuration version.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Looks after the file that `node`'s settings came from; without one a signal changes nothing.
+/// Watches the settings file of `node` until `stop` is cancelled. Without a file, SIGHUP only logs that there is
+/// nothing to reload.
 pub(crate) async fn run(node: Arc<NodeState>, stop: CancellationToken) {
     let sighups = match signal(SignalKind::hangup()) {
         Ok(sighups) => sighups,
         Err(error) => {
-            log::error!(error:%; "SIGHUP cannot be handled; a changed file is still noticed");
+            log::error!(error:%; "cannot handle SIGHUP; the settings file is not reloaded");
             return;
         }
     };
@@ -35,7 +36,7 @@
     stop.run_until_cancelled(watcher.watch(sighups)).await;
 }
 
-/// What tells one writing of a file from the next.
+/// Metadata by which a changed file is detected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct FileVersion {
     modified: SystemTime,
@@ -67,7 +68,9 @@
             };
             let Some(path) = &self.path else {
                 if signalled {
-                    log::info!("SIGHUP: the settings are flags and variables, nothing to reload");
+                    log::info!(
+                        "SIGHUP ignored: the settings come from flags and environment variables"
+                    );
                 }
                 continue;
             };
@@ -85,7 +88,7 @@
         Ok(read) => read,
         Err(error) => {
             let problems = error.problems.join("; ");
-            log::error!(problems; "the settings file cannot be used; the old settings stay");
+            log::error!(problems; "the settings file is invalid; the old settings stay");
             return;
         }
     };
@@ -95,10 +98,10 @@
     let pending_restart = needs_restart(&node.proxy.settings, &read).join(", ");
     node.proxy.tunable.store(Arc::new(now));
     node.proxy.refresh_retries();
-    log::info!(changed, needs_restart = pending_restart; "read the settings file again");
+    log::info!(changed, needs_restart = pending_restart; "reloaded the settings file");
 }
 
-/// Settings that differ and are only looked at when a node starts.
+/// Names of the settings that differ and are only read at startup.
 fn needs_restart(running: &Settings, read: &Settings) -> Vec<&'static str> {
     let startup_settings = [
         ("caller-listen", running.caller_listen != read.caller_listen),
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -1,4 +1,4 @@
-//! Starts a node and runs it until it is told to stop.
+//! Starts a node and shuts it down gracefully.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,48 +30,48 @@
 /// Result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Longest wait for neighbours to hear the goodbye.
+/// Longest wait for neighbours to acknowledge that this node leaves the mesh.
 const LEAVE_TIMEOUT_MS: u64 = 2_000;
 
-/// Longest wait for other nodes to take the last bytes of answers.
+/// Longest wait for other nodes to read the end of the responses that are still being sent.
 const RESPONSE_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a node could not start.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
-    /// An address cannot be listened on.
+    /// A listener could not be bound to its address.
     #[snafu(display("cannot listen on {address} for {purpose}"))]
     Listen {
-        /// Which listener.
+        /// Whom or what the listener serves, such as `callers`.
         purpose: &'static str,
-        /// The address.
+        /// The address to listen on.
         address: SocketAddr,
-        /// From the system.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A control actor did not start.
     #[snafu(display("cannot start the {actor} actor"))]
     Spawn {
-        /// Which actor.
+        /// The name of the actor, such as `membership`.
         actor: &'static str,
-        /// From the actor library.
+        /// The error of the actor library.
         source: ractor::SpawnErr,
     },
 }
 
-/// A started node.
+/// A running node: its bound addresses, and what is needed to stop it.
 #[derive(Debug)]
 pub struct NodeHandle {
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub caller: SocketAddr,
-    /// Where other nodes connect.
+    /// Address on which other nodes connect.
     pub peer: SocketAddr,
-    /// Where operators connect.
+    /// Address on which operators connect.
     pub operator: SocketAddr,
-    /// Where readiness is asked for, if not only there.
+    /// Additional address that answers readiness checks, if configured; the operator address always does.
     pub ready: Option<SocketAddr>,
-    /// Where the local backend server announces itself, if not there.
+    /// Address on which the local backend server announces itself, if it is not the operator address.
     pub announce: Option<SocketAddr>,
     node: Arc<NodeState>,
     membership: ActorRef<MembershipMsg>,
@@ -82,7 +82,7 @@
     tasks: TaskTracker,
 }
 
-/// What ends the parts of a node, in the order in which they end.
+/// Cancellation tokens of the parts of a node, in the order in which shutdown cancels them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ShutdownTokens {
     pub(crate) callers: CancellationToken,
@@ -90,20 +90,20 @@
     pub(crate) all: CancellationToken,
 }
 
-/// The runtime that a node runs on: one thread.
+/// Creates the single-threaded runtime of a node.
 ///
-/// A call passes several tasks in a node, each woken by the one before. On one thread such a wake is
-/// a push to a queue; between threads it is a call to the system, which doubled the processor time
-/// of a call (docs/design/requests.md). One thread carries about a hundred times the calls that a
-/// node gets at the size designed for.
+/// A request passes through several tasks, each woken by the previous one. On one thread a wake-up is a
+/// push to a queue. Between threads it is a system call, which doubled the CPU time of a request
+/// (docs/design/requests.md). One thread serves about a hundred times the requests that a node receives
+/// at the mesh size that the product is designed for.
 pub fn runtime() -> tokio::runtime::Runtime {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime needs only a file descriptor")
+        .expect("the runtime can be created")
 }
 
-/// Binds the listeners and starts the actors.
+/// Starts a node: binds its listeners, and spawns its actors and background tasks.
 pub async fn start(settings: Settings) -> Result<NodeHandle> {
     let listeners = Listeners::bind(&settings).await?;
     let addresses = listeners.addresses(&settings);
@@ -215,7 +215,7 @@
 }
 
 impl NodeHandle {
-    /// The node's addresses as one line of JSON, for whoever started it with port 0.
+    /// The node's addresses as one line of JSON. They contain the ports that the system chose for port 0.
     pub fn addresses_json(&self) -> String {
         let addresses = serde_json::json!({
             "node": self.node.proxy.me,
@@ -228,11 +228,12 @@
         addresses.to_string()
     }
 
-    /// Takes no new work, tells the mesh, finishes what is in flight, then ends.
+    /// Stops the node gracefully: refuses new requests for the local backend server, announces this to
+    /// the mesh, waits for the requests in flight and then stops all tasks.
     ///
-    /// The order matters. The gate closes first, while the mesh is told. Callers are still served
-    /// until the backend server has finished: its own work may lead to calls through this node.
-    /// Only then do the callers' connections end, and last the other nodes'.
+    /// The order matters. Admission closes first, while the state `draining` spreads by gossip. Callers
+    /// are served until the backend server has finished its requests, because these may send further
+    /// requests through this node. Then the callers' connections close, and last those of other nodes.
     pub async fn drain(mut self) {
         log::info!("draining");
         self.node.proxy.leaving.cancel();
@@ -253,11 +254,11 @@
             .await
             .is_err()
         {
-            log::warn!(drain_timeout_ms; "requests in flight were cut");
+            log::warn!(drain_timeout_ms; "drain timeout expired; closing connections with requests in flight");
         }
         let _ = ractor::call_t!(self.membership, MembershipMsg::Leave, LEAVE_TIMEOUT_MS);
         self.shutdown.peers.cancel();
-        // Answers that were read whole may still be on their way out.
+        // Responses that were received completely from the backend server may not be sent completely yet.
         let _ = tokio::time::timeout(RESPONSE_FLUSH_TIMEOUT, &mut self.peers_task).await;
         self.shutdown.all.cancel();
         self.tasks.close();
@@ -268,12 +269,12 @@
     }
 
     async fn wait_for_requests(&mut self) {
-        // Callers' connections that have been idle so long are closed; until then an answer says that
-        // it is the last on its connection. A caller that sends while its idle connection is being
-        // closed cannot know whether its request was read, so few are to be closed that way.
+        // Callers are served for this time at least. Each response in it tells the caller that the
+        // connection closes, so that few connections are left to be closed while idle: a caller that
+        // sends a request on a connection that is being closed cannot tell whether it was received.
         let min_serving_time = Duration::from_millis(self.node.proxy.tunable.load().stop_least_ms);
-        // Whatever the gate is asked from now on it refuses at once, so a request that comes
-        // after the last one has ended cannot be lost by not being waited for.
+        // From here on admission refuses every new request at once. So no admitted request can be missed
+        // if it arrives after the tracker has become empty.
         self.node.proxy.in_gate.close();
         tokio::join!(
             self.node.proxy.in_gate.wait(),
@@ -287,8 +288,9 @@
 fn initial_member(settings: &Settings, peer_address: SocketAddr) -> Member {
     let node = settings.peer_advertise.unwrap_or(peer_address);
     let service = settings.backend_server.as_ref().map(|b| b.service.clone());
-    // One that announces itself is sent nothing before it has; whoever is sent there until then finds no
-    // endpoint, and leaves this one alone for a while.
+    // A backend server that announces itself gets no requests before its first announcement. If the node
+    // reported it as serving, other nodes would send requests that are refused, and would then avoid this
+    // endpoint for a while.
     let backend = match &service {
         Some(_) if !settings.backend_server_announces => BackendState::Serving,
         _ => BackendState::Gone,
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -1,7 +1,7 @@
-//! Settings of a node, from flags and environment variables, checked all at once.
+//! Reads and validates the settings of a node from flags and environment variables.
 //!
-//! [`specs`] says which settings there are; this module reads and checks their values. On the users'
-//! platform most of them come from its settings file instead, see [`mod@file`].
+//! [`specs`] lists the settings. All values are checked before the node starts, and all problems are reported
+//! together. On the users' platform most settings come from its settings file instead, see [`mod@file`].
 
 pub(crate) mod file;
 pub mod specs;
@@ -30,23 +30,24 @@
 /// Result of this module.
 pub type Result<T, E = SettingsError> = std::result::Result<T, E>;
 
-/// Everything that is wrong with the settings, a line each.
+/// The settings are invalid. Displays one line for each problem.
 #[derive(Debug, Snafu)]
 #[snafu(display("{}", problems.join("\n")))]
 pub struct SettingsError {
-    /// One clear line per problem, naming flag and environment variable.
+    /// The problems, each with the flag and the environment variable, or with the path of the settings file.
     pub problems: Vec<String>,
 }
 
-/// The HTTP library's smallest read buffer, which the head has to fit in.
+/// Minimum for the longest head of a caller's request, in bytes: the smallest read buffer that the HTTP library
+/// allows, in which the head must fit.
 const MIN_CALLER_HEADER_BYTES: usize = 8_192;
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text, to be read by people.
     Text,
-    /// For programs.
+    /// One JSON object per line, to be read by programs.
     Json,
 }
 
@@ -62,94 +63,97 @@
     }
 }
 
-/// Checked settings of a node.
+/// Validated settings of a node.
 #[derive(Clone, Debug, bon::Builder)]
 pub struct Settings {
-    /// Words spoken with everything that is no node.
+    /// Interface for callers, backend servers, readiness checks and the store: the product's own or that of the
+    /// users' platform.
     #[builder(default)]
     pub dialect: Dialect,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub caller_listen: SocketAddr,
-    /// Where other nodes connect.
+    /// Address on which other nodes connect.
     pub peer_listen: SocketAddr,
-    /// Where operators and the local backend server connect.
+    /// Address on which operators and the local backend server connect.
     pub operator_listen: SocketAddr,
-    /// Where readiness is asked for, if not only at the operator listener.
+    /// Additional address for readiness checks, which the operator listener answers too.
     pub ready_listen: Option<SocketAddr>,
-    /// Where the local backend server announces itself, if not at the operator listener.
+    /// Address on which the local backend server announces itself, if it is not the operator listener.
     pub announce_listen: Option<SocketAddr>,
-    /// Peer address inside the data centre.
+    /// Address that other nodes of the data centre connect to; also the identity of the node. If none, the bound peer
+    /// address.
     pub peer_advertise: Option<SocketAddr>,
-    /// Peer address from other data centres.
+    /// Address that nodes of other data centres connect to. If none, the one for the own data centre.
     pub peer_external: Option<SocketAddr>,
-    /// Where the VM stands.
+    /// Region and data centre of the VM.
     pub place: Place,
-    /// Base URL of the platform.
+    /// Base URL of the platform's table service and object store.
     #[builder(into)]
     pub platform_url: String,
-    /// Further peers to try.
+    /// Addresses of peers to contact at the start, besides those registered with the platform.
     #[builder(default)]
     pub peer_seeds: Vec<SocketAddr>,
-    /// Local address of outgoing connections.
+    /// Local address of outgoing connections; chosen by the operating system if none.
     pub dial_from: Option<IpAddr>,
-    /// Secret by which nodes and operators know each other.
+    /// Shared secret that authenticates nodes and operators to each other.
     #[builder(default)]
     pub mesh_token: MeshToken,
-    /// The backend server known from the start.
+    /// The configured backend server of the VM. If none, its announcement names it.
     pub backend_server: Option<BackendServer>,
-    /// That backend server is sent nothing before it has announced itself.
+    /// Whether the configured backend server gets no requests before it has announced itself.
     #[builder(default)]
     pub backend_server_announces: bool,
-    /// Longest head of a caller's request.
+    /// Longest head of a caller's request, in bytes.
     #[builder(default = default_value("caller-header-max-bytes"))]
     pub caller_header_max_bytes: usize,
     /// Longest wait for the head of a caller's next request, in milliseconds.
     #[builder(default = default_value("caller-header-timeout-ms"))]
     pub caller_header_timeout_ms: u64,
-    /// Longest time without progress of a caller's body, either way, in milliseconds.
+    /// Longest time in which a caller neither sends nor reads a byte of a body, in milliseconds.
     #[builder(default = default_value("caller-idle-timeout-ms"))]
     pub caller_idle_timeout_ms: u64,
-    /// Most connections of one caller's address.
+    /// Most connections from one caller IP address.
     #[builder(default = default_value("caller-connections-max"))]
     pub caller_connections_max: u32,
-    /// Descriptors that the process may open, if it is told otherwise than by the system.
+    /// File descriptors that the process may open. If none, the limit of the operating system.
     pub descriptors_max: Option<u32>,
-    /// Memory that the process may use, in megabytes, if it is limited.
+    /// Memory that the process may use, in megabytes. Not limited if none.
     pub memory_mb: Option<u32>,
-    /// Longest wait for requests in flight when stopping, in milliseconds.
+    /// Longest wait for requests in flight at shutdown, in milliseconds.
     #[builder(default = default_value("drain-timeout-ms"))]
     pub drain_timeout_ms: u64,
-    /// Shortest time for which callers are still served when stopping, in milliseconds.
+    /// Shortest time for which callers are still served at shutdown, in milliseconds.
     #[builder(default = default_value("stop-least-ms"))]
     pub stop_least_ms: u64,
-    /// Time within which an accepted version is to be in force everywhere, in milliseconds.
+    /// Time within which all nodes are to enforce an accepted version, in milliseconds.
     #[builder(default = default_value("apply-within-ms"))]
     pub apply_within_ms: u64,
-    /// Retries of a service's requests, in percent of the first attempts of an entry.
+    /// Limit for retries of a service's requests by one node, in percent of the first attempts.
     #[builder(default = default_value("retry-percent"))]
     pub retry_percent: u32,
-    /// Retries of a service's requests beyond that share, all entries of the mesh together; if left
-    /// out, ten for each entry.
+    /// Retries of a service's requests that are allowed beyond that percentage, for all nodes of the mesh together. If
+    /// none, ten for each node.
     pub retry_reserve: Option<u32>,
-    /// Rate of the VM's link in kilobits a second, if it is known.
+    /// Rate of the VM's network link in kilobits per second, by which large bodies are limited. Assumed to be fast if
+    /// none.
     pub link_kbit_per_s: Option<u32>,
-    /// Mechanisms that are switched off.
+    /// Mechanisms that an operator has switched off.
     #[builder(default)]
     pub disabled_mechanisms: Without,
-    /// How log lines are written.
+    /// Format of log lines.
     #[builder(default = default_value("log-format"))]
     pub log_format: LogFormat,
-    /// Least severe level that is logged.
+    /// Most verbose level that is logged.
     #[builder(default = default_value("log-level"))]
     pub log_level: log::LevelFilter,
-    /// The file that they were read from, if any.
+    /// Settings file that the settings were read from, if any.
     pub config_file: Option<PathBuf>,
-    /// What flags and variables said.
+    /// The values given by flags and environment variables, which override a reloaded settings file.
     #[builder(default)]
     pub explicit_values: ExplicitValues,
 }
 
-/// Settings as flags and variables gave them, by flag.
+/// Values given by flags and environment variables, by flag.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ExplicitValues(BTreeMap<&'static str, String>);
 
@@ -163,16 +167,16 @@
     }
 }
 
-/// A backend server: what it serves and where.
+/// A backend server: its service and its address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendServer {
-    /// Its service.
+    /// Name of the service that it provides.
     pub service: ServiceName,
-    /// Its address.
+    /// Address on which it accepts requests.
     pub address: SocketAddr,
 }
 
-/// Settings that may change under a running node.
+/// Settings that take effect without a restart when the settings file changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReloadableSettings {
     pub(crate) apply_within_ms: u64,
@@ -183,7 +187,7 @@
 }
 
 impl Settings {
-    /// What of it may change under a running node.
+    /// Returns the settings that take effect without a restart.
     pub(crate) fn reloadable(&self) -> ReloadableSettings {
         ReloadableSettings {
             apply_within_ms: self.apply_within_ms,
@@ -194,13 +198,13 @@
         }
     }
 
-    /// How many connections callers may have.
+    /// Returns the limits for callers' connections, from the limits for descriptors, memory and one caller address.
     pub(crate) fn connection_limits(&self) -> ConnectionLimits {
         let descriptors = self.descriptors_max.unwrap_or_else(descriptors::allowed);
         ConnectionLimits::of_process(descriptors, self.memory_mb, self.caller_connections_max)
     }
 
-    /// How this node dials others.
+    /// Returns the options for connections to other nodes.
     pub fn dial_options(&self) -> DialOptions {
         DialOptions {
             dial_from: self.dial_from,
@@ -209,7 +213,7 @@
     }
 }
 
-/// The help text for all settings.
+/// Returns the help text for all settings.
 pub fn help() -> String {
     let mut text = String::new();
     for spec in SPECS {
@@ -224,7 +228,7 @@
     text
 }
 
-/// Reads settings from `arguments` (flags) and `variable` (environment); flags go first.
+/// Reads settings from `arguments` (flags) and `variable` (lookup of environment variables). Flags override variables.
 pub fn parse(
     arguments: impl IntoIterator<Item = OsString>,
     variable: impl Fn(&str) -> Option<String>,
@@ -277,7 +281,9 @@
                 (Some(spec), _) => self
                     .problems
                     .push(format!("--{} needs a value: {}", spec.flag, spec.help)),
-                (None, _) => self.problems.push(format!("--{name} is not a setting")),
+                (None, _) => self
+                    .problems
+                    .push(format!("--{name} is not a known setting")),
             }
         }
     }
@@ -318,7 +324,7 @@
                 problems: self.problems,
             });
         }
-        let checked = "no problems were found";
+        let checked = "a setting without problems has a value";
         Ok(Settings {
             dialect: Dialect::Own,
             ready_listen: None,
@@ -358,7 +364,8 @@
         })
     }
 
-    /// Without a token only processes of the same machine may reach the listeners of peers and operators.
+    /// Reports a problem if there is no token and one of `listeners` is not on a loopback address: without a token only
+    /// processes on the same VM may reach the peer and operator listeners.
     fn require_token_beyond_loopback(
         &mut self,
         token: &MeshToken,
@@ -373,6 +380,7 @@
         }
     }
 
+    /// Returns the value of a setting: the given one, else its default. An empty value counts as none.
     fn value(&self, flag: &str) -> Option<String> {
         let explicit = self.explicit_values.0.get(flag).map(String::as_str);
         let text = explicit.unwrap_or(Spec::for_flag(flag).default);
@@ -392,7 +400,7 @@
         match text.parse() {
             Ok(value) => Some(value),
             Err(error) => {
-                self.add_problem(flag, &format!("`{text}` is refused: {error}"));
+                self.add_problem(flag, &format!("invalid value `{text}`: {error}"));
                 None
             }
         }
@@ -415,7 +423,7 @@
         if bytes >= MIN_CALLER_HEADER_BYTES {
             return Some(bytes);
         }
-        let what = format!("{bytes} is below {MIN_CALLER_HEADER_BYTES}");
+        let what = format!("{bytes} is below the minimum of {MIN_CALLER_HEADER_BYTES}");
         self.add_problem(flag, &what);
         None
     }
@@ -425,7 +433,7 @@
         if is_name(&name) {
             return Some(name);
         }
-        self.add_problem(flag, &format!("`{name}` is not a name"));
+        self.add_problem(flag, &format!("`{name}` is not a valid name: use lower-case letters, digits and dashes, and start with a letter"));
         None
     }
 
@@ -445,7 +453,7 @@
         for part in text.split(',').filter(|part| !part.is_empty()) {
             match part.trim().parse() {
                 Ok(address) => addresses.push(address),
-                Err(error) => self.add_problem(flag, &format!("`{part}` is refused: {error}")),
+                Err(error) => self.add_problem(flag, &format!("invalid address `{part}`: {error}")),
             }
         }
         addresses
--- a/src/node/settings/file.rs
+++ b/src/node/settings/file.rs
@@ -1,11 +1,12 @@
-//! Settings from the file of the users' platform, and the flags and variables that may stand beside it.
+//! Reads the settings file of the users' platform, and applies the flags and variables that override it.
 
 use std::path::Path;
 
 use super::{ExplicitValues, Result, Settings, SettingsError, SettingsReader};
 use crate::platform;
 
-/// What may not be given beside a settings file: the file says it, and nothing works where both differ.
+/// Flags that cannot be given together with a settings file. The file contains these settings, and the node would not
+/// work if the values differed.
 const FLAGS_IN_FILE: [&str; 10] = [
     "backend-server",
     "caller-listen",
@@ -19,7 +20,7 @@
     "service",
 ];
 
-/// Reads the platform's settings file. What was `explicit_values` by flags and variables goes before it.
+/// Reads the settings file of the users' platform. Values in `explicit_values` override it.
 pub(crate) fn read(path: &Path, explicit_values: &ExplicitValues) -> Result<Settings> {
     let mut reader = SettingsReader {
         explicit_values: explicit_values.clone(),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// What flags and variables say goes before the file; their defaults do not.
+    /// Overrides `settings` with the values of flags and variables that were given, but not with their defaults.
     fn apply_overrides(&mut self, mut settings: Settings) -> Settings {
         self.override_value("operator-listen", &mut settings.operator_listen);
         self.override_value(
--- a/src/node/settings/specs.rs
+++ b/src/node/settings/specs.rs
@@ -1,42 +1,42 @@
-//! The table of every setting of a node: flag, default, and the line of help for each.
+//! The table of all settings of a node: flag, default and help text of each.
 
 use std::fmt::Debug;
 use std::str::FromStr;
 
-/// One setting: its flag, its environment variable, and what it is for.
+/// One setting, which can be given as a flag or as an environment variable.
 #[derive(Clone, Copy, Debug)]
 pub struct Spec {
-    /// Flag without dashes.
+    /// Name of the flag, without the leading dashes.
     pub flag: &'static str,
-    /// Value placeholder for the help text.
+    /// Placeholder for the value in the help text.
     pub value_name: &'static str,
-    /// Used when neither flag nor variable is given; empty for none.
+    /// Value if neither the flag nor the variable is given; empty if there is no default.
     pub default: &'static str,
-    /// What it is for.
+    /// Description in the help text.
     pub help: &'static str,
 }
 
 impl Spec {
-    /// The environment variable: the flag in capitals behind a prefix.
+    /// Returns the name of the environment variable: `DRAGONFLYWALL_` and the flag in capitals.
     pub fn variable(&self) -> String {
         let upper = self.flag.to_uppercase().replace('-', "_");
         format!("DRAGONFLYWALL_{upper}")
     }
 
-    /// The setting of a flag that the node reads.
+    /// Returns the setting of a flag. Panics if there is none.
     pub(crate) fn for_flag(flag: &str) -> &'static Self {
         let spec = SPECS.iter().find(|spec| spec.flag == flag);
-        spec.expect("every flag that is read has a spec")
+        spec.expect("every flag that is read is in `SPECS`")
     }
 }
 
-/// The default of a setting that has one.
+/// Returns the parsed default of a setting. Panics if it has none of this type.
 pub(crate) fn default_value<T: FromStr<Err: Debug>>(flag: &str) -> T {
     let parsed = Spec::for_flag(flag).default.parse();
-    parsed.expect("defaults are of their setting's type")
+    parsed.expect("the default has the type of its setting")
 }
 
-/// Every setting of a node.
+/// All settings of a node, in the order of the help text.
 pub const SPECS: &[Spec] = &[
     Spec {
         flag: "config",
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What the actors and tasks of a node share with each other.
+//! State that the actors and tasks of a node share.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock};
@@ -20,28 +20,29 @@
 use crate::proxy::state::{ProxyState, lock};
 use crate::proxy::vocabulary::{self, Vocabulary};
 
-/// Shared by every task of the node; requests see [`ProxyState`] alone.
+/// Shared state of the control actors and tasks. Code that serves requests uses only [`ProxyState`].
 #[derive(Debug)]
 pub(crate) struct NodeState {
-    /// What requests read.
+    /// State that requests read and write.
     pub(crate) proxy: Arc<ProxyState>,
     announcements: Mutex<Announcements>,
-    /// The backend server has said something new.
+    /// Notified when the announced state of the backend server changes, so that the node's row in the store
+    /// is rewritten.
     pub(crate) backend_changed: Notify,
     membership: OnceLock<ActorRef<MembershipMsg>>,
-    /// The operator has drained the backend server; an announcement does not undo that.
+    /// Whether an operator has drained the backend server. Later announcements do not undo that.
     pub(crate) drained_by_operator: AtomicBool,
-    /// Connections for control traffic.
+    /// Connections to other nodes for control traffic.
     pub(crate) control_pool: PeerPool,
-    /// Why nothing is enforced, or not enough.
+    /// Why no configuration may be enforced yet, or none that is new enough; readiness checks report it.
     pub(crate) blocked_reason: ArcSwap<Option<&'static str>>,
-    /// Newest version whose content is here; peers that follow this node wait on it.
+    /// Newest version whose content this node holds. Calls from nodes that follow this one wait for it.
     pub(crate) held_version: watch::Sender<Version>,
-    /// The nodes of this data centre that read the store for the others.
+    /// The ranked lead nodes of this data centre, which read the store for the others.
     pub(crate) leads: watch::Sender<Leads>,
-    /// The node that this one hears of new versions from; none while it reads the store itself.
+    /// The lead node from which this node receives new versions; none while it reads the store itself.
     pub(crate) followed_node: watch::Sender<Option<NodeId>>,
-    /// Reads of the store fail here.
+    /// Whether this node's reads of the store fail, so that followers should choose another lead node.
     pub(crate) store_failing: watch::Sender<bool>,
 }
 
@@ -69,31 +70,34 @@
         })
     }
 
-    /// Shares of the time within which a version is to be in force.
+    /// Time limits of each step from the acceptance of a version to its enforcement, derived from the
+    /// `apply-within-ms` setting.
     pub(crate) fn budget(&self) -> Budget {
         Budget::new(self.proxy.tunable.load().apply_within_ms)
     }
 
-    /// Lets [`Self::send_to_membership`] and the request path reach the actor.
+    /// Sets the membership actor that [`Self::send_to_membership`] and the request path send messages to.
     pub(crate) fn set_membership(&self, membership: ActorRef<MembershipMsg>) {
         let loss_receiver = membership.clone();
         self.proxy.backend_lost.set(move |service| {
-            // The actor is gone only while the process ends.
+            // Sending fails only while the process is shutting down.
             let _ =
                 loss_receiver.cast(MembershipMsg::SetBackend(Some(service), BackendState::Gone));
         });
-        // Set once, when the node starts.
+        // Called once, when the node starts.
         let _ = self.membership.set(membership);
     }
 
-    /// Sends the membership actor a message; without it the process is starting or ending.
+    /// Sends a message to the membership actor. Does nothing if the actor is not running, which is the case
+    /// only during start and shutdown.
     pub(crate) fn send_to_membership(&self, message: MembershipMsg) {
         if let Some(membership) = self.membership.get() {
             let _ = membership.cast(message);
         }
     }
 
-    /// Whether the backend server gets no new work by an operator's or the system's will.
+    /// Whether the backend server must get no new requests because an operator drains it or the node shuts
+    /// down.
     pub(crate) fn is_stopping(&self) -> bool {
         self.drained_by_operator.load(Ordering::Acquire) || self.proxy.leaving.is_cancelled()
     }
--- a/src/node/store.rs
+++ b/src/node/store.rs
@@ -1,4 +1,4 @@
-//! Reads of the head and of content from the platform, as a node makes them.
+//! Reads the accepted head and the content of versions from the platform's store.
 
 use std::time::Instant;
 
@@ -9,23 +9,24 @@
 use crate::store::rows::VersionRow;
 use crate::util::clock;
 
-/// Longest chain of deltas read from the store instead of the snapshot: publications in a burst.
+/// Most versions that are read as a chain of deltas instead of a snapshot; enough for a burst of publications.
 const MAX_DELTA_CHAIN: usize = 4;
 
-/// The accepted stamp, if the platform told it, and how long that took in milliseconds.
+/// Reads the stamp of the accepted head, nothing if the read fails; also returns how long the read took, in
+/// milliseconds.
 pub(crate) async fn read_head(store: &HttpStore) -> (Option<Stamp>, u64) {
     let started = Instant::now();
     let head = accepted::head(store).await;
     if let Err(error) = &head {
-        log::debug!(error:%; "reading the head failed");
+        log::debug!(error:%; "cannot read the head from the store");
     }
     let result = if head.is_ok() { "read" } else { "failed" };
     metrics::counter!("dragonflywall_head_reads_total", "result" => result).increment(1);
     (head.ok().map(|head| head.stamp), clock::since_ms(started))
 }
 
-/// The content of `want`: the deltas from `held` where they are few, else the snapshot. Its age is not
-/// known here.
+/// Reads the content of `want`: the deltas since `held` if there are at most [`MAX_DELTA_CHAIN`], else the
+/// snapshot. The store does not say when a version was accepted, so the age of the offer is 0.
 pub(crate) async fn read_offer(store: &HttpStore, held: Stamp, want: Stamp) -> Option<Offer> {
     let newest = accepted::version_row(store, want.version).await.ok()?;
     let stamp = newest.stamp;
@@ -46,7 +47,8 @@
     })
 }
 
-/// The rows from the one after `held` to `newest`, oldest first, if they are few.
+/// Reads the version rows after `held` up to `newest`, oldest first. Returns nothing if there are more than
+/// [`MAX_DELTA_CHAIN`], or if their parents do not lead back to `held`.
 async fn rows_since(store: &HttpStore, held: Stamp, newest: VersionRow) -> Option<Vec<VersionRow>> {
     let behind = newest.stamp.version.0.checked_sub(held.version.0)?;
     if held.version == Version::NONE || behind > MAX_DELTA_CHAIN as u64 {
--- a/tests/testsuite/users_settings.rs
+++ b/tests/testsuite/users_settings.rs
@@ -125,7 +125,7 @@
     let text = mesh.settings_text(0);
     let path = mesh.settings_path(0);
     std::fs::write(path, text.replace("grace=6s", "grace=7s")).expect("the file is written");
-    let line = wait_for_line(&mut lines, "read the settings file again").await;
+    let line = wait_for_line(&mut lines, "reloaded the settings file").await;
     assert!(line.contains("\"changed\":true"), "{line}");
     std::fs::write(path, &text[..text.len() / 2]).expect("the file is written");
     mesh.vms[0].node().signal(Signal::Hangup);
@@ -134,6 +134,6 @@
     assert!(serves(&mesh).await);
     std::fs::write(path, &text).expect("the file is written");
     mesh.vms[0].node().signal(Signal::Hangup);
-    wait_for_line(&mut lines, "read the settings file again").await;
+    wait_for_line(&mut lines, "reloaded the settings file").await;
     wait_until("it serves on", LIMIT, || serves(&mesh)).await;
 }
