--- a/tests/testsuite/logs.rs
+++ b/tests/testsuite/logs.rs
@@ -1,4 +1,4 @@
-//! What the log tells an operator after a failure.
+//! Log lines that operators need after a failure, and logging without a reader.
 
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader};
@@ -18,9 +18,8 @@
     users_routes, vms_of, write_routes,
 };
 
-/// In the night the platform is down for a while, a VM dies, and its replacement starts meanwhile. In
-/// the morning the operator finds the death in its neighbours' logs, and the outage with its
-/// beginning and its end in that of the node that looked for the platform most.
+/// The platform is unavailable for a while, and a node is killed and restarted in that time. Guards against
+/// logs that lack the death of the node or the start and end of the outage.
 #[tokio::test(flavor = "multi_thread")]
 async fn platform_outage_and_member_death_are_logged() {
     const VICTIM: usize = 1;
@@ -32,12 +31,13 @@
         down: true,
         ..Faults::default()
     });
-    let mut victim = mesh.vms[VICTIM].node.take().expect("it runs");
+    let mut victim = mesh.vms[VICTIM].node.take().expect("the node runs");
     victim.signal(Signal::Kill);
-    victim.ended().await.expect("it ends");
+    victim.ended().await.expect("the node exits");
     wait_for_line(&mut lines, |line| line.text.contains("member is dead")).await;
-    mesh.start_node(VICTIM).await.expect("it starts");
-    // Others look too, but some of them seldom; a node that starts looks about every second.
+    mesh.start_node(VICTIM).await.expect("the node starts");
+    // A node that starts reads the store about once a second, and so logs the outage soon; other nodes read it less
+    // often.
     let line_of_victim = |text: &'static str| {
         move |line: &LogLine| line.position == VICTIM && line.text.contains(text)
     };
@@ -47,9 +47,9 @@
     wait_for_line(&mut lines, line_of_victim("the platform answers again")).await;
 }
 
-/// A payment is refused in the night: every endpoint of its service was being drained. The dealer
-/// complains with the id of the payment, and the operator finds under it, at the node that took it,
-/// where it was placed, what became of each attempt, and how it ended.
+/// A request is refused because every endpoint of its service is draining. Guards against a log from which an
+/// operator cannot find, by the request id, where the request was sent, why it was refused and under which
+/// version.
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_request_is_logged_with_its_id_and_reason() {
     let (sender, mut lines) = mpsc::unbounded_channel();
@@ -60,10 +60,10 @@
     for position in vms_of(&mesh, "cobros") {
         let operator = mesh.vms[position].node().addresses.operator;
         let drained = request(operator, Method::POST, "node", "/drain", &[], "").await;
-        drained.expect("the node answers");
+        drained.expect("the node responds");
     }
     let reply = ask(entry, Method::POST, "cobros", "/payments/1", "complaint").await;
-    assert_eq!(reply.expect("the node answers").status, 503);
+    assert_eq!(reply.expect("the node responds").status, 503);
     let ended = wait_for_line(&mut lines, |line| {
         let fields = fields(line);
         fields["request_id"] == "complaint" && fields["took_ms"].is_u64() && is_entry_log(line)
@@ -75,7 +75,7 @@
     assert!(fields["version"].as_u64() > Some(0), "{fields}");
 }
 
-/// From one node's log and metrics an operator sees by which way a version came and how old it was.
+/// Guards against logs and metrics of a node that lack the source of a version or its age.
 #[tokio::test(flavor = "multi_thread")]
 async fn source_of_each_version_is_logged() {
     let (sender, mut lines) = mpsc::unbounded_channel();
@@ -84,7 +84,8 @@
     plan.log_lines = Some(sender);
     let mesh = start_users_serving(plan).await;
     let mut sources = BTreeSet::new();
-    // A node that has just started reads the store itself until it knows its lead.
+    // A node reads the store itself after its start, until it knows its lead. So the first versions may come from
+    // the store alone.
     for version in 2.. {
         write_routes(&mesh, version, &users_routes(), &SERVICES);
         mesh.wait_enforced(version).await;
@@ -112,7 +113,7 @@
     }
 }
 
-/// A lead that the store refuses says so in its log, with how long each read took.
+/// Guards against failed reads of the store that a lead does not log with their error and duration.
 #[tokio::test(flavor = "multi_thread")]
 async fn failed_store_reads_are_logged() {
     let (sender, mut lines) = mpsc::unbounded_channel();
@@ -127,8 +128,8 @@
     assert!(fields["error"].is_string(), "{fields}");
 }
 
-/// Whoever collects a node's log stops reading. The pipe fills, and were a line written by whoever
-/// logs it, the next request that is refused would wait for ever, and all behind it.
+/// The reader of a node's log stops reading, and the pipe fills. Guards against log lines that are written by the
+/// task that logs them, which would block requests for ever.
 #[tokio::test(flavor = "multi_thread")]
 async fn unread_log_output_blocks_no_request() {
     const REQUESTS: usize = 3_000;
@@ -141,24 +142,25 @@
         answered += 1;
     }
     assert_eq!(answered, REQUESTS);
-    wait_until("lines were dropped and counted", LIMIT, || async {
+    wait_until("dropped log lines are counted", LIMIT, || async {
         let text = metrics(node.operator).await;
         text.contains("dragonflywall_log_lines_dropped_total")
     })
     .await;
 }
 
-/// Killed when dropped, as its output is not read.
+/// A process whose output is not read any more; killed when dropped.
 struct UnreadProcess(Child);
 
 impl Drop for UnreadProcess {
     fn drop(&mut self) {
-        self.0.kill().expect("it is our child");
-        self.0.wait().expect("it is our child");
+        self.0.kill().expect("the process can be killed");
+        self.0.wait().expect("the process exits");
     }
 }
 
-/// A node without a platform, which refuses everything. Its output is read up to its addresses.
+/// Starts a node that reaches no platform and so refuses all requests. Its output is read only up to the line with
+/// its addresses.
 fn start_node_with_unread_output() -> (UnreadProcess, Addresses) {
     let arguments = [
         "node",
@@ -176,7 +178,7 @@
         .stdout(Stdio::piped())
         .spawn();
     let mut child = UnreadProcess(child.expect("the program starts"));
-    let stdout = child.0.stdout.as_mut().expect("it is piped");
+    let stdout = child.0.stdout.as_mut().expect("the output is piped");
     let mut lines = BufReader::with_capacity(1, stdout).lines();
     let addresses = lines.find_map(|line| {
         let line = line.expect("the node prints text");
@@ -207,5 +209,5 @@
         None
     };
     let found = tokio::time::timeout(LIMIT, found).await;
-    found.ok().flatten().expect("the line comes")
+    found.ok().flatten().expect("the expected line is logged")
 }
--- a/tests/testsuite/token.rs
+++ b/tests/testsuite/token.rs
@@ -1,4 +1,4 @@
-//! Who may speak at the peer and operator listeners.
+//! Authentication by the mesh token at the peer and operator listeners.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -15,7 +15,7 @@
 const OLD_SECRET: &str = "previous-horse-battery";
 
 fn any_port() -> SocketAddr {
-    "127.0.0.1:0".parse().expect("a constant address")
+    "127.0.0.1:0".parse().expect("the address is valid")
 }
 
 async fn start_node(platform: &Platform, backend: &Backend) -> NodeProcess {
@@ -33,15 +33,16 @@
     node.expect("the node starts")
 }
 
-/// A process that is no part of the mesh reaches a node's peer listener and sends a payment marked
-/// as coming from another node, past admission of any entry; or asks the operator listener to
-/// change the backend server. Without the check of the token both take effect. Either secret of a
-/// rotation is accepted, and readiness is open to whoever replaces VMs.
+/// Guards against a process outside the mesh that sends a request to the peer listener with the headers of another
+/// node, and so bypasses the checks at the node that callers connect to, or that uses the operator listener. Both
+/// secrets of a token rotation are accepted. `/ready` needs no token, as the system that replaces VMs has none.
 #[tokio::test]
 async fn requests_without_the_mesh_token_are_refused() {
-    let platform = Platform::start(any_port()).await.expect("it starts");
+    let platform = Platform::start(any_port())
+        .await
+        .expect("the platform starts");
     let backend = Backend::start(any_port(), "cobros-0", Behaviour::default()).await;
-    let backend = backend.expect("it starts");
+    let backend = backend.expect("the backend server starts");
     let node = start_node(&platform, &backend).await;
     let operator = node.addresses.operator;
 
@@ -50,34 +51,36 @@
         ("x-dragonflywall-service", "cobros"),
     ];
     let peer = node.addresses.peer;
-    let client = Http2::connect(peer).await.expect("it listens");
+    let client = Http2::connect(peer)
+        .await
+        .expect("the peer listener accepts connections");
     let reply = client.request_with(Method::POST, "cobros", "/payments", &forged_headers);
-    let reply = reply.await.expect("an answer");
+    let reply = reply.await.expect("the node responds");
     assert_eq!(reply.status, 401);
     assert_eq!(reply.header(VERDICT), "not-run");
     assert!(backend.record().runs.is_empty());
 
     for path in ["/status", "/metrics", "/backend-server"] {
         let reply = request(operator, Method::GET, "node", path, &[], "").await;
-        assert_eq!(reply.expect("an answer").status, 401, "{path}");
+        assert_eq!(reply.expect("the node responds").status, 401, "{path}");
     }
     let wrong_token = [("x-dragonflywall-token", "wrong-horse-battery")];
     let reply = request(operator, Method::GET, "node", "/status", &wrong_token, "").await;
-    assert_eq!(reply.expect("an answer").status, 401);
+    assert_eq!(reply.expect("the node responds").status, 401);
     for secret in [SECRET, OLD_SECRET] {
         let headers = [("x-dragonflywall-token", secret)];
         let reply = request(operator, Method::GET, "node", "/status", &headers, "").await;
-        assert_eq!(reply.expect("an answer").status, 200, "{secret}");
+        assert_eq!(reply.expect("the node responds").status, 200, "{secret}");
     }
     let reply = request(operator, Method::GET, "node", "/ready", &[], "").await;
     assert_eq!(
-        reply.expect("an answer").status,
+        reply.expect("the node responds").status,
         503,
-        "open, and not ready yet"
+        "no token is needed, but the node is not ready"
     );
 }
 
-/// An operator forgets the token on a VM whose listeners face the network: the node does not start.
+/// Guards against a node that starts without a token although its listeners are reachable from the network.
 #[tokio::test]
 async fn non_loopback_listeners_require_a_token() {
     let arguments = [
--- a/tests/testsuite/users_configuration.rs
+++ b/tests/testsuite/users_configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations that the users' operators write into the store, on their way to every node.
+//! Distribution of configurations that operators write into the store of the users' platform.
 
 use std::time::{Duration, Instant};
 
@@ -17,11 +17,11 @@
 
 async fn status_of(mesh: &Mesh, position: usize, path: &str) -> StatusCode {
     let reply = mesh.ask(position, &Asked::get(path, "probe")).await;
-    reply.expect("the node answers").status
+    reply.expect("the node responds").status
 }
 
-/// A service team moves a route, adds one and drops one. Once the version is in force everywhere, every
-/// node sends requests where it says, and answers 404 for what it no longer has.
+/// A version changes the target of one route and the prefix of another. Guards against nodes that enforce only a part
+/// of the version: each must use the new target and prefix, and answer 404 for the old prefix.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_node_enforces_all_changes_of_a_version() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -33,7 +33,7 @@
     for position in 0..mesh.vms.len() {
         let id = format!("moved-{position}");
         let reply = mesh.ask(position, &Asked::get("/stock/1", &id)).await;
-        assert_eq!(reply.expect("it is answered").status, 200);
+        assert_eq!(reply.expect("the request gets a response").status, 200);
         let runs = users_runs(&mesh, &id);
         assert_eq!(mesh.vms[runs[0]].service, SERVICES[1]);
         assert_eq!(status_of(&mesh, position, "/sheets/1").await, 404);
@@ -41,7 +41,8 @@
     }
 }
 
-/// The longest prefix that begins the path takes a request, and a route of another host never does.
+/// Guards against requests that do not use the route with the longest prefix of their path, or that use a route of
+/// another host.
 #[tokio::test(flavor = "multi_thread")]
 async fn host_and_longest_prefix_select_the_route() {
     let mesh = start_users(Plan::new(&SERVICES)).await;
@@ -57,7 +58,7 @@
     mesh.wait_serving().await;
     let service_that_ran = async |path: &str, id: &str| {
         let reply = mesh.ask(0, &Asked::get(path, id)).await;
-        assert_eq!(reply.expect("it is answered").status, 200);
+        assert_eq!(reply.expect("the request gets a response").status, 200);
         mesh.vms[users_runs(&mesh, id)[0]].service.clone()
     };
     assert_eq!(service_that_ran("/stock/salt/1", "long").await, SERVICES[1]);
@@ -68,7 +69,7 @@
     );
 }
 
-/// A canary gets a tenth of a route's requests, from each node.
+/// Guards against a weighted route whose shares of requests differ from its weights; here a canary has 10%.
 #[tokio::test(flavor = "multi_thread")]
 async fn split_route_follows_its_weights() {
     const REQUESTS: usize = 60;
@@ -82,15 +83,15 @@
     for number in 0..REQUESTS {
         let id = format!("split-{number}");
         let reply = mesh.ask(0, &Asked::get("/stock/1", &id)).await;
-        assert_eq!(reply.expect("it is answered").status, 200);
+        assert_eq!(reply.expect("the request gets a response").status, 200);
         let ran = users_runs(&mesh, &id)[0];
         canary += usize::from(mesh.vms[ran].service == SERVICES[1]);
     }
     assert!((4..=8).contains(&canary), "{canary} of {REQUESTS}");
 }
 
-/// The store serves some nodes and turns others away, in each of its ways, the lead of a data centre
-/// among them. A version that is written meanwhile still comes to all of them.
+/// The store fails for half of the nodes, in each of its ways to fail, also for leads of data centres. Guards against
+/// nodes that do not receive a version written in that time.
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_refused_by_the_store_receive_new_versions() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -101,7 +102,7 @@
         Trouble::Silent,
     ];
     for (number, trouble) in troubles.into_iter().enumerate() {
-        // One of the two VMs of each data centre; each of the two in turn.
+        // Selects one of the two VMs of each data centre, alternately.
         for vm in mesh.vms.iter().skip(number % 2).step_by(2) {
             mesh.store.set_trouble_for(vm.ip, trouble);
         }
@@ -114,7 +115,8 @@
     }
 }
 
-/// Guards against a node that waits anew with each version that it hears of and enforces none.
+/// Guards against a node that restarts its wait with each new version and so enforces none while versions are
+/// frequent.
 #[tokio::test(flavor = "multi_thread")]
 async fn frequent_versions_reach_a_data_centre_refused_by_the_store() {
     const GAP: Duration = Duration::from_millis(100);
@@ -145,7 +147,8 @@
     }
 }
 
-/// Guards against a data centre whose nodes all read the store because its lead cannot.
+/// Guards against a data centre in which all nodes read the store when its lead cannot; one of them must replace the
+/// lead.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_node_replaces_a_lead_refused_by_the_store() {
     const LAST: u64 = 12;
@@ -159,7 +162,7 @@
         .filter(|position| *position != lead)
         .collect();
     let first = mesh.status(lead).await["node"].clone();
-    wait_until("the others have another lead", LIMIT, || async {
+    wait_until("the other nodes follow another lead", LIMIT, || async {
         let mut following = 0;
         for position in &others {
             let follows = mesh.status(*position).await["follows"].clone();
@@ -182,7 +185,8 @@
     assert_eq!(readers.count(), 1, "{before:?} {after:?}");
 }
 
-/// Guards against a node that, turning from its lead to the store, is sent every version since its last read.
+/// Guards against a node that switches from its lead to the store and then reads every version since its last read of
+/// the store.
 #[tokio::test(flavor = "multi_thread")]
 async fn node_switching_to_the_store_reads_only_the_newest_version() {
     const LAST: u64 = 30;
@@ -208,7 +212,7 @@
     assert!(rows < LEAST_ROWS_OF_HISTORY, "{rows} rows in one answer");
 }
 
-/// The store forgets its history between two versions; nobody misses the second one.
+/// The store drops its history between two versions. Guards against nodes that miss the second version.
 #[tokio::test(flavor = "multi_thread")]
 async fn dropped_store_history_loses_no_version() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -221,8 +225,8 @@
     mesh.wait_enforced(3).await;
 }
 
-/// Somebody writes rows that are no configuration: cut short, with a service that is not there, with a
-/// negative time. What is in force stays in force, and the next whole one comes through.
+/// Rows with an invalid configuration are written: truncated, with an unknown service, with a negative timeout. Guards
+/// against nodes that enforce one of these, or that do not enforce the next valid version.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_configuration_is_not_enforced() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -243,8 +247,8 @@
     }
 }
 
-/// Versions come many a second. No node is ever seen with an older one than before, and all end with the
-/// last.
+/// Many versions are written per second. Guards against a node that goes back to an older version or does not reach
+/// the last one.
 #[tokio::test(flavor = "multi_thread")]
 async fn enforced_version_never_decreases_under_frequent_updates() {
     const LAST: u64 = 40;
@@ -261,8 +265,9 @@
     mesh.wait_enforced(LAST).await;
 }
 
-/// The store is away when a node is started again. Its neighbours hand it the configuration, and not an
-/// older one than it had; once the store is back it follows that.
+/// A node is killed and restarted while the store is unavailable. Guards against a node that does not get the
+/// configuration from its peers, that enforces an older version than before, or that does not follow the store once it
+/// is available again.
 #[tokio::test(flavor = "multi_thread")]
 async fn node_started_during_a_store_outage_gets_configuration_from_peers() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -270,9 +275,9 @@
     mesh.wait_enforced(2).await;
     for trouble in [Trouble::Busy, Trouble::Silent] {
         mesh.store.set_trouble(trouble);
-        mesh.kill_node(0).await.expect("it ends");
-        mesh.start_node(0).await.expect("it starts");
-        wait_until("the node serves again", LIMIT, || async {
+        mesh.kill_node(0).await.expect("the node exits");
+        mesh.start_node(0).await.expect("the node starts");
+        wait_until("the node serves requests again", LIMIT, || async {
             let reply = mesh.ask(0, &Asked::get("/stock/1", "again")).await;
             reply.is_ok_and(|reply| reply.status == 200)
         })
@@ -284,44 +289,49 @@
     mesh.wait_enforced(3).await;
 }
 
-/// The store is away when a node is stopped as planned and started again. It has said goodbye, so nobody
-/// expects it, and it knows nobody itself: there are no seeds, and the rows by which nodes find each
-/// other lie in the store. The others look for it, and it serves again with what they enforce.
+/// A node is stopped gracefully and restarted while the store is unavailable. It finds no peer, since it has no seeds
+/// and cannot read the registrations in the store, and its peers know that it has left. Guards against peers that do
+/// not contact departed nodes again, which would leave this node without a configuration.
 #[tokio::test(flavor = "multi_thread")]
 async fn node_restarted_during_a_store_outage_is_rediscovered_by_peers() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     mesh.store.set_trouble(Trouble::Silent);
     mesh.vms[0].node().signal(Signal::Terminate);
-    mesh.end_node(0).await.expect("it ends");
-    mesh.start_node(0).await.expect("it starts");
-    wait_until("the node serves again", LIMIT, || async {
+    mesh.end_node(0).await.expect("the node exits");
+    mesh.start_node(0).await.expect("the node starts");
+    wait_until("the node serves requests again", LIMIT, || async {
         let reply = mesh.ask(0, &Asked::get("/stock/1", "again")).await;
         reply.is_ok_and(|reply| reply.status == 200)
     })
     .await;
 }
 
-/// A node without any configuration must not say that a route does not exist: 503, and come again.
+/// Guards against a node without a configuration that answers 404, as if the route did not exist, instead of 503 with
+/// `retry-after`.
 #[tokio::test(flavor = "multi_thread")]
 async fn node_without_configuration_answers_503() {
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
     let mesh = start_users(plan).await;
     let reply = mesh.ask(0, &Asked::get("/stock/1", "early")).await;
-    let reply = reply.expect("it is answered");
+    let reply = reply.expect("the request gets a response");
     assert_eq!(reply.status, 503);
-    let seconds: f64 = reply.header("retry-after").parse().expect("it is told");
+    let seconds: f64 = reply
+        .header("retry-after")
+        .parse()
+        .expect("the header is a number");
     assert!(seconds > 0.0, "{seconds}");
     let ready = mesh.vms[0]
         .node()
         .addresses
         .ready
-        .expect("it is asked there");
+        .expect("the node has a readiness address");
     let ready = testkit::http::request(ready, Method::GET, "node", "/-/readyz", &[], "").await;
-    assert_eq!(ready.expect("it is answered").status, 503);
+    assert_eq!(ready.expect("the request gets a response").status, 503);
 }
 
-/// Asks on an open connection; false if it is closed instead of answered.
+/// Sends a request on an open connection. Returns false if it is not answered with 200, as when the connection is
+/// closed.
 async fn answers(stream: &mut TcpStream) -> bool {
     let request = format!("GET /stock/1?bytes=10 HTTP/1.1\r\nhost: {HOST}\r\n\r\n");
     if stream.write_all(request.as_bytes()).await.is_err() {
@@ -332,8 +342,8 @@
     read.is_ok_and(|count| answer[..count].starts_with(b"HTTP/1.1 200"))
 }
 
-/// Operators let connections be idle for longer. A caller that has been idle since before knows of the
-/// new time and uses its connection again after the old one: it is still there.
+/// A version lengthens the idle timeout. Guards against open idle connections that are still closed after the old
+/// timeout.
 #[tokio::test(flavor = "multi_thread")]
 async fn longer_idle_timeout_applies_to_idle_connections() {
     const OLD_MS: u32 = 3_000;
@@ -345,12 +355,17 @@
     write(2, OLD_MS);
     mesh.wait_enforced(2).await;
     let entry = mesh.vms[0].node().addresses.caller;
-    let mut stream = TcpStream::connect(entry).await.expect("it listens");
+    let mut stream = TcpStream::connect(entry)
+        .await
+        .expect("the node accepts connections");
     assert!(answers(&mut stream).await);
     let idle_since = Instant::now();
     write(3, 60_000);
     mesh.wait_enforced(3).await;
     let old = Duration::from_millis(u64::from(OLD_MS));
     tokio::time::sleep_until((idle_since + 2 * old).into()).await;
-    assert!(answers(&mut stream).await, "closed after the old time");
+    assert!(
+        answers(&mut stream).await,
+        "the connection was closed after the old timeout"
+    );
 }
--- a/tests/testsuite/users_settings.rs
+++ b/tests/testsuite/users_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of the users' platform, at the start and while a node runs.
+//! The settings file of the users' platform: parsing, overrides, defaults and reloading.
 
 use dragonflywall::node::{self, Settings};
 use testkit::http::wait_until;
@@ -14,8 +14,8 @@
     plan
 }
 
-/// A settings file that was written by hand has three faults. The node names all of them at once and ends
-/// with 2, before it listens anywhere.
+/// Guards against a node that starts with an invalid settings file, or that reports only the first problem. It exits
+/// with code 2. Unknown keys are ignored. Flags for settings that the file contains are refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_settings_file_is_refused_with_all_problems() {
     let mesh = start_users_serving(single_data_centre_plan()).await;
@@ -24,10 +24,15 @@
         .replace("zone = ", "zon = ")
         .replace("form = \"table\"", "form = \"table\"\naddress2 = 5")
         .replace("ip = \"", "ip = \"x");
-    let directory = tempfile::TempDir::new().expect("there is room for files");
+    let directory = tempfile::TempDir::new().expect("a temporary directory can be created");
     let path = directory.path().join("settings.toml");
     std::fs::write(&path, invalid_text).expect("the file is written");
-    let output = command(&["node", "--config", path.to_str().expect("UTF-8")]).await;
+    let output = command(&[
+        "node",
+        "--config",
+        path.to_str().expect("the path is UTF-8"),
+    ])
+    .await;
     assert_eq!(output.status.code(), Some(2));
     let error = String::from_utf8_lossy(&output.stderr);
     assert!(error.contains("`zone` is missing"), "{error}");
@@ -39,7 +44,7 @@
     let output = command(&[
         "node",
         "--config",
-        path.to_str().expect("UTF-8"),
+        path.to_str().expect("the path is UTF-8"),
         "--region=norte",
     ])
     .await;
@@ -50,33 +55,33 @@
     );
 }
 
-/// Guards against a file that undoes what an operator has set beside it.
+/// Guards against a settings file that overrides the values of flags and environment variables.
 #[tokio::test(flavor = "multi_thread")]
 async fn flags_and_variables_override_the_file() {
     let mesh = start_users_serving(single_data_centre_plan()).await;
-    let path = mesh.settings_path(0).to_str().expect("UTF-8");
+    let path = mesh.settings_path(0).to_str().expect("the path is UTF-8");
     let arguments = ["--config", path, "--retry-percent=5", "--memory-mb=64"];
     let arguments = arguments.iter().map(|flag| (*flag).into());
     let variable = |name: &str| (name == "DRAGONFLYWALL_STOP_LEAST_MS").then(|| "900".to_owned());
-    let settings = node::settings::parse(arguments, variable).expect("they are right");
+    let settings = node::settings::parse(arguments, variable).expect("the settings are valid");
     assert_eq!(settings.retry_percent, 5);
     assert_eq!(settings.memory_mb, Some(64));
     assert_eq!(settings.stop_least_ms, 900);
     let arguments = ["--config", path, "--retry-percent=many", "--region=sul"];
     let arguments = arguments.iter().map(|flag| (*flag).into());
-    let error = node::settings::parse(arguments, |_| None).expect_err("two are wrong");
+    let error = node::settings::parse(arguments, |_| None).expect_err("two flags are invalid");
     assert_eq!(error.problems.len(), 2, "{error}");
 }
 
-/// Guards against defaults that differ between a node's own settings and the platform's file.
+/// Guards against defaults that differ between settings from flags and settings from the platform's file.
 #[tokio::test(flavor = "multi_thread")]
 async fn file_and_flags_have_the_same_defaults() {
     let mesh = start_users_serving(single_data_centre_plan()).await;
     let settings = |flags: &[&str]| {
         let arguments = flags.iter().map(|flag| (*flag).into());
-        node::settings::parse(arguments, |_| None).expect("they are right")
+        node::settings::parse(arguments, |_| None).expect("the settings are valid")
     };
-    let path = mesh.settings_path(0).to_str().expect("UTF-8");
+    let path = mesh.settings_path(0).to_str().expect("the path is UTF-8");
     let from_file = settings(&["--config", path]);
     let from_flags = settings(&[
         "--region=norte",
@@ -106,7 +111,7 @@
     };
     let found = tokio::time::timeout(LIMIT, found).await;
     let found = found.ok().flatten();
-    found.unwrap_or_else(|| panic!("no line says {text}"))
+    found.unwrap_or_else(|| panic!("no log line contains {text}"))
 }
 
 async fn serves(mesh: &Mesh) -> bool {
@@ -114,8 +119,8 @@
     reply.is_ok_and(|reply| reply.status == 200)
 }
 
-/// The platform changes a settings file, with a signal or without. What may change does; a file that is
-/// only half there changes nothing and says so in one line, and the node serves on.
+/// Guards against a changed settings file that is not reloaded, with or without SIGHUP, and against a truncated file
+/// that changes settings or stops the node. The node logs its problems and keeps the old settings.
 #[tokio::test(flavor = "multi_thread")]
 async fn changed_settings_file_is_reloaded() {
     let (sender, mut lines) = mpsc::unbounded_channel();
@@ -135,5 +140,5 @@
     std::fs::write(path, &text).expect("the file is written");
     mesh.vms[0].node().signal(Signal::Hangup);
     wait_for_line(&mut lines, "reloaded the settings file").await;
-    wait_until("it serves on", LIMIT, || serves(&mesh)).await;
+    wait_until("the node still serves requests", LIMIT, || serves(&mesh)).await;
 }
--- a/tests/testsuite/users_stops.rs
+++ b/tests/testsuite/users_stops.rs
@@ -1,4 +1,4 @@
-//! Backend servers that leave, and nodes that stop, on the users' platform.
+//! Draining backend servers, stopped, killed and restarted nodes on the users' platform.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,8 +12,8 @@
 
 use crate::support::{LIMIT, SERVICES, start_users_serving, users_runs};
 
-/// Asks through every node but one of them, one request after the other, until told to stop; returns the
-/// ids that were not answered with 200.
+/// Sends requests one after the other, through all nodes in turn except `excluded`, until `stop` is set. Returns the ids
+/// of the requests that were not answered with 200.
 async fn send_until_stopped(mesh: &Mesh, excluded: usize, stop: &AtomicBool) -> Vec<String> {
     let mut failed = Vec::new();
     let mut number = 0;
@@ -34,8 +34,8 @@
     failed
 }
 
-/// A backend server says that it will leave, and its node acknowledges that. From then on it is sent
-/// nothing, whoever asks, although bookings come all the time; none of them fails for it.
+/// A backend server announces that it is draining while requests arrive continuously. Guards against a node that still
+/// sends it requests after the acknowledgement, and against requests that fail because of the draining.
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_backend_server_gets_no_requests_after_acknowledgement() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -44,9 +44,11 @@
     let (failed, acknowledged_at) =
         tokio::join!(send_until_stopped(&mesh, usize::MAX, &stop), async {
             let vm = &mesh.vms[leaving];
-            wait_until("it has work", LIMIT, || async {
-                vm.backend().record().last_reached.is_some()
-            })
+            wait_until(
+                "the backend server has received a request",
+                LIMIT,
+                || async { vm.backend().record().last_reached.is_some() },
+            )
             .await;
             vm.set_announced(Announced::Draining);
             let acknowledged = vm
@@ -55,26 +57,30 @@
                 .await;
             assert!(acknowledged);
             let acknowledged_at = Instant::now();
-            wait_until("others have work", LIMIT, || async {
-                let others = mesh.vms_of(SERVICES[1]).into_iter().skip(1);
-                let mut reached =
-                    others.map(|other| mesh.vms[other].backend().record().last_reached);
-                let after = |at: Option<Instant>| at.is_some_and(|at| at > acknowledged_at);
-                reached.all(after)
-            })
+            wait_until(
+                "the other backend servers have received later requests",
+                LIMIT,
+                || async {
+                    let others = mesh.vms_of(SERVICES[1]).into_iter().skip(1);
+                    let mut reached =
+                        others.map(|other| mesh.vms[other].backend().record().last_reached);
+                    let after = |at: Option<Instant>| at.is_some_and(|at| at > acknowledged_at);
+                    reached.all(after)
+                },
+            )
             .await;
             stop.store(true, Ordering::Release);
             acknowledged_at
         });
     assert_eq!(failed, Vec::<String>::new());
     let last = mesh.vms[leaving].backend().record().last_reached;
-    // What was admitted before the acknowledgement may still be on its way over the loopback.
+    // A request that was admitted before the acknowledgement may still be on its way over the loopback interface.
     let loopback_delay = Duration::from_millis(100);
     assert!(last.is_some_and(|last| last < acknowledged_at + loopback_delay));
 }
 
-/// Another backend server leaves without a word before: it says only that it is gone, and serves on for a
-/// while. It is sent nothing any more either, and what it runs is answered.
+/// A backend server announces that it leaves without having announced that it is draining, and still finishes its
+/// requests. Guards against new requests that are sent to it, and against requests in flight that are cut off.
 #[tokio::test(flavor = "multi_thread")]
 async fn backend_server_that_leaves_without_draining_finishes_its_requests() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -84,7 +90,7 @@
     let booking = Asked::post("/book/1?work_ms=500", "before");
     let pending_booking = mesh.ask(leaving, &booking);
     let leaves = async {
-        wait_until("it runs", LIMIT, || async {
+        wait_until("the booking runs", LIMIT, || async {
             !users_runs(&mesh, "before").is_empty()
         })
         .await;
@@ -93,15 +99,15 @@
         assert!(vm.backend().leave(vm.control()).await);
         let id = "after";
         let reply = mesh.ask(leaving, &Asked::post("/book/1", id)).await;
-        assert_eq!(reply.expect("it is answered").status, 200);
+        assert_eq!(reply.expect("the request gets a response").status, 200);
         assert_ne!(users_runs(&mesh, id)[0], at);
     };
     let (reply, ()) = tokio::join!(pending_booking, leaves);
-    assert_eq!(reply.expect("it is answered").status, 200);
+    assert_eq!(reply.expect("the request gets a response").status, 200);
 }
 
-/// An announcement was held up in a cut: "ready" from before the backend server said that it leaves. It
-/// does not open the gate again.
+/// A "ready" announcement is delayed and arrives after a later "draining" of the same backend server. Guards against a
+/// node that admits requests for it again.
 #[tokio::test(flavor = "multi_thread")]
 async fn delayed_ready_announcement_does_not_reopen_admission() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -115,17 +121,22 @@
             .await
     );
     let late_reply = vm.backend().send_announcement(vm.control(), delayed).await;
-    assert!(late_reply.expect("it is answered").status.is_success());
+    assert!(
+        late_reply
+            .expect("the request gets a response")
+            .status
+            .is_success()
+    );
     for number in 0..20 {
         let id = format!("after-{number}");
         let reply = mesh.ask(leaving, &Asked::post("/book/1", &id)).await;
-        assert_eq!(reply.expect("it is answered").status, 200);
+        assert_eq!(reply.expect("the request gets a response").status, 200);
         assert_ne!(users_runs(&mesh, &id), [leaving]);
     }
 }
 
-/// Bytes that are no announcement, or one of another service, reach the address where backend servers
-/// announce themselves. They name nothing to use, and the real one is served on.
+/// Guards against invalid announcements, such as unknown states or wrong types, that are accepted or that disturb the
+/// backend server announced before.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_announcement_is_rejected() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -140,24 +151,30 @@
     ];
     for text in invalid {
         let reply = vm.backend().send_announcement(vm.control(), text).await;
-        assert!(!reply.expect("it is answered").status.is_success());
+        assert!(
+            !reply
+                .expect("the request gets a response")
+                .status
+                .is_success()
+        );
     }
     let reply = mesh.ask(0, &Asked::get("/stock/1", "still")).await;
-    assert_eq!(reply.expect("it is answered").status, 200);
+    assert_eq!(reply.expect("the request gets a response").status, 200);
 }
 
-/// A node is stopped as planned while its VM's callers and others ask. Every booking that it has read is
-/// answered; the process ends by itself; others are not disturbed.
+/// A node is stopped with SIGTERM while it serves callers of its VM and requests of other nodes. Guards against
+/// requests in flight that are cut off, against a process that does not exit, and against failed requests at other
+/// nodes.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_stop_answers_all_requests() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let stopped = mesh.vms_of(SERVICES[1])[0];
-    let mut node = mesh.vms[stopped].node.take().expect("it runs");
+    let mut node = mesh.vms[stopped].node.take().expect("the node runs");
     let caller = node.addresses.caller;
     let mesh = Arc::new(mesh);
     let stop = AtomicBool::new(false);
     let (failed, local_bookings) = tokio::join!(send_until_stopped(&mesh, stopped, &stop), async {
-        // The callers of the VM itself, whose requests are under way when it is stopped.
+        // Requests of callers on the VM itself, which are in flight when the node is stopped.
         let mut local_bookings = tokio::task::JoinSet::new();
         for number in 0..6 {
             local_bookings.spawn(async move {
@@ -173,13 +190,13 @@
                 reply.map(|reply| reply.status.as_u16())
             });
         }
-        wait_until("its callers' bookings run", LIMIT, || async {
+        wait_until("the bookings of its callers run", LIMIT, || async {
             (0..6).all(|number| !users_runs(&mesh, &format!("own-{number}")).is_empty())
         })
         .await;
         node.signal(Signal::Terminate);
         let local_bookings = local_bookings.join_all().await;
-        node.ended().await.expect("it ends");
+        node.ended().await.expect("the node exits");
         stop.store(true, Ordering::Release);
         local_bookings
     });
@@ -187,29 +204,29 @@
     assert_eq!(failed, Vec::<String>::new());
 }
 
-/// All nodes are killed at one moment, and their VMs start them again with nothing but the store. Every
-/// node serves again, under the newest configuration.
+/// All nodes are killed and then restarted, so that only the store has the configuration. Guards against a mesh that
+/// does not serve requests again, or not under the newest version.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_nodes_serve_again_after_a_simultaneous_kill() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     for position in 0..mesh.vms.len() {
-        mesh.kill_node(position).await.expect("it ends");
+        mesh.kill_node(position).await.expect("the node exits");
     }
     crate::support::write_routes(&mesh, 2, &crate::support::users_routes(), &SERVICES);
     for position in 0..mesh.vms.len() {
-        mesh.start_node(position).await.expect("it starts");
+        mesh.start_node(position).await.expect("the node starts");
     }
     mesh.wait_enforced(2).await;
     mesh.wait_serving().await;
     for position in 0..mesh.vms.len() {
         let id = format!("again-{position}");
         let reply = mesh.ask(position, &Asked::post("/book/1", &id)).await;
-        assert_eq!(reply.expect("it is answered").status, 200);
+        assert_eq!(reply.expect("the request gets a response").status, 200);
         assert_eq!(users_runs(&mesh, &id).len(), 1);
     }
 }
 
-/// What VM `at` believes of the node of VM `of`.
+/// Returns the entry for the node of VM `of` in the member list of the node of VM `at`.
 async fn member(mesh: &Mesh, at: usize, of: usize) -> serde_json::Value {
     let node = mesh.vms[of].peer_address().to_string();
     let status = mesh.status(at).await;
@@ -218,10 +235,9 @@
     found.unwrap_or_default()
 }
 
-/// A node is killed and starts again while the store is away, so that it knows nothing of its backend
-/// server until that announces itself the next time. Until then it sends it nothing, so the mesh must
-/// not hear that it serves: whoever is sent there is refused, and leaves the endpoint alone for seconds
-/// although it could serve.
+/// A node is killed and restarted while the store is unavailable, so it does not know its backend server before the
+/// next announcement and sends it no requests. Guards against a node that still reports it as serving: other nodes
+/// would be refused there and would then avoid the endpoint for seconds, although it could serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_node_reports_serving_only_after_an_announcement() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -230,9 +246,9 @@
     let before = member(&mesh, other, position).await["incarnation_us"].clone();
     mesh.mute_backend(position);
     mesh.store.set_trouble(Trouble::Busy);
-    mesh.kill_node(position).await.expect("it ends");
-    mesh.start_node(position).await.expect("it starts");
-    wait_until("the restart is known", LIMIT, || async {
+    mesh.kill_node(position).await.expect("the node exits");
+    mesh.start_node(position).await.expect("the node starts");
+    wait_until("another node has detected the restart", LIMIT, || async {
         let member = member(&mesh, other, position).await;
         member["liveness"] == "alive" && member["incarnation_us"] != before
     })
@@ -241,13 +257,15 @@
     let vm = &mesh.vms[position];
     let acknowledged = vm.backend().announce(vm.control(), Announced::Ready).await;
     assert!(acknowledged);
-    wait_until("it serves again", LIMIT, || async {
-        member(&mesh, other, position).await["backend"] == "serving"
-    })
+    wait_until(
+        "the backend server is reported as serving",
+        LIMIT,
+        || async { member(&mesh, other, position).await["backend"] == "serving" },
+    )
     .await;
 }
 
-/// Whether the row that the store keeps of a VM's node names a backend server that takes work.
+/// Whether the stored row of a VM's node names a serving backend server.
 fn row_names_backend(mesh: &Mesh, position: usize) -> bool {
     let key = format!("node/{}", mesh.vms[position].peer_address());
     let row = mesh.store.value("dragonflywall", &key).unwrap_or_default();
@@ -255,9 +273,8 @@
     row["backend"]["state"] == "serving"
 }
 
-/// All nodes lose power at one moment and start again. Their backend servers have gone on, and announce
-/// themselves only every few seconds. Callers are served before that: each node has left in its row what
-/// stood beside it.
+/// All nodes are killed and restarted while their backend servers run on. Guards against nodes that do not restore the
+/// backend server from their stored row, so that callers are not served for the seconds until the next announcement.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_nodes_serve_from_stored_rows_before_announcements() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -269,10 +286,10 @@
     .await;
     for position in all.clone() {
         mesh.mute_backend(position);
-        mesh.kill_node(position).await.expect("it ends");
+        mesh.kill_node(position).await.expect("the node exits");
     }
     for position in all {
-        mesh.start_node(position).await.expect("it starts");
+        mesh.start_node(position).await.expect("the node starts");
     }
     mesh.wait_enforced(1).await;
     for (path, id) in [("/book/1", "booking"), ("/stock/1", "look-up")] {
@@ -288,13 +305,13 @@
     reply.is_ok_and(|reply| reply.status == 200)
 }
 
-/// A backend server says that it leaves, and its node is killed right after. The next process must not
-/// take it up again: it has been promised that nothing comes any more.
+/// A backend server announces that it is draining, and its node is killed right after the acknowledgement. Guards
+/// against a new process that restores it from the stored row: after an acknowledgement it must get no requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_node_does_not_restore_a_draining_backend_server() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
-    wait_until("its row names the backend server", LIMIT, || async {
+    wait_until("the stored row names the backend server", LIMIT, || async {
         row_names_backend(&mesh, leaving)
     })
     .await;
@@ -305,29 +322,35 @@
         .announce(vm.control(), Announced::Draining)
         .await;
     assert!(acknowledged);
-    wait_until("its row names it no more", LIMIT, || async {
-        !row_names_backend(&mesh, leaving)
-    })
+    wait_until(
+        "the stored row no longer names the backend server",
+        LIMIT,
+        || async { !row_names_backend(&mesh, leaving) },
+    )
     .await;
-    mesh.kill_node(leaving).await.expect("it ends");
-    mesh.start_node(leaving).await.expect("it starts");
+    mesh.kill_node(leaving).await.expect("the node exits");
+    mesh.start_node(leaving).await.expect("the node starts");
     mesh.wait_enforced(1).await;
-    wait_until("it knows the others", LIMIT, || async {
-        let reply = mesh.ask(leaving, &Asked::get("/book/1", "first")).await;
-        reply.is_ok_and(|reply| reply.status == 200)
-    })
+    wait_until(
+        "the node reaches the other backend servers",
+        LIMIT,
+        || async {
+            let reply = mesh.ask(leaving, &Asked::get("/book/1", "first")).await;
+            reply.is_ok_and(|reply| reply.status == 200)
+        },
+    )
     .await;
     for number in 0..8 {
         let id = format!("elsewhere-{number}");
         let reply = mesh.ask(leaving, &Asked::post("/book/1", &id)).await;
-        assert_eq!(reply.expect("the node answers").status, 200);
+        assert_eq!(reply.expect("the node responds").status, 200);
     }
     assert_eq!(mesh.vms[leaving].backend().record().last_reached, None);
 }
 
-/// A backend server leaves, which its node acknowledges; then the node is killed and started again while
-/// the store is away. An announcement from before was held up and reaches the new process, which knows
-/// nothing of the leaving. It must not send anything there.
+/// A backend server leaves, and its node acknowledges that. The node is then killed and restarted while the store is
+/// unavailable, so the new process does not know of the departure. Guards against a delayed "ready" announcement that
+/// makes the new process send requests to this backend server.
 #[tokio::test(flavor = "multi_thread")]
 async fn delayed_ready_announcement_does_not_open_admission_after_restart() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -337,9 +360,9 @@
     vm.backend().set_leaving();
     assert!(vm.backend().leave(vm.control()).await);
     mesh.store.set_trouble(Trouble::Busy);
-    mesh.kill_node(leaving).await.expect("it ends");
-    mesh.start_node(leaving).await.expect("it starts");
-    wait_until("it serves as an entry", LIMIT, || async {
+    mesh.kill_node(leaving).await.expect("the node exits");
+    mesh.start_node(leaving).await.expect("the node starts");
+    wait_until("the node serves its callers", LIMIT, || async {
         let reply = mesh.ask(leaving, &Asked::get("/book/1", "first")).await;
         reply.is_ok_and(|reply| reply.status == 200)
     })
@@ -350,7 +373,7 @@
     for number in 0..8 {
         let id = format!("elsewhere-{number}");
         let reply = mesh.ask(leaving, &Asked::post("/book/1", &id)).await;
-        assert_eq!(reply.expect("the node answers").status, 200);
+        assert_eq!(reply.expect("the node responds").status, 200);
     }
     assert_eq!(mesh.vms[leaving].backend().record().last_reached, before);
 }
