--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -64,7 +64,7 @@
     Fetched {
         fetch: Fetch,
         base_version: Version,
-        found: Option<Offer>,
+        offer: Option<Offer>,
     },
     /// A read of the head row has ended; `head` is none if it failed.
     HeadRead {
@@ -196,9 +196,9 @@
             ConfigurationMsg::Fetched {
                 fetch,
                 base_version,
-                found,
+                offer,
             } => {
-                state.handle_fetched(now_ms, &fetch, base_version, found);
+                state.handle_fetched(now_ms, &fetch, base_version, offer);
             }
             ConfigurationMsg::HeadRead { head, took_ms } => {
                 state.handle_head_read(now_ms, head, took_ms)
@@ -269,7 +269,7 @@
     fn handle_announced(&mut self, now_ms: u64, stamp: Stamp, holder: Option<Peer>) {
         let held = self.holder.held().version;
         if stamp.version > held.max(self.fetcher.head().version) {
-            version_metrics::log_heard(stamp.version, holder.map(|peer| peer.node), held);
+            version_metrics::log_announced(stamp.version, holder.map(|peer| peer.node), held);
         }
         self.holder.announce(stamp);
         match holder {
@@ -302,8 +302,8 @@
         }
         self.holder.raise_floor(self.floor.version());
         let below = self.holder.held().version < self.holder.floor();
-        let why = below.then_some("no peer and no store has a version at or above the floor");
-        self.node.blocked_reason.store(Arc::new(why));
+        let reason = below.then_some("no peer and no store has a version at or above the floor");
+        self.node.blocked_reason.store(Arc::new(reason));
         let Some(stamp) = self.holder.enforceable() else {
             return;
         };
--- a/src/node/configuration/head.rs
+++ b/src/node/configuration/head.rs
@@ -61,10 +61,10 @@
         if std::mem::replace(&mut self.reading_head, true) {
             return;
         }
-        let platform = store.clone();
+        let http_store = store.clone();
         let myself = myself.clone();
         tokio::spawn(async move {
-            let (head, took_ms) = store::read_head(&platform).await;
+            let (head, took_ms) = store::read_head(&http_store).await;
             let _ = myself.cast(ConfigurationMsg::HeadRead { head, took_ms });
         });
     }
--- a/src/node/configuration/version_metrics.rs
+++ b/src/node/configuration/version_metrics.rs
@@ -38,7 +38,7 @@
 }
 
 /// Logs that a version was announced to this node for the first time. `holder` has its content.
-pub(crate) fn log_heard(version: Version, holder: Option<NodeId>, held: Version) {
+pub(crate) fn log_announced(version: Version, holder: Option<NodeId>, held: Version) {
     let holder = holder.map(|node| node.to_string());
     log::info!(version = version.0, holder:? = holder, held = held.0; "a new version was announced");
 }
--- a/src/node/configuration/versions.rs
+++ b/src/node/configuration/versions.rs
@@ -66,12 +66,12 @@
             let origin = self.origin.clone();
             let myself = myself.clone();
             tokio::spawn(async move {
-                let found = content::fetch(&node, &origin, held, &fetch).await;
+                let offer = content::fetch(&node, &origin, held, &fetch).await;
                 let base_version = held.version;
                 let _ = myself.cast(ConfigurationMsg::Fetched {
                     fetch,
                     base_version,
-                    found,
+                    offer,
                 });
             });
             return;
@@ -94,12 +94,12 @@
         now_ms: u64,
         fetch: &Fetch,
         base_version: Version,
-        found: Option<Offer>,
+        offer: Option<Offer>,
     ) {
         let version_source = VersionSource::from(&fetch.source);
         let source = version_source.as_str();
         let prepared =
-            found.is_some_and(|offer| self.prepare(now_ms, &offer, base_version, version_source));
+            offer.is_some_and(|offer| self.prepare(now_ms, &offer, base_version, version_source));
         let result = if prepared { "used" } else { "failed" };
         metrics::counter!("dragonflywall_fetches_total", "source" => source, "result" => result)
             .increment(1);
--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -66,14 +66,14 @@
     async fn follow(mut self, resync: &Notify) {
         loop {
             tokio::select! {
-                () = self.step() => (),
+                () = self.poll_once() => (),
                 // The process was frozen: the read in progress may have started before the freeze.
                 () = resync.notified() => self.position = None,
             }
         }
     }
 
-    async fn step(&mut self) {
+    async fn poll_once(&mut self) {
         let ask = self.next_ask();
         let follows = match &ask {
             Ask::Store => None,
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -84,38 +84,44 @@
 }
 
 fn reload(node: &NodeState, path: &Path) {
-    let read = match file::read(path, &node.proxy.settings.explicit_values) {
-        Ok(read) => read,
+    let reloaded = match file::read(path, &node.proxy.settings.explicit_values) {
+        Ok(reloaded) => reloaded,
         Err(error) => {
             let problems = error.problems.join("; ");
             log::error!(problems; "the settings file is invalid; the old settings stay");
             return;
         }
     };
-    let before = node.proxy.tunable.load();
-    let now = read.reloadable();
-    let changed = **before != now;
-    let pending_restart = needs_restart(&node.proxy.settings, &read).join(", ");
-    node.proxy.tunable.store(Arc::new(now));
+    let old_settings = node.proxy.tunable.load();
+    let new_settings = reloaded.reloadable();
+    let changed = **old_settings != new_settings;
+    let pending_restart = needs_restart(&node.proxy.settings, &reloaded).join(", ");
+    node.proxy.tunable.store(Arc::new(new_settings));
     node.proxy.refresh_retries();
     log::info!(changed, needs_restart = pending_restart; "reloaded the settings file");
 }
 
 /// Names of the settings that differ and are only read at startup.
-fn needs_restart(running: &Settings, read: &Settings) -> Vec<&'static str> {
+fn needs_restart(running: &Settings, reloaded: &Settings) -> Vec<&'static str> {
     let startup_settings = [
-        ("caller-listen", running.caller_listen != read.caller_listen),
-        ("peer-listen", running.peer_listen != read.peer_listen),
-        ("ready-listen", running.ready_listen != read.ready_listen),
+        (
+            "caller-listen",
+            running.caller_listen != reloaded.caller_listen,
+        ),
+        ("peer-listen", running.peer_listen != reloaded.peer_listen),
+        (
+            "ready-listen",
+            running.ready_listen != reloaded.ready_listen,
+        ),
         (
             "announce-listen",
-            running.announce_listen != read.announce_listen,
+            running.announce_listen != reloaded.announce_listen,
         ),
-        ("region and data-centre", running.place != read.place),
-        ("platform", running.platform_url != read.platform_url),
+        ("region and data-centre", running.place != reloaded.place),
+        ("platform", running.platform_url != reloaded.platform_url),
         (
             "backend-server",
-            running.backend_server != read.backend_server,
+            running.backend_server != reloaded.backend_server,
         ),
     ];
     let differing = startup_settings.into_iter().filter(|(_, differs)| *differs);
