--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -1,5 +1,8 @@
 //! The actor that distributes and enforces configurations on this node. It does the network calls and provides the
 //! time for the state machines [`Holder`], [`Fetcher`] and [`Floor`].
+//!
+//! The floor is the lowest version that this node may enforce. It keeps a restarted node from enforcing an older
+//! version than before its restart.
 
 mod head;
 mod peers;
@@ -129,10 +132,14 @@
     role: Role,
     refresh: Option<Refresh>,
     next_head_poll_ms: u64,
+    /// Whether a read of the head row is in progress.
     reading_head: bool,
     store_available: bool,
+    /// Time of the next scheduled [`ConfigurationMsg::FetchDue`].
     scheduled_fetch_ms: Option<u64>,
+    /// Newest held version that was sent to the membership actor, which announces it to peers.
     announced_held_version: Version,
+    /// Time of the last round of floor queries.
     floor_queried_ms: Option<u64>,
     membership: Option<ActorRef<MembershipMsg>>,
 }
--- a/src/node/configuration/peers.rs
+++ b/src/node/configuration/peers.rs
@@ -14,14 +14,16 @@
 /// reaches no peer serves the version that it has after this time.
 const REFRESH_TIMEOUT_MS: u64 = 2_000;
 
-/// Number of peers whose answers complete a refresh if the head itself was not read.
+/// Number of peers whose answers complete a refresh if the store itself was not read.
 const REFRESH_QUORUM: usize = 2;
 
 /// A configuration refresh after a freeze, during which the node refuses requests.
 #[derive(Debug)]
 pub(super) struct Refresh {
     deadline_ms: u64,
+    /// Peers that have answered a floor query.
     peers: Vec<NodeId>,
+    /// Whether the store has been read.
     pub(super) head_read: bool,
 }
 
--- a/src/node/membership.rs
+++ b/src/node/membership.rs
@@ -65,8 +65,10 @@
     node: Arc<NodeState>,
     membership: Membership,
     configuration: ActorRef<ConfigurationMsg>,
+    /// Generation of the membership view that was last published for requests.
     published_view_generation: u64,
     view_published_ms: u64,
+    /// Whether a [`MembershipMsg::SendDeferred`] is scheduled.
     send_scheduled: bool,
     role: Role,
 }
