--- a/src/node/freeze.rs
+++ b/src/node/freeze.rs
@@ -18,7 +18,7 @@
 use crate::proxy::state::FREEZE_GAP_MS;
 use crate::util::clock;
 
-/// Time between two ticks; much shorter than [`FREEZE_GAP_MS`], so that normal scheduling delays are no freeze.
+/// Time between two ticks. A freeze is detected at the first tick after it.
 const TICK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Runs the ticks until `stop` is cancelled. After a freeze it blocks admission and starts a configuration refresh.
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -27,7 +27,7 @@
 use crate::node::state::NodeState;
 use crate::platform::listeners;
 
-/// Longest body of an announcement. A valid one has a few hundred bytes.
+/// Longest body of an announcement; bounds the memory that one request can take.
 const ANNOUNCEMENT_MAX_BYTES: usize = 4 << 10;
 
 pub(crate) struct Operator {
--- a/src/node/registration.rs
+++ b/src/node/registration.rs
@@ -168,6 +168,7 @@
         self.node.proxy.view.load().alive() < 2
     }
 
+    /// Reads a page of seeds if this node is a watcher of its data centre, or if it knows no other live node.
     async fn read_as_watcher(&self) {
         let view = self.node.proxy.view.load_full();
         let watchers = neighbours::watchers(&self.local_member, view.members.iter());
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -27,7 +27,7 @@
 use crate::store::http::HttpStore;
 use crate::util::clock;
 
-/// Result of this module.
+/// A result whose error is [`Error`] by default.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// Longest wait for neighbours to acknowledge that this node leaves the mesh.
@@ -273,8 +273,8 @@
         // connection closes, so that few connections are left to be closed while idle: a caller that
         // sends a request on a connection that is being closed cannot tell whether it was received.
         let min_serving_time = Duration::from_millis(self.node.proxy.tunable.load().stop_least_ms);
-        // From here on admission refuses every new request at once. So no admitted request can be missed
-        // if it arrives after the tracker has become empty.
+        // Admission is closed and refuses every new request at once. So no request can start after the
+        // tracker has become empty, and the wait misses none.
         self.node.proxy.in_gate.close();
         tokio::join!(
             self.node.proxy.in_gate.wait(),
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -27,7 +27,7 @@
 use crate::peer::client::DialOptions;
 use crate::util::descriptors;
 
-/// Result of this module.
+/// A result whose error is [`SettingsError`] by default.
 pub type Result<T, E = SettingsError> = std::result::Result<T, E>;
 
 /// The settings are invalid. Displays one line for each problem.
@@ -38,8 +38,8 @@
     pub problems: Vec<String>,
 }
 
-/// Minimum for the longest head of a caller's request, in bytes: the smallest read buffer that the HTTP library
-/// allows, in which the head must fit.
+/// Lower bound of `caller-header-max-bytes`: the head of a request must fit in the read buffer of the HTTP library,
+/// and this is the smallest size that the library allows for it.
 const MIN_CALLER_HEADER_BYTES: usize = 8_192;
 
 /// Format of log lines.
--- a/tests/testsuite/token.rs
+++ b/tests/testsuite/token.rs
@@ -34,7 +34,7 @@
 }
 
 /// Guards against a process outside the mesh that sends a request to the peer listener with the headers of another
-/// node, and so bypasses the checks at the node that callers connect to, or that uses the operator listener. Both
+/// node, and so bypasses admission at the node that callers connect to, or that uses the operator listener. Both
 /// secrets of a token rotation are accepted. `/ready` needs no token, as the system that replaces VMs has none.
 #[tokio::test]
 async fn requests_without_the_mesh_token_are_refused() {
