--- a/tests/testsuite/proofs.rs
+++ b/tests/testsuite/proofs.rs
@@ -1,4 +1,4 @@
-//! The page of proofs names only what exists.
+//! The page of proofs refers only to tests and mutations that exist.
 
 use std::fs;
 
@@ -9,7 +9,7 @@
     text.unwrap_or_else(|error| panic!("{path}: {error}"))
 }
 
-/// What stands between backquotes.
+/// All texts between backquotes.
 fn backquoted_names(page: &str) -> Vec<&str> {
     page.split('`').skip(1).step_by(2).collect()
 }
@@ -18,8 +18,8 @@
     !name.is_empty() && name.chars().all(|c| c.is_ascii_lowercase() || c == '_')
 }
 
-/// A row claims a proof by a test that has been renamed or never came: whoever reads the page trusts
-/// something that nobody runs.
+/// The page refers to a test that was renamed, removed or never written, so readers rely on a proof
+/// that is never run.
 #[test]
 fn every_test_named_exists() {
     let page = read("docs/PROOFS.md");
@@ -32,10 +32,13 @@
             continue;
         }
         let text = read(&format!("tests/testsuite/{module}.rs"));
-        assert!(text.contains(&format!("fn {test}(")), "no test {name}");
+        assert!(
+            text.contains(&format!("fn {test}(")),
+            "test {name} does not exist"
+        );
         checked += 1;
     }
-    assert!(checked >= 30, "only {checked} tests are named");
+    assert!(checked >= 30, "the page names only {checked} tests");
 }
 
 #[test]
@@ -53,10 +56,10 @@
         .filter(is_word)
         .filter(|name| *name != "RULE")
         .collect();
-    assert!(mutations.len() >= 15, "only {mutations:?} are named");
+    assert!(mutations.len() >= 15, "the page names only {mutations:?}");
     for mutation in mutations {
         let variant = format!("    {mutation},\n");
         let exists = model_sources.iter().any(|text| text.contains(&variant));
-        assert!(exists, "no mutation {mutation}");
+        assert!(exists, "mutation {mutation} does not exist");
     }
 }
--- a/tests/testsuite/publish.rs
+++ b/tests/testsuite/publish.rs
@@ -1,4 +1,4 @@
-//! `publish` and its failures, through the command line against the platform stand-in.
+//! `publish` and its failures, run as a command against the platform stand-in.
 
 use std::path::{Path, PathBuf};
 use std::process::Output;
@@ -9,13 +9,13 @@
 
 use crate::support::command;
 
-/// A platform, and a directory for team files.
+/// A platform stand-in, and a temporary directory for team files.
 struct PublishFixture {
     platform: Platform,
     files: TempDir,
 }
 
-/// What a command brought.
+/// Exit code and output of a command.
 struct CommandResult {
     code: Option<i32>,
     stdout: String,
@@ -37,7 +37,7 @@
     fn expect(&self, code: i32, text: &str) {
         let all = format!("{}{}", self.stdout, self.stderr);
         assert_eq!(self.code, Some(code), "{all}");
-        assert!(all.contains(text), "`{text}` is not in:\n{all}");
+        assert!(all.contains(text), "the output lacks `{text}`:\n{all}");
     }
 }
 
@@ -46,11 +46,11 @@
         let platform = Platform::start(([127, 0, 0, 1], 0).into()).await;
         Self {
             platform: platform.expect("a port is free"),
-            files: TempDir::new().expect("there is room for files"),
+            files: TempDir::new().expect("the temporary directory is created"),
         }
     }
 
-    /// Writes the file of a team that offers one service of the same name.
+    /// Writes the file of a team that offers one service with the name of the team.
     fn write_team_file(&self, team: &str, queue_len: u32, calls: &str) -> PathBuf {
         let path = self.files.path().join(format!("{team}-{queue_len}.toml"));
         let text = format!(
@@ -101,9 +101,8 @@
     }
 }
 
-/// The operator publishes, the platform commits, and its answer is lost on the way. The operator
-/// sees one publication done, and the audit trail holds it once: the lost answer is looked up
-/// under the publication's id instead of being taken for a failure.
+/// The platform commits a publication, but its answer is lost. The command looks up the id of the
+/// publication and reports success, and the audit trail contains the publication once.
 #[tokio::test]
 async fn lost_answer_is_looked_up_by_id() {
     let fixture = PublishFixture::start().await;
@@ -117,8 +116,8 @@
     assert_eq!(fixture.versions().len(), 1);
 }
 
-/// The operator publishes, and the request itself is lost before the platform sees it. The same
-/// conditional transaction is sent again, and the operator sees one publication done.
+/// The commit is lost before it reaches the platform. The command sends the same conditional
+/// transaction again, and the publication is committed once.
 #[tokio::test]
 async fn lost_request_is_sent_again() {
     let fixture = PublishFixture::start().await;
@@ -132,8 +131,8 @@
     assert_eq!(fixture.versions().len(), 1);
 }
 
-/// The platform is down when the operator publishes: refused, nothing changed, exit code 1. The
-/// same command works once the platform is back.
+/// The platform is down: the command changes nothing and exits with 1. The same command succeeds
+/// when the platform is available again.
 #[tokio::test]
 async fn outage_before_the_commit_changes_nothing() {
     let fixture = PublishFixture::start().await;
@@ -149,8 +148,8 @@
     fixture.publish(&file, &[]).await.expect(0, "version 1");
 }
 
-/// The platform takes reads and objects, and refuses the commit itself. That is a proof that
-/// nothing was written: exit code 1 and "nothing was changed", not "unknown".
+/// The platform accepts reads and objects, but refuses the commit. The refusal proves that nothing
+/// was written, so the command exits with 1 and not with "unknown".
 #[tokio::test]
 async fn outage_at_the_commit_changes_nothing() {
     let fixture = PublishFixture::start().await;
@@ -165,7 +164,7 @@
     assert!(fixture.platform.rows().is_empty());
 }
 
-/// Nobody listens at the platform's address: refused, nothing changed.
+/// The platform's address refuses connections: the command changes nothing and exits with 1.
 #[tokio::test]
 async fn unreachable_platform_changes_nothing() {
     let fixture = PublishFixture::start().await;
@@ -177,9 +176,9 @@
     result.expect(1, "nothing was changed");
 }
 
-/// The platform commits and goes down before it answers, for longer than the command waits. The
-/// operator is told "unknown" (exit code 3) and how to settle it. Settling finds the version;
-/// running the whole command again with the id finds it too, and never commits it twice.
+/// The platform commits and then fails before it answers, for longer than the command waits. The
+/// command exits with 3 ("unknown") and says how to settle the publication. When the platform is
+/// available again, `--resume` finds the version, alone and with the file, and commits nothing again.
 #[tokio::test]
 async fn outage_after_the_commit_is_settled_by_id() {
     let fixture = PublishFixture::start().await;
@@ -198,14 +197,14 @@
     result.expect(3, "--resume night --expect 0");
     fixture.set_faults(Faults::default());
     let result = fixture.run_command(&["publish", "--resume", "night"]).await;
-    result.expect(0, "publication night made version 1");
+    result.expect(0, "publication night created version 1");
     let result = fixture.publish(&file, &again).await;
-    result.expect(0, "Found already published: version 1");
+    result.expect(0, "Already published: version 1");
     assert_eq!(fixture.versions().len(), 1);
 }
 
-/// The request is lost and the platform goes down, so the outcome is unknown. Meanwhile another
-/// team publishes. Going on with the publication commits it once, on top of the other.
+/// The commit is lost and the platform fails, so the outcome is unknown. Meanwhile another team
+/// publishes. Resuming the publication commits it once, rebased on the other one.
 #[tokio::test]
 async fn unknown_outcome_can_be_resumed() {
     let fixture = PublishFixture::start().await;
@@ -226,8 +225,8 @@
     assert_eq!(fixture.versions().len(), 2);
 }
 
-/// The same, but the operator decides to stop it: settled as "did not take effect". The id can't
-/// be used any more, so that the lost request fails if it arrives after all.
+/// The commit is lost and the operator abandons the publication. It is settled as "did not take
+/// effect", and its id cannot be used again, so the commit fails if it arrives later.
 #[tokio::test]
 async fn unknown_outcome_can_be_abandoned() {
     let fixture = PublishFixture::start().await;
@@ -247,8 +246,8 @@
     assert_eq!(fixture.head(), 0);
 }
 
-/// An operator uses an id a second time, for other records. Without a look at what the id stands
-/// for, the second publication would be called done although nothing of it is in force.
+/// An id is used again for other records. If the command did not compare the records, it would
+/// report the second publication as done although it was not published.
 #[tokio::test]
 async fn id_of_another_publication_is_refused() {
     let fixture = PublishFixture::start().await;
@@ -261,26 +260,26 @@
     assert_eq!(fixture.head(), 1);
 }
 
-/// Ana and Bea look at version 1 and change the same team. Ana publishes first. Bea is refused and
-/// shown what Ana changed: otherwise Ana's change would be undone, and nobody would notice.
+/// Two operators change the same team, both based on version 1. The second publication is refused
+/// and shows the first change, which it would otherwise silently overwrite.
 #[tokio::test]
 async fn conflict_on_same_team_shows_the_difference() {
     let fixture = PublishFixture::start().await;
     let first = fixture.write_team_file("armazem", 12, "");
     fixture.publish(&first, &[]).await.expect(0, "version 1");
-    let file_of_ana = fixture.write_team_file("armazem", 24, "");
-    let result = fixture.publish(&file_of_ana, &["--expect", "1"]).await;
+    let first_change = fixture.write_team_file("armazem", 24, "");
+    let result = fixture.publish(&first_change, &["--expect", "1"]).await;
     result.expect(0, "version 2");
     result.expect(0, "~ service.armazem.queue_len: 12 -> 24");
-    let file_of_bea = fixture.write_team_file("armazem", 36, "");
-    let result = fixture.publish(&file_of_bea, &["--expect", "1"]).await;
+    let second_change = fixture.write_team_file("armazem", 36, "");
+    let result = fixture.publish(&second_change, &["--expect", "1"]).await;
     result.expect(1, "~ service.armazem.queue_len: 12 -> 24");
     assert_eq!(fixture.head(), 2);
 }
 
-/// Six operators publish changes of the same team at one moment, all on top of version 1, to a
-/// platform that is slow enough for all of them to read it before the first commits. One is
-/// accepted, five are refused; none of the refused has changed anything.
+/// Six operators change the same team concurrently, all based on version 1. The platform is slow, so
+/// all of them read version 1 before the first one commits. One publication is accepted; the other
+/// five are refused and change nothing.
 #[tokio::test]
 async fn one_of_many_concurrent_publications_of_a_team_is_accepted() {
     let fixture = PublishFixture::start().await;
@@ -305,9 +304,9 @@
     assert_eq!(fixture.head(), 2);
 }
 
-/// Fourteen teams publish at one moment, as after a common release. All are accepted, each as a
-/// version of its own on top of the one before: a change of another team is rebased on, not refused
-/// and not overwritten, however often another one comes first.
+/// Fourteen teams publish concurrently, as after a common release. All publications are accepted,
+/// each as a version of its own: they are rebased on those of other teams as often as necessary, and
+/// none is refused or overwritten.
 #[tokio::test]
 async fn concurrent_publications_of_different_teams_are_all_accepted() {
     let fixture = PublishFixture::start().await;
@@ -340,7 +339,10 @@
     let url = fixture.platform.url();
     let mut running = Vec::new();
     for file in files {
-        let (url, file) = (url.clone(), file.to_str().expect("UTF-8").to_owned());
+        let (url, file) = (
+            url.clone(),
+            file.to_str().expect("the path is UTF-8").to_owned(),
+        );
         let expected = fixture.head().to_string();
         running.push(tokio::spawn(async move {
             let common = ["publish", "--operator", "ana", "--platform", &url];
@@ -355,8 +357,8 @@
     results
 }
 
-/// A bad change is taken back: the old records come as a new version, and the audit trail shows
-/// all three. A rollback to a version that never was is refused.
+/// A rollback publishes the records of an earlier version as a new version, and the audit trail
+/// shows all three versions. A rollback to a version that does not exist is refused.
 #[tokio::test]
 async fn rollback_is_a_new_version_with_old_records() {
     let fixture = PublishFixture::start().await;
@@ -385,8 +387,8 @@
     assert_eq!(history[0]["kind"]["to"], 1);
 }
 
-/// Ana wants the whole set of version 1 back. Since she looked, another team has published. The
-/// rollback would undo that unseen, so it is refused; rolling back the one team is not.
+/// A rollback of all teams is based on version 2, but another team has published version 3 since.
+/// The rollback would silently undo that, so it is refused. A rollback of one team is accepted.
 #[tokio::test]
 async fn rollback_of_whole_set_conflicts_with_any_team() {
     let fixture = PublishFixture::start().await;
@@ -406,8 +408,8 @@
     assert!(!result.stdout.contains("balanco"), "{}", result.stdout);
 }
 
-/// A team that others call can't be deleted, a team that does not exist neither; the last caller
-/// can, and then the team itself.
+/// A team that other teams call cannot be deleted, nor can a team that does not exist. After its
+/// last caller is deleted, the team can be deleted.
 #[tokio::test]
 async fn deletion_of_a_referenced_team_is_refused() {
     let fixture = PublishFixture::start().await;
@@ -433,7 +435,7 @@
     result.expect(0, "version 4");
 }
 
-/// Records that are accepted already are not published again: no version without a change.
+/// Publishing the accepted records again is refused, so there is no version without a change.
 #[tokio::test]
 async fn unchanged_records_make_no_version() {
     let fixture = PublishFixture::start().await;
@@ -444,8 +446,8 @@
     assert_eq!(fixture.head(), 1);
 }
 
-/// An operator whose name is not known to the command publishes: a usage error, since the audit
-/// trail must say who changed what.
+/// Publishing without an operator name is a usage error, because the audit trail must record who
+/// made each change.
 #[tokio::test]
 async fn publication_without_operator_name_is_refused() {
     let fixture = PublishFixture::start().await;
@@ -456,14 +458,13 @@
         .env_clear()
         .output()
         .await;
-    let result: CommandResult = output.expect("the program results").into();
+    let result: CommandResult = output.expect("the program can be run").into();
     result.expect(2, "--operator is required");
     assert_eq!(fixture.head(), 0);
 }
 
-/// A script deletes a team, is killed before it sees the answer, and results again with the same id.
-/// The team is gone by then; the script must be told that its publication is done, and not that
-/// there is no such team.
+/// A script deletes a team, is killed before it gets the result, and runs again with the same id. It
+/// must get the result that the publication is done, and not the error that the team does not exist.
 #[tokio::test]
 async fn repeated_deletion_is_found_already_published() {
     let fixture = PublishFixture::start().await;
@@ -477,11 +478,11 @@
         .await
         .expect(0, "Published: version 3");
     let result = fixture.run_command(&delete).await;
-    result.expect(0, "Found already published: version 3");
+    result.expect(0, "Already published: version 3");
 }
 
-/// A team takes a resource out of its file that another team's accepted record calls. `check` by
-/// itself can't know; against the accepted version it names the team that would be broken.
+/// A team removes a resource that the accepted record of another team calls. `check` alone cannot
+/// detect that; with `--accepted` it reports the team whose call would be invalid.
 #[tokio::test]
 async fn check_against_the_accepted_version_finds_broken_callers() {
     let fixture = PublishFixture::start().await;
@@ -495,7 +496,7 @@
     fixture
         .run_command(&["check", path])
         .await
-        .expect(0, "nothing wrong");
+        .expect(0, "no problems found");
     let result = fixture.run_command(&["check", "--accepted", path]).await;
     result.expect(1, "team `balanco` refers to resource `stock`");
 }
--- a/tests/testsuite/publish_in_flight.rs
+++ b/tests/testsuite/publish_in_flight.rs
@@ -1,4 +1,5 @@
-//! Publications whose transaction is still under way when the operator acts again.
+//! Publications whose transaction is delayed on its way to the platform, and platform failures
+//! during a publication.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -14,18 +15,21 @@
 use dragonflywall::store::rows::HEAD_KEY;
 use dragonflywall::store::{self, ObjectStore, Outcome, Result, Row, Table, Transaction};
 
-/// A platform whose first transaction is held on the way until it is delivered, and whose reads
-/// and further transactions are refused so many times because of the rate ceiling.
+/// A platform that delays transactions, loses answers and refuses calls because of its rate limit,
+/// each as many times as the counters say.
 struct FaultyPlatform {
     inner: HttpStore,
+    /// The last transaction that was held, until it is delivered.
     held_transaction: Mutex<Option<Transaction>>,
+    /// Number of transactions to hold, whose answers are lost.
     transactions_to_hold: AtomicU32,
+    /// Number of calls that are refused because of the rate limit.
     busy_answers: AtomicU32,
-    /// So many reads and stored objects are answered with nothing.
+    /// Number of reads and stored objects whose answers are lost.
     lost_answers: AtomicU32,
-    /// So many times the held transaction arrives just before the head is read.
+    /// Number of reads of the head before which the held transaction is delivered.
     deliveries_before_head_read: AtomicU32,
-    /// Somebody else's publication that is accepted while a transaction is held.
+    /// Publication of another operator that is accepted while a transaction is held.
     competing_publication: Option<PublishOptions>,
 }
 
@@ -72,7 +76,7 @@
     }
 }
 
-/// Takes one off a counter that is not at zero yet.
+/// Decrements a counter; returns whether it was above zero.
 fn decrement(counter: &AtomicU32) -> bool {
     let updated = counter.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |remaining| {
         remaining.checked_sub(1)
@@ -87,13 +91,13 @@
             *self
                 .held_transaction
                 .lock()
-                .expect("no test panics while it holds it") = Some(transaction.clone());
+                .expect("the lock is not poisoned") = Some(transaction.clone());
             if let Some(competing) = &self.competing_publication {
                 let published = publish(&self.inner, competing).await;
-                published.expect("nobody else publishes");
+                published.expect("the competing publication is accepted");
             }
             return Err(store::Error::OutcomeUnknown {
-                reason: "held on the way".to_owned(),
+                reason: "the transaction is held".to_owned(),
             });
         }
         self.inner.transact(transaction).await
@@ -140,7 +144,7 @@
         .publish_id(publish_id)
         .operator("ana")
         .time_ms(0)
-        .records(vec![record.expect("the example is right")])
+        .records(vec![record.expect("the example is valid")])
         .settle_limit_ms(settle_limit_ms)
         .build()
 }
@@ -150,9 +154,9 @@
     head.expect("the platform works").stamp.version
 }
 
-/// The commit hangs on the way, and the operator is told "unknown". She stops the publication for
-/// good. Only then does the commit arrive: it must not take effect behind her back, so it has to
-/// fail on the id that the stop has occupied; the head has not moved and would let it through.
+/// The commit is delayed, the outcome is unknown, and the operator abandons the publication. The
+/// commit arrives only then. The head has not changed, so the condition on the id, whose row the
+/// abandonment has written, must make it fail.
 #[tokio::test]
 async fn commit_arriving_after_abandonment_fails() {
     let (_stand_in, platform) = start().await;
@@ -171,22 +175,22 @@
     assert_eq!(head(&platform).await, Version::NONE);
 }
 
-/// The commit hangs on the way, and the same command sends it again and succeeds. The first one
-/// arrives later, when a version stands: it fails, and no second version appears.
+/// The commit is delayed, and the same command sends it again successfully. When the first commit
+/// arrives later, it must fail and create no second version.
 #[tokio::test]
 async fn commit_arriving_after_its_retry_fails() {
     let (_stand_in, platform) = start().await;
     platform.transactions_to_hold.store(1, Ordering::SeqCst);
     let published = publish(&platform, &options("night", 60_000)).await;
-    let published = published.expect("the repetition is committed");
+    let published = published.expect("the retry is committed");
     assert_eq!(published.stamp.version, Version(1));
     assert_eq!(platform.deliver_held().await, Outcome::ConditionFailed);
     assert_eq!(head(&platform).await, Version(1));
 }
 
-/// The commit hangs on the way, and the operator resumes the publication. The first commit arrives
-/// just after the resumed run has looked the id up and before it reads the head. It must find its
-/// own version there, and not tell the operator that somebody else published the same team.
+/// The commit is delayed, and the operator resumes the publication. The first commit arrives after
+/// the resumed run has looked up the id and before it reads the head. The run must recognise the
+/// version as its own and not report a conflict with another publication.
 #[tokio::test]
 async fn commit_arriving_during_resume_is_found() {
     let (_stand_in, platform) = start().await;
@@ -212,17 +216,17 @@
     assert!(published.already_published);
 }
 
-/// Ana's commit is lost on the way, and Bea's publication of the same team is accepted meanwhile.
-/// Ana's lost commit can't take effect any more, since the head has moved. So she gets the plain
-/// refusal with the difference, at once, and not "unknown" after a wait.
+/// A commit is lost, and meanwhile another publication of the same team is accepted. The head has
+/// changed, so the lost commit cannot take effect any more. The command must report the conflict at
+/// once, and not "unknown" after a timeout.
 #[tokio::test]
 async fn lost_commit_superseded_by_another_is_refused_as_conflict() {
     let (_stand_in, mut platform) = start().await;
-    let mut options_of_bea = options("bea", 60_000);
-    for service in options_of_bea.records[0].services.values_mut() {
+    let mut competing_options = options("bea", 60_000);
+    for service in competing_options.records[0].services.values_mut() {
         service.queue_len += 1;
     }
-    platform.competing_publication = Some(options_of_bea);
+    platform.competing_publication = Some(competing_options);
     platform.transactions_to_hold.store(1, Ordering::SeqCst);
     let published = publish(&platform, &options("ana", 200)).await;
     assert!(
@@ -232,9 +236,9 @@
     assert_eq!(platform.deliver_held().await, Outcome::ConditionFailed);
 }
 
-/// The commit hangs on the way, and the operator resumes it, by mistake with a file that is refused.
-/// She is told that nothing was changed. The commit arrives only then, and must not prove that
-/// wrong: a refused resume settles the id before it says so.
+/// The commit is delayed, and the operator resumes the publication with an invalid file by mistake.
+/// The command reports that nothing was changed, and the commit arrives only afterwards. It must
+/// fail, because a refused resume settles the id before it reports the refusal.
 #[tokio::test]
 async fn commit_arriving_after_a_refused_resume_fails() {
     let (_stand_in, platform) = start().await;
@@ -265,19 +269,19 @@
     assert_eq!(head(&platform).await, Version::NONE);
 }
 
-/// A herd of restarting nodes holds the platform at its rate ceiling just when an operator
-/// publishes. A refusal by the ceiling is waited out; without that, the command fails by chance.
+/// Many nodes restart and exhaust the platform's rate limit while an operator publishes. The command
+/// must retry calls that the rate limit refuses instead of failing by chance.
 #[tokio::test]
 async fn publication_retries_while_rate_limited() {
     let (_stand_in, platform) = start().await;
     platform.busy_answers.store(2, Ordering::SeqCst);
     let published = publish(&Patient(platform), &options("busy", 60_000)).await;
-    let published = published.expect("the ceiling is waited out");
+    let published = published.expect("refused calls are retried");
     assert_eq!(published.stamp.version, Version(1));
 }
 
-/// The platform closes a connection that was idle just when the command reads the head over it. The
-/// read is asked again; without that the operator is refused because of one closed connection.
+/// The platform closes an idle connection while the command reads the head over it. The command must
+/// repeat the read instead of failing because of one closed connection.
 #[tokio::test]
 async fn read_is_retried_after_a_lost_answer() {
     let (_stand_in, platform) = start().await;
--- a/tests/testsuite/sources.rs
+++ b/tests/testsuite/sources.rs
@@ -1,16 +1,16 @@
-//! Rules of the sources that neither the formatter nor the linter knows.
+//! Rules for the source code that neither the formatter nor the linter checks.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 use crate::support::repository_file;
 
-/// All source files below a folder.
+/// All Rust files below a directory.
 fn rust_files(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).expect("the folder is there");
+    let entries = fs::read_dir(folder).expect("the directory exists");
     let mut found = Vec::new();
     for entry in entries {
-        let path = entry.expect("it can be listed").path();
+        let path = entry.expect("the entry can be read").path();
         if path.is_dir() {
             found.extend(rust_files(&path));
         } else if path.extension().is_some_and(|extension| extension == "rs") {
@@ -20,11 +20,11 @@
     found
 }
 
-/// Lines of the product's sources that hold one of `words`, with their places.
+/// Lines in `folder` that contain one of `words`, with file and line number.
 fn lines_containing(folder: &str, words: &[&str]) -> Vec<String> {
     let mut found = Vec::new();
     for path in rust_files(&repository_file(folder)) {
-        let text = fs::read_to_string(&path).expect("sources are text");
+        let text = fs::read_to_string(&path).expect("source files are UTF-8 text");
         for (number, line) in text.lines().enumerate() {
             if words.iter().any(|word| line.contains(word)) {
                 found.push(format!("{}:{}: {line}", path.display(), number + 1));
@@ -46,7 +46,7 @@
     assert_eq!(lines_containing("src", &phrases), Vec::<String>::new());
 }
 
-/// Guards against a request path that knows the actors which write what it reads.
+/// The request path reads state that actors write. It must not depend on the actors themselves.
 #[test]
 fn request_path_does_not_depend_on_actors() {
     let uses_of_node = lines_containing("src/proxy", &["crate::node::"]);
