--- a/src/bin/dragonflywall/commands/history.rs
+++ b/src/bin/dragonflywall/commands/history.rs
@@ -77,6 +77,7 @@
         days -= days_in_year(year);
         year += 1;
     }
+    // The other eleven months have 337 days.
     let february = days_in_year(year) - 337;
     let lengths = [31, february, 31, 30, 31, 30, 31, 31, 30, 31, 30, 31];
     let mut month = 1;
--- a/src/core/configuration.rs
+++ b/src/core/configuration.rs
@@ -189,7 +189,8 @@
     pub routes: Vec<RouteRecord>,
 }
 
-/// The published configuration of one team.
+/// The published configuration of one team. A publication inserts, replaces or deletes it as a
+/// whole, like a row of a database.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamRecord {
     /// Name of the team, which is the key of the record.
