--- a/tests/testsuite/publish_in_flight.rs
+++ b/tests/testsuite/publish_in_flight.rs
@@ -19,7 +19,7 @@
 /// each as many times as the counters say.
 struct FaultyPlatform {
     inner: HttpStore,
-    /// The last transaction that was held, until it is delivered.
+    /// The transaction that was held last.
     held_transaction: Mutex<Option<Transaction>>,
     /// Number of transactions to hold, whose answers are lost.
     transactions_to_hold: AtomicU32,
