--- a/src/distribution.rs
+++ b/src/distribution.rs
@@ -1,10 +1,12 @@
-//! How a node comes by the accepted configuration, as state machines without sockets.
+//! How a node obtains and switches to the newest accepted configuration, as state machines without
+//! sockets.
 //!
-//! [`Holder`] keeps what the node holds and enforces. [`Fetcher`] decides what to fetch, from whom
-//! and when; its driver does the fetching and hands the content to the holder. Content is verified,
-//! checked for closure and compiled before it is [`CompiledConfiguration`]; anything wrong leaves the node with
-//! what it had. Only a greater version is ever applied, and after a restart none below the
-//! [`Floor`]. See `docs/design/spread.md`.
+//! [`Holder`] has the version that the node holds and the one that it enforces. [`Fetcher`] decides
+//! what to fetch, from where and when; its driver makes the fetches and passes the content to the
+//! holder. Content is verified, its references are checked, and it is compiled into a
+//! [`CompiledConfiguration`]. If any of this fails, the node keeps what it had. A version is only
+//! ever replaced by a greater one, and after a restart no version below the [`Floor`] is enforced.
+//! See `docs/design/spread.md`.
 
 pub mod budget;
 pub mod fetch;
--- a/src/distribution/budget.rs
+++ b/src/distribution/budget.rs
@@ -1,7 +1,9 @@
-//! Shares of the time within which an accepted version is to be in force.
+//! Timeouts and delays, as shares of the time within which an accepted version has to be enforced
+//! everywhere.
 //!
-//! Each wait on the way of a version to a node is one of these shares, so that their sums stay below the
-//! whole however it fails: `docs/design/spread.md` has the ways and their sums.
+//! Each wait on a version's path to a node is one of these shares. Along each path their sum stays
+//! below the whole, also when something fails: `docs/design/spread.md` lists the paths and their
+//! sums.
 
 /// The time from a version's acceptance until every node enforces it, and its shares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -9,7 +11,7 @@
     apply_ms: u64,
 }
 
-/// A share of the budget: in thousandths of it, and at most so many milliseconds.
+/// A share of the budget in thousandths, with an upper limit in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Share {
     per_mille: u64,
@@ -33,73 +35,76 @@
 const HEAD_POLL_INTERVAL: Share = share(500, 120_000);
 
 impl ApplyBudget {
-    /// The shares of `apply_ms`, in milliseconds.
+    /// Creates a budget of `apply_ms` milliseconds.
     pub const fn new(apply_ms: u64) -> Self {
         Self { apply_ms }
     }
 
-    /// The whole, in milliseconds.
+    /// The whole budget in milliseconds.
     pub const fn apply_ms(self) -> u64 {
         self.apply_ms
     }
 
-    /// How long a lead keeps a follower waiting for news.
+    /// How long a lead may hold a follower's request while it has no newer version.
     pub fn follow_wait_ms(self) -> u64 {
         self.of(FOLLOW_WAIT)
     }
 
-    /// What a lead's answer may take beyond that.
+    /// How long a lead's answer may take in addition to that wait.
     pub fn follow_answer_timeout_ms(self) -> u64 {
         self.of(FOLLOW_ANSWER_TIMEOUT)
     }
 
-    /// What the answer of a lead may take that is asked for what it holds now.
+    /// How long a lead's answer may take if it is asked only for what it holds now.
     pub fn probe_answer_timeout_ms(self) -> u64 {
         self.of(PROBE_ANSWER_TIMEOUT)
     }
 
-    /// How long a read of the store waits for news where nothing else would tell in time of a version that
-    /// a silent connection hides.
+    /// How long a read of the store waits for a newer version if no other source would deliver, in
+    /// time, a version that a stalled connection to the store hides.
     pub fn short_store_wait_ms(self) -> u64 {
         self.of(SHORT_STORE_WAIT)
     }
 
-    /// How long it waits where others read the store as well and versions are rare.
+    /// How long a read of the store waits for a newer version if other data centres read it too and
+    /// versions are rare.
     pub fn long_store_wait_ms(self) -> u64 {
         self.of(LONG_STORE_WAIT)
     }
 
-    /// What the beginning of the store's answer may take beyond that.
+    /// How long the store may take to begin its answer, in addition to the wait.
     pub fn store_answer_timeout_ms(self) -> u64 {
         self.of(STORE_ANSWER_TIMEOUT)
     }
 
-    /// How old the store's last word may be at a lead that is of help.
+    /// Maximum time since a lead's last answer from the store; a lead with older data is not used.
     pub fn store_age_max_ms(self) -> u64 {
         self.long_store_wait_ms() + self.store_answer_timeout_ms()
     }
 
-    /// How long a version that gossip tells of is left to the lead or the own read of the store.
+    /// How long a node that received a version's announcement by gossip leaves the version to its
+    /// lead or its own read of the store, before it asks peers for it.
     pub fn peer_fetch_delay_ms(self) -> u64 {
         self.of(PEER_FETCH_DELAY)
     }
 
-    /// Longest wait for content from a peer of the region.
+    /// Timeout for fetching content from a peer of the region.
     pub fn region_fetch_timeout_ms(self) -> u64 {
         self.of(REGION_FETCH_TIMEOUT)
     }
 
-    /// Longest wait for content from a peer of another region.
+    /// Timeout for fetching content from a peer of another region.
     pub fn cross_region_fetch_timeout_ms(self) -> u64 {
         self.of(CROSS_REGION_FETCH_TIMEOUT)
     }
 
-    /// Between two reads of the store by a node that is no lead while neither leads nor store answer it.
+    /// Pause between two reads of the store by a node that is not a lead, while neither the leads
+    /// nor the store answer it.
     pub fn non_lead_store_pause_ms(self) -> u64 {
         self.of(NON_LEAD_STORE_PAUSE)
     }
 
-    /// Longest pause between two looks at the head row by those who look on behalf of others.
+    /// Longest pause between two reads of the head row by the nodes that poll it for the others.
     pub fn head_poll_interval_ms(self) -> u64 {
         self.of(HEAD_POLL_INTERVAL)
     }
--- a/src/distribution/fetch.rs
+++ b/src/distribution/fetch.rs
@@ -1,21 +1,24 @@
-//! What to fetch, from whom, and when to try again.
+//! What to fetch, from where, and when to retry.
 //!
-//! Content travels from neighbour to neighbour, so that a publication does not send every node of a region to
-//! the store or across the billed link; only a region's gateways go further, one at a time:
+//! Content is passed on between neighbours, so that a publication does not cause every node of a
+//! region to read from the store or across the billed link between regions. Only a region's
+//! gateways use these, one at a time:
 //!
-//! | source | who | from when |
+//! | source | used by | from when |
 //! |---|---|---|
-//! | a peer of the region that holds it | everybody | at once |
-//! | a peer across the regional link | gateway of rank 0 | at once |
-//! | the store | gateway of rank 0 | after four times its own distance from the store |
+//! | a peer of the region that holds the version | every node | at once |
+//! | a peer of another region | gateway of rank 0 | at once |
+//! | the store | gateway of rank 0 | after four times its own latency to the store |
 //! | both | gateway of rank R | R times [`RANK_DELAY_MS`] later |
-//! | both | everybody else | after [`NON_GATEWAY_DELAY_MS`], spread over [`NON_GATEWAY_SPREAD_MS`] |
+//! | both | all other nodes | after [`NON_GATEWAY_DELAY_MS`], spread over [`NON_GATEWAY_SPREAD_MS`] |
 //!
-//! The gateway nearest the store thus fetches first and announces it, and the other region's finds it there
-//! while it still waits: the content crosses the link once.
+//! The gateway nearest to the store thus fetches first and announces the version. The gateway of
+//! the other region, which is still waiting, then fetches it from that peer, so the content crosses
+//! the link once.
 //!
-//! Where versions are [followed](Fetcher::for_follower), peers are what is left when the other way is late: the
-//! times count from when it is, and the store is not among the sources.
+//! If versions are [followed](Fetcher::for_follower), peers are only a fallback for when the lead
+//! or the own read of the store is late: the times count from then on, and the store is not one of
+//! the sources.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,65 +29,68 @@
 use crate::decide::pacing::{Backoff, jittered_ms};
 use crate::membership::neighbours::node_hash;
 
-/// A standby gateway steps in after this: several round trips between regions.
+/// Delay between the gateways of a region: several round trips between regions.
 pub const RANK_DELAY_MS: u64 = 300;
-/// A node that is no gateway leaves the store and the link alone for so long.
+/// How long a node that is not a gateway waits before it reads from the store or across the link.
 pub const NON_GATEWAY_DELAY_MS: u64 = 2_000;
-/// And then comes at a random moment of this span: 520 nodes stay far below the platform's two
-/// thousand reads a second even when all gateways have failed.
+/// Span over which such nodes spread these reads. Even if all gateways fail, the reads of 520 nodes
+/// stay far below the platform's limit of two thousand a second.
 pub const NON_GATEWAY_SPREAD_MS: u64 = 8_000;
-/// Distance of the store before it has been measured.
+/// Assumed latency of the store until it has been measured.
 const DEFAULT_STORE_LATENCY_MS: u64 = 25;
-/// A slow store must not keep its nearest region waiting for long.
+/// Upper limit of the delay before a gateway reads from a slow store, so that the region nearest to
+/// it does not wait for long.
 const STORE_DELAY_MAX_MS: u64 = 1_000;
-/// Pauses after failures.
+/// Pauses after failed fetches.
 const RETRY_BACKOFF: Backoff = Backoff::new(50, 10_000);
-/// Holders remembered; more would not be asked before one of these has answered.
+/// Number of holders that are stored. More are not needed: a fetch asks one at a time, and a holder
+/// that fails is removed.
 const HOLDERS_MAX: usize = 32;
 
-/// Where content is.
+/// Where to fetch content from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// A peer that holds it.
+    /// A peer that holds the version.
     Peer {
-        /// Which.
+        /// Identity of the peer.
         node: NodeId,
-        /// Where to dial it.
+        /// Address to connect to.
         address: SocketAddr,
-        /// How far it is.
+        /// Distance from this node.
         distance: Distance,
     },
     /// The platform's object store.
     Store,
 }
 
-/// A fetch that the driver is to make.
+/// A fetch that the driver has to make.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fetch {
-    /// What is wanted.
+    /// Stamp of the version to fetch.
     pub wanted: Stamp,
-    /// From where.
+    /// Where to fetch it from.
     pub source: Source,
 }
 
-/// A peer that holds content.
+/// A peer that content can be fetched from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Which.
+    /// Identity of the peer.
     pub node: NodeId,
-    /// Where to dial it.
+    /// Address to connect to.
     pub address: SocketAddr,
-    /// How far it is.
+    /// Distance from this node.
     pub distance: Distance,
 }
 
-/// Decides about fetches. Time is an argument, in milliseconds of any steady clock.
+/// Decides which fetches to make. Times are arguments, in milliseconds of any monotonic clock.
 #[derive(Debug)]
 pub struct Fetcher {
     me: NodeId,
     gateway_rank: Option<usize>,
     head: Stamp,
-    /// Versions above the one held; waits count from the first, not from the newest.
+    /// Versions above the held one. Waits count from the first of them, so that newer versions do
+    /// not postpone a fetch.
     first_seen: FirstSeen,
     holders: BTreeMap<NodeId, (Stamp, Peer)>,
     in_flight: Option<Fetch>,
@@ -95,18 +101,19 @@
     follower: Option<FollowerState>,
 }
 
-/// Where versions come from a lead or the own read of the store, and peers are what is left.
+/// State of a node that receives versions from a lead or from its own read of the store, and uses
+/// peers as a fallback.
 #[derive(Clone, Copy, Debug)]
 struct FollowerState {
     peer_fetch_delay_ms: u64,
-    /// The last version came sooner from a peer than the other way.
+    /// Whether a peer delivered the last version before the lead or the store did.
     source_is_late: bool,
-    /// Version that was last fetched from a peer, and when it was first heard of.
+    /// Version that was last fetched from a peer, and when it was first seen.
     last_fetched: (Version, u64),
 }
 
 impl Fetcher {
-    /// A fetcher that has heard of nothing.
+    /// Creates a fetcher that knows no version yet.
     pub fn new(me: NodeId) -> Self {
         Self {
             me,
@@ -123,8 +130,9 @@
         }
     }
 
-    /// For a node that follows a lead or the store: peers are asked for a version once it has been missing for
-    /// `peer_fetch_delay_ms`, or at once while the other way is slower than that, and the store never.
+    /// Creates a fetcher for a node that follows a lead or the store. It asks peers for a version
+    /// that has been missing for `peer_fetch_delay_ms`, or at once while the lead or store is
+    /// slower than that. It never fetches from the store.
     pub fn for_follower(me: NodeId, peer_fetch_delay_ms: u64) -> Self {
         let follower = FollowerState {
             peer_fetch_delay_ms,
@@ -137,51 +145,50 @@
         }
     }
 
-    /// Newest stamp heard of.
+    /// Newest known stamp.
     pub fn head(&self) -> Stamp {
         self.head
     }
 
-    /// The process was frozen until now: a fetch from before is given up, and the next may start
-    /// at once.
+    /// Discards the fetch from before a freeze of the process, and allows the next one at once.
     pub fn resume_after_freeze(&mut self, now_ms: u64) {
         self.in_flight = None;
         self.failures = 0;
         self.not_before_ms = now_ms;
     }
 
-    /// Sets the node's place among the gateways of its region, if it has one.
+    /// Sets the node's position among the gateways of its region, or `None` if it is not a gateway.
     pub fn set_gateway_rank(&mut self, rank: Option<usize>) {
         self.gateway_rank = rank;
     }
 
-    /// Notes how long a read from the platform took.
+    /// Records how long a read from the store took.
     pub fn record_store_latency(&mut self, took_ms: u64) {
         self.store_latency_ms = took_ms.max(1);
     }
 
-    /// How long a read from the platform takes, as last measured.
+    /// How long the last read from the store took.
     pub fn store_latency_ms(&self) -> u64 {
         self.store_latency_ms
     }
 
-    /// Notes that `stamp` is accepted.
+    /// Records that `stamp` was accepted.
     pub fn note_head(&mut self, now_ms: u64, stamp: Stamp) {
         if stamp.version > self.head.version {
             self.head = stamp;
             self.first_seen.record(now_ms, stamp.version);
-            // A newer version is a new matter: its first try is not held back by old failures.
+            // The first attempt for a newer version is not delayed by failures with older ones.
             self.failures = 0;
             self.not_before_ms = now_ms;
         }
     }
 
-    /// When `version`, or a newer one, was first heard of, unless it has been held since.
+    /// When `version`, or a newer one, was first seen; `None` if it is held already.
     pub fn first_seen_ms(&self, version: Version) -> Option<u64> {
         self.first_seen.first_seen_ms(version)
     }
 
-    /// The lead that this node follows, or its own read of the store, has told of `version`.
+    /// Records that the followed lead, or the node's own read of the store, reported `version`.
     pub fn source_reported(&mut self, now_ms: u64, version: Version) {
         let seen_ms = self.first_seen_ms(version);
         let Some(follower) = &mut self.follower else {
@@ -195,7 +202,7 @@
         follower.source_is_late = now_ms.saturating_sub(seen_ms) >= follower.peer_fetch_delay_ms;
     }
 
-    /// Notes that `peer` holds the content of `stamp`.
+    /// Records that `peer` holds the content of `stamp`.
     pub fn note_holder(&mut self, now_ms: u64, stamp: Stamp, peer: Peer) {
         self.note_head(now_ms, stamp);
         let full = self.holders.len() >= HOLDERS_MAX;
@@ -203,14 +210,14 @@
             self.holders.pop_first();
         }
         self.holders.insert(peer.node, (stamp, peer));
-        // What failed was far away, and now it is near: no reason to wait on.
+        // The pause after failures of a remote source does not apply to a peer inside the region.
         if self.last_failure_was_remote && peer.distance != Distance::Mesh {
             self.last_failure_was_remote = false;
             self.not_before_ms = now_ms;
         }
     }
 
-    /// The fetch to make now, if any; the driver reports its end with [`Self::fetch_ended`].
+    /// The fetch to make now, if any. The driver reports its result with [`Self::fetch_ended`].
     pub fn next_fetch(&mut self, now_ms: u64, held: Version) -> Option<Fetch> {
         if self.in_flight.is_some() || self.head.version <= held || now_ms < self.not_before_ms {
             return None;
@@ -226,7 +233,7 @@
         Some(fetch)
     }
 
-    /// When [`Self::next_fetch`] is worth asking again although nothing else happens.
+    /// When to call [`Self::next_fetch`] again if nothing else happens before.
     pub fn next_fetch_at_ms(&self, held: Version) -> Option<u64> {
         if self.in_flight.is_some() || self.head.version <= held {
             return None;
@@ -245,9 +252,10 @@
         (earliest_ms < u64::MAX).then(|| earliest_ms.max(self.not_before_ms))
     }
 
-    /// Notes the end of the fetch: whether its content is now held. After a failure the source is left alone until it
-    /// announces itself again, and the next try waits: twice as long with each failure in a row, and not in step with
-    /// other nodes.
+    /// Records the result of a fetch: whether its content is now held. After a failure the peer is
+    /// not asked again until it announces the version again, and the next attempt waits. The pause
+    /// doubles with each failure in a row, and is randomised so that nodes do not retry at the same
+    /// time.
     pub fn fetch_ended(&mut self, now_ms: u64, fetch: &Fetch, succeeded: bool) {
         if self.in_flight.as_ref() != Some(fetch) {
             return;
@@ -286,13 +294,14 @@
         }
     }
 
-    /// The nearest holder with the newest version inside the region.
+    /// A fetch from the nearest holder of the newest version inside the region.
     fn region_fetch(&self) -> Option<Fetch> {
         let near = self
             .holders
             .values()
             .filter(|(_, peer)| peer.distance != Distance::Mesh);
-        // Nodes that heard from the same few must not all ask the same one.
+        // The hash differs by node, so that nodes that know the same few holders do not all ask the
+        // same one.
         let best = near.min_by_key(|(stamp, peer)| {
             let salt = self.me.to_string();
             let newest_first = std::cmp::Reverse(stamp.version);
@@ -301,7 +310,7 @@
         best.map(|(stamp, peer)| from_peer(*stamp, peer))
     }
 
-    /// When the first version was heard of that is newer than the one held.
+    /// When the first version above the held one was seen.
     fn behind_since_ms(&self, held: Version) -> Option<u64> {
         self.first_seen.first_above_ms(held)
     }
--- a/src/distribution/floor.rs
+++ b/src/distribution/floor.rs
@@ -1,45 +1,51 @@
-//! Below which version a node that has just started must not enforce.
+//! The floor: the lowest version that a node may enforce after it starts.
 //!
-//! A VM has no disk, so a restarted node does not know what it enforced before. The rule that keeps
-//! it from going back has two halves:
+//! A VM has no disk, so a restarted node does not know which version it enforced before. Two rules
+//! prevent it from enforcing an older one:
 //!
-//! 1. Before a node enforces a version, two peers of its data centre (or all, where fewer are alive)
-//!    have confirmed that they heard the node announce it ([`crate::membership::Membership::acknowledged_version`]). Only a node that
-//!    believes none there to be alive takes another peer's word, and one that believes nobody to be
-//!    alive does without.
-//! 2. A started node enforces nothing until its floor is settled: either it has read the head from
-//!    the platform, which is at or above anything that anybody has applied; or enough peers of its
-//!    data centre have told what they remember of its address and what they enforce. The floor is
-//!    the highest of all that was heard. Peers elsewhere count only where nobody knows of any other
-//!    node in the data centre: they may be behind, and were not told before it was enforced.
+//! 1. Before a node enforces a version, two peers of its data centre (or all, if fewer are alive)
+//!    have acknowledged the node's announcement of it
+//!    ([`crate::membership::Membership::acknowledged_version`]). Acknowledgements from other data
+//!    centres count only if the node sees no live peer in its own, and none is needed if it sees no
+//!    live peer at all.
+//! 2. After a start, a node enforces nothing until its floor is settled. Either it has read the
+//!    head from the store, which is at least as new as any version that a node has enforced; or
+//!    enough peers of its data centre have reported the highest version that they know of its
+//!    address and the version that they enforce themselves. The floor is the highest version
+//!    received. Peers of other data centres count only if no other node of the own data centre is
+//!    known: they may be behind, and did not have to acknowledge the version before it was
+//!    enforced.
 //!
-//! While neither comes, it waits and says so; there is no time after which it guesses.
+//! If neither happens, the node waits and reports that it is not ready. There is no time limit
+//! after which it continues without a floor.
 
 use std::collections::BTreeSet;
 
 use crate::core::member::{Distance, NodeId};
 use crate::core::version::Version;
 
-/// Peers that must answer where so many are known, besides all that are asked: a node that has just
-/// started knows only some of its neighbours yet.
+/// Number of peers that must answer, in addition to the rule that all asked peers must. A node that
+/// has just started knows only some of its neighbours.
 pub const ANSWERS_REQUIRED: usize = 3;
 
-/// How long fewer answers are not enough although some came. A node that is
-/// cut off with a few peers serves with them after this; five heartbeats, so that whoever can
-/// answer has.
+/// Time after which fewer answers settle the floor, if there is at least one. A node that is cut
+/// off with a few peers starts to serve after this time. It equals five heartbeats, so that every
+/// reachable peer has had time to answer.
 pub const PARTIAL_ANSWERS_AFTER_MS: u64 = 5_000;
 
-/// The same where versions are [`Followed`](VersionSource::Followed): those who answer later know no more than
-/// those who answer at once.
+/// The same if versions are [`Followed`](VersionSource::Followed). Shorter, because peers that
+/// answer late know no more than those that answer at once.
 const FOLLOWED_PARTIAL_ANSWERS_AFTER_MS: u64 = 1_000;
 
-/// How versions come to nodes, and with that what peers may know of an address.
+/// How nodes receive versions, which determines which peers know what an address has enforced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionSource {
-    /// A version is enforced once witnesses in the data centre have noted it: only they may know.
+    /// Versions are published, and each is enforced only after peers of the data centre have
+    /// acknowledged it. Only these peers are sure to know it.
     Acknowledged,
-    /// Operators write each version into the store as a whole, from where all nodes follow it within a
-    /// round trip, and nobody waits for witnesses: any peer may know.
+    /// Operators write whole configurations into the store. All nodes follow it and receive a
+    /// version within a round trip, and no acknowledgement is needed, so any peer can know the
+    /// newest version.
     Followed,
 }
 
@@ -52,7 +58,7 @@
     }
 }
 
-/// The floor of one life of a node.
+/// The floor of one process of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Floor {
     source: VersionSource,
@@ -66,7 +72,7 @@
 }
 
 impl Floor {
-    /// The floor of a node that starts now.
+    /// Creates the floor of a node that starts at `now_ms`.
     pub fn new(now_ms: u64, source: VersionSource) -> Self {
         Self {
             source,
@@ -80,7 +86,7 @@
         }
     }
 
-    /// The platform's head was read.
+    /// Records the head that was read from the store. This settles the floor.
     pub fn record_head(&mut self, head: Version) {
         if !self.settled {
             self.head_read = true;
@@ -88,19 +94,21 @@
         }
     }
 
-    /// Whether nobody knows of another node in the data centre, alive or dead.
+    /// Sets whether no other node of the data centre is known, alive or dead.
     pub fn set_only_node_of_data_centre(&mut self, only_node: bool) {
         self.only_node_of_data_centre = only_node;
     }
 
-    /// A peer of the data centre is asked: its answer is waited for until few peers are enough.
+    /// Records that a peer of the data centre was asked. The floor is not settled before it answers
+    /// or the time for partial answers is reached.
     pub fn record_asked(&mut self, peer: NodeId) {
         self.asked.insert(peer);
     }
 
-    /// A peer told the highest version that it knows this address to have reported, and the
-    /// version that it enforces itself. One that enforces nothing has no memory yet, so it raises
-    /// the floor but does not count.
+    /// Records a peer's answer: the highest version that it knows this address to have reported,
+    /// and the version that it enforces itself. A peer that enforces nothing has just started and
+    /// may not know the address, so its answer can raise the floor but does not count towards
+    /// settling it.
     pub fn record_answer(
         &mut self,
         peer: NodeId,
@@ -123,13 +131,14 @@
         }
     }
 
-    /// Whether the node may begin to enforce. Once it may, it always may: from then on only
-    /// greater versions are applied anyway.
+    /// Whether the node may begin to enforce versions. Once settled, the floor stays so: from then
+    /// on only greater versions are applied.
     pub fn is_settled(&mut self, now_ms: u64) -> bool {
         let timed_out =
             now_ms.saturating_sub(self.started_ms) >= self.source.partial_answers_after_ms();
-        // Any two of those asked may be the only witnesses of what this address enforced last. Were
-        // the first answers enough, the node would start below it when the witness answers late.
+        // All asked peers have to answer, because any two of them may be the only ones that
+        // acknowledged the version enforced last at this address. If the first answers were enough,
+        // the node could start below that version while the peers that know it answer late.
         let all_answered =
             self.answered.len() >= ANSWERS_REQUIRED && self.asked.is_subset(&self.answered);
         let enough = all_answered || (timed_out && !self.answered.is_empty());
--- a/src/distribution/holder.rs
+++ b/src/distribution/holder.rs
@@ -1,4 +1,4 @@
-//! The configuration that a node holds, and the rule by which it is replaced.
+//! The configuration that a node holds, and the rules for replacing it.
 
 use std::sync::{Arc, OnceLock};
 
@@ -8,78 +8,79 @@
 use crate::core::routing::{self, RouteTable};
 use crate::core::version::{Stamp, Version};
 
-/// Result of this module.
+/// Result of preparing or enforcing a configuration.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Deltas kept to hand to peers. A peer that is further behind gets the snapshot.
+/// Number of deltas that are kept for peers. A peer that is further behind gets a snapshot.
 const DELTAS_KEPT: usize = 8;
 
-/// Why content was not applied. The node keeps what it enforces.
+/// Why content was not applied. The node keeps enforcing what it enforced before.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The content is damaged or not what was announced.
-    #[snafu(display("the content of {stamp} is refused"))]
+    /// The content is damaged or does not have the announced digest.
+    #[snafu(display("the content of version {stamp} is invalid"))]
     Content {
-        /// What was announced.
+        /// Stamp that was announced for the content.
         stamp: Stamp,
-        /// What is wrong.
+        /// Why it could not be read.
         #[snafu(source(from(configuration::Error, Box::new)))]
         source: Box<configuration::Error>,
     },
-    /// A reference in it does not close.
-    #[snafu(display("{stamp} cannot be enforced"))]
+    /// A reference in the configuration does not resolve, or two of its routes or services
+    /// conflict.
+    #[snafu(display("version {stamp} has invalid references or routes"))]
     Open {
-        /// What was announced.
+        /// Stamp of the configuration.
         stamp: Stamp,
-        /// The open reference.
+        /// The invalid reference, route or service.
         source: routing::Error,
     },
-    /// It is not newer than what is enforced, or below the floor.
-    #[snafu(display("{stamp} is not above version {lowest}"))]
+    /// The version is not newer than the held or enforced one, or it is below the floor.
+    #[snafu(display("version {stamp} is not newer than version {lowest}"))]
     NotNewer {
-        /// What was offered.
+        /// Stamp that was offered.
         stamp: Stamp,
-        /// What it had to exceed.
+        /// Version that it was compared with.
         lowest: Version,
     },
-    /// A chain of deltas that ends elsewhere.
-    #[snafu(display("a chain to {stamp} ends at {found}"))]
+    /// A chain of deltas leads to another version or digest than announced.
+    #[snafu(display("the delta chain to version {stamp} ends at version {found}"))]
     Chain {
-        /// What was offered.
+        /// Stamp that was announced for the chain.
         stamp: Stamp,
-        /// Where it ends.
+        /// Stamp that the chain leads to.
         found: Stamp,
     },
-    /// A delta, and nothing to apply it to.
-    #[snafu(display("a delta to {stamp} without its parent"))]
+    /// A delta was received, but there is no held version to apply it to.
+    #[snafu(display("no version is held to apply the delta to version {stamp} to"))]
     NoParent {
-        /// What was offered.
+        /// Stamp that was announced for the delta.
         stamp: Stamp,
     },
 }
 
-/// Content as it travels.
+/// Content of a version, as sent between nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Content {
-    /// The difference from the parent.
+    /// The difference from the parent version.
     Delta(Vec<u8>),
-    /// The whole.
+    /// The whole configuration.
     Snapshot(Vec<u8>),
-    /// Differences that lead from an older version to the newest, one by one.
+    /// Deltas from an older version to the newest one, oldest first.
     Chain(Vec<DeltaStep>),
 }
 
-/// One difference of a chain.
+/// One delta of a chain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DeltaStep {
-    /// What it leads to.
+    /// Stamp of the configuration after this delta.
     pub stamp: Stamp,
-    /// The difference from the version before.
+    /// The difference from the preceding version.
     pub delta: Vec<u8>,
 }
 
 impl Content {
-    /// Length of the content.
+    /// Size of the content in bytes.
     pub fn len_bytes(&self) -> usize {
         match self {
             Self::Delta(bytes) | Self::Snapshot(bytes) => bytes.len(),
@@ -88,16 +89,17 @@
     }
 }
 
-/// A configuration ready to be enforced: verified, closed, compiled.
+/// A configuration that is ready to be enforced: verified, with all references resolved, and
+/// compiled.
 #[derive(Debug)]
 pub struct CompiledConfiguration {
-    /// Number and digest.
+    /// Version and digest.
     pub stamp: Stamp,
-    /// The records.
+    /// The teams' records.
     pub configuration: Configuration,
-    /// Compiled routes.
+    /// Routes compiled for lookup.
     pub routes: RouteTable,
-    /// The compressed whole, made when a peer first needs it.
+    /// Compressed snapshot, created when a peer first needs it.
     snapshot: OnceLock<Vec<u8>>,
 }
 
@@ -108,36 +110,36 @@
     }
 }
 
-/// What a node holds.
+/// The versions that a node holds and enforces.
 ///
-/// Content is first [prepared](Self::prepare): verified, checked for closure, compiled, and handed
-/// to peers that ask. It is [enforced](Self::enforce) in a second step, once the node's floor is
-/// known and somebody else remembers that this node is about to enforce it; see
+/// Content is first [prepared](Self::prepare): verified, checked for unresolved references,
+/// compiled, and offered to peers. It is [enforced](Self::enforce) in a second step, once the
+/// node's floor is known and peers have acknowledged that this node is about to enforce it; see
 /// [`super::floor`].
 #[derive(Debug, Default)]
 pub struct Holder {
     enforced: Option<Arc<CompiledConfiguration>>,
-    /// Newest version prepared; the enforced one or a later one.
+    /// Newest prepared version: the enforced one or a later one.
     held: Option<Arc<CompiledConfiguration>>,
-    /// Newest version heard of, whether or not its content is here.
+    /// Newest known version, whether or not its content is held.
     announced: Option<Stamp>,
-    /// Lowest version that may be enforced: what this address has enforced before.
+    /// Lowest version that may be enforced, because this address may have enforced it before.
     floor: Version,
     deltas: Vec<(Version, DeltaStep)>,
 }
 
 impl Holder {
-    /// What the node enforces.
+    /// The configuration that the node enforces.
     pub fn enforced(&self) -> Option<&Arc<CompiledConfiguration>> {
         self.enforced.as_ref()
     }
 
-    /// Stamp of what the node enforces.
+    /// Stamp of the configuration that the node enforces.
     pub fn stamp(&self) -> Stamp {
         stamp_of(self.enforced.as_ref())
     }
 
-    /// Stamp of the newest version whose content is here.
+    /// Stamp of the newest held version.
     pub fn held(&self) -> Stamp {
         stamp_of(self.held.as_ref())
     }
@@ -147,12 +149,13 @@
         self.floor
     }
 
-    /// Raises the floor to what somebody remembers of this node. It never falls.
+    /// Raises the floor to `version`, which was reported for this address. The floor never falls.
     pub fn raise_floor(&mut self, version: Version) {
         self.floor = self.floor.max(version);
     }
 
-    /// Notes that `stamp` exists. It is a reason to fetch, not proof of anything.
+    /// Stores that `stamp` was announced. An announcement only triggers a fetch; the content is
+    /// verified on its own.
     pub fn note_announced(&mut self, stamp: Stamp) {
         let newest = self.announced.map_or(Version::NONE, |known| known.version);
         if stamp.version > newest {
@@ -160,21 +163,22 @@
         }
     }
 
-    /// The version to fetch, if one newer than the held one has been announced.
+    /// The version to fetch: the newest announced one, if it is newer than the held one.
     pub fn wanted(&self) -> Option<Stamp> {
         self.announced
             .filter(|stamp| stamp.version > self.held().version)
     }
 
-    /// The version that may be enforced next: newer than the enforced one, not below the floor.
+    /// The held version, if it may be enforced: it is newer than the enforced one and not below the
+    /// floor.
     pub fn enforceable(&self) -> Option<Stamp> {
         let held = self.held();
         let may = held.version > self.stamp().version && held.version >= self.floor;
         may.then_some(held)
     }
 
-    /// Verifies, checks and compiles `content`, and holds it for peers and for
-    /// [`Self::enforce`]. On an error nothing has changed.
+    /// Verifies, checks and compiles `content`, and holds the result for peers and for
+    /// [`Self::enforce`]. An error changes nothing.
     pub fn prepare(
         &mut self,
         stamp: Stamp,
@@ -189,7 +193,8 @@
         Ok(compiled)
     }
 
-    /// The same for a configuration that was read as a whole, and not as content of a known stamp.
+    /// Like [`Self::prepare`], for a whole configuration that was read from the store and whose
+    /// stamp was not announced before.
     pub fn prepare_configuration(
         &mut self,
         configuration: Configuration,
@@ -207,14 +212,14 @@
         Ok(compiled)
     }
 
-    /// Enforces what is held, whole, if [`Self::enforceable`] allows it.
+    /// Switches to the held version if [`Self::enforceable`] allows it.
     pub fn enforce(&mut self) -> Option<Arc<CompiledConfiguration>> {
         self.enforceable()?;
         self.enforced.clone_from(&self.held);
         self.enforced.clone()
     }
 
-    /// Prepares and enforces in one step. On an error nothing has changed.
+    /// Prepares and enforces content in one step. An error changes nothing.
     pub fn apply(&mut self, stamp: Stamp, content: &Content) -> Result<Arc<CompiledConfiguration>> {
         let lowest = self.floor;
         ensure!(stamp.version >= lowest, NotNewerSnafu { stamp, lowest });
@@ -223,8 +228,8 @@
         self.enforce().context(NotNewerSnafu { stamp, lowest })
     }
 
-    /// What to hand to a peer that holds `have`; `None` if it holds as much. Deltas where they
-    /// lead from there to here and are shorter than the whole.
+    /// Content for a peer that holds version `have`; `None` if that is not older than the held
+    /// version. Deltas if they are available from `have` on and smaller than a snapshot.
     pub fn content_for(&self, have: Version) -> Option<(Stamp, Content)> {
         let held = self.held.as_ref()?;
         if held.stamp.version <= have {
@@ -243,7 +248,7 @@
         Some((held.stamp, content))
     }
 
-    /// The kept deltas from `have` to the held version; empty if one is missing.
+    /// The kept deltas that lead from `have` to the held version; empty if one of them is missing.
     fn steps_from(&self, have: Version) -> Vec<&DeltaStep> {
         let mut reached = have;
         let mut steps = Vec::new();
@@ -311,8 +316,9 @@
     compiled.map_or(Stamp::NONE, |compiled| compiled.stamp)
 }
 
-/// Steps have to rise: read against another version than its parent, a difference may seem to lead back to an
-/// older one, and a node would go round in circles among its kept differences.
+/// Applies a chain of deltas. The versions of the steps have to increase: a delta that is applied
+/// to another version than its parent can seem to lead to an older one, and the node would then
+/// fetch the same deltas in an endless loop.
 fn apply_chain(parent: &Configuration, stamp: Stamp, steps: &[DeltaStep]) -> Result<Configuration> {
     let mut reached = parent.clone();
     for step in steps {
--- a/src/distribution/lead_choice.rs
+++ b/src/distribution/lead_choice.rs
@@ -1,9 +1,11 @@
-//! Whom a node asks for new versions: a lead of its data centre, or the store.
+//! Which source a node asks for new versions: a lead of its data centre, or the store.
 //!
-//! The leads of a data centre are ranked alike by all of its nodes. Each node asks the best one that is of
-//! help; a lead whose betters are of no help reads the store itself, and so does every node that no lead
-//! helps. So one node of a data centre reads the store while it answers, and another one as soon as that
-//! one is silent or hears nothing of the store.
+//! A lead is a node that reads the store for the others of its data centre. All nodes of a data
+//! centre rank its leads in the same order. Each node asks the highest ranked lead that answers
+//! with current data. A lead reads the store itself if no lead ranked above it does so, and so does
+//! every other node if all leads fail. Thus one node of a data centre reads the store while it
+//! answers, and another one takes over as soon as that node stops answering or cannot read the
+//! store.
 
 use std::collections::BTreeMap;
 
@@ -13,67 +15,69 @@
 use crate::core::version::Version;
 use crate::decide::pacing::Backoff;
 
-/// A lead that was of no help is left alone for so long.
+/// How long a lead is not asked after it failed to answer or could not read the store.
 const LEAD_SKIP_MS: u64 = 3_000;
 
-/// Failures of the store in a row from which a node that reads it tells its followers so.
+/// Failed reads of the store in a row after which a node reports to its followers that it cannot
+/// read the store.
 const STORE_FAILING_THRESHOLD: u32 = 2;
 
-/// Pauses of a lead after failures of the store, whose rates all nodes share.
+/// Pauses of a lead after failed reads of the store, whose rate limits all nodes share.
 const RETRY_BACKOFF: Backoff = Backoff::new(50, 1_000);
 
-/// After a version so long ago another one is to be expected soon.
+/// For how long after a version another one is expected soon.
 const RECENT_VERSION_MS: u64 = 10_000;
 
-/// Doublings of the time that the store's answer may take, one for each that came too late in a row.
+/// How often the timeout for the store's answer is doubled at most, once per timeout in a row.
 const TIMEOUT_DOUBLINGS_MAX: u32 = 2;
 
-/// The leads of a data centre as one of its nodes sees them.
+/// The leads of a data centre, as one of its nodes ranks them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Leads {
-    /// Those ranked before this node, best first.
+    /// Leads ranked above this node, highest first; all leads if this node is not one.
     pub higher_ranked: Vec<Peer>,
-    /// Whether this node is a lead too.
+    /// Whether this node is a lead.
     pub is_lead: bool,
     /// Whether no node of another data centre is known to be alive.
     pub is_only_data_centre: bool,
 }
 
-/// What to do next.
+/// The next read of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextRead {
     /// Read the store.
     Store,
-    /// Ask a lead for versions newer than the one held.
+    /// Ask a lead for versions newer than the held one.
     Lead {
-        /// Which.
+        /// The lead to ask.
         lead: Peer,
-        /// How long it may wait for one; 0 for what it holds now.
+        /// How long the lead may wait for a newer version; 0 to get what it holds now.
         wait_ms: u64,
-        /// What its answer may take beyond that.
+        /// How long its answer may take in addition to that wait.
         answer_timeout_ms: u64,
     },
 }
 
-/// How a lead stands to the store.
+/// How current a lead's data from the store is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeadState {
-    /// How long ago the store last told it, or whom it follows, what is newest.
+    /// Time since the store last answered the lead, or the node that the lead follows.
     pub store_age_ms: u64,
-    /// Its reads of the store fail.
+    /// Whether the lead's reads of the store fail.
     pub store_failing: bool,
 }
 
 /// How a read of the store failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreFailure {
-    /// It was refused, or the connection broke.
+    /// The store refused it, or the connection was lost.
     Refused,
-    /// No answer came in time.
+    /// The store did not answer in time.
     TimedOut,
 }
 
-/// Decides whom one node asks. Time is an argument, in milliseconds of any steady clock.
+/// Decides which source one node reads from. Times are arguments, in milliseconds of any monotonic
+/// clock.
 #[derive(Debug, Default)]
 pub struct LeadChoice {
     leads: Leads,
@@ -82,17 +86,17 @@
     skipped_until_ms: BTreeMap<NodeId, u64>,
     failures: u32,
     timeouts: u32,
-    /// The newest version held, and since when.
+    /// Newest held version, and since when it is held.
     newest_held: Option<(Version, u64)>,
 }
 
 impl LeadChoice {
-    /// Takes in who leads.
+    /// Sets the leads of the data centre.
     pub fn set_leads(&mut self, leads: Leads) {
         self.leads = leads;
     }
 
-    /// Takes in which version is held now.
+    /// Records which version is held now.
     pub fn note_held(&mut self, now_ms: u64, held: Version) {
         if self
             .newest_held
@@ -102,10 +106,10 @@
         }
     }
 
-    /// What to do now.
+    /// Source to read from now.
     pub fn next_read(&mut self, now_ms: u64, budget: ApplyBudget) -> NextRead {
-        // The first question of a life is the store's: its answer tells below which version nothing may
-        // be enforced.
+        // The first read after a start goes to the store, because its answer settles the floor of
+        // the versions that may be enforced.
         if !self.store_tried {
             return NextRead::Store;
         }
@@ -123,7 +127,7 @@
         };
         let (wait_ms, answer_timeout_ms) = match self.following == Some(lead.node) {
             true => (budget.follow_wait_ms(), budget.follow_answer_timeout_ms()),
-            // Whether it is there and of help shows sooner without a wait.
+            // A request without a wait shows sooner whether the lead answers and has current data.
             false => (0, budget.probe_answer_timeout_ms()),
         };
         NextRead::Lead {
@@ -133,7 +137,7 @@
         }
     }
 
-    /// A lead has answered; whether it is of help.
+    /// Records the answer of a lead. Returns whether its data is current, so that it is followed.
     pub fn lead_answered(
         &mut self,
         now_ms: u64,
@@ -152,7 +156,7 @@
         true
     }
 
-    /// A lead gave no answer.
+    /// Records that a lead did not answer.
     pub fn lead_failed(&mut self, now_ms: u64, lead: NodeId) {
         self.skip_lead(now_ms, lead);
     }
@@ -164,8 +168,9 @@
         }
     }
 
-    /// How long a read of the store waits for news. A long wait saves reads; it is for quiet times, and where
-    /// readers elsewhere would tell of a version that is missed here.
+    /// How long a read of the store waits for a newer version. A long wait saves reads. It is used
+    /// only when versions are rare and other data centres read the store too, from which a version
+    /// that is missed here would arrive by gossip.
     pub fn store_wait_ms(&self, now_ms: u64, budget: ApplyBudget) -> u64 {
         let is_active = |(_, since_ms): (Version, u64)| now_ms < since_ms + RECENT_VERSION_MS;
         match self.leads.is_only_data_centre || self.newest_held.is_some_and(is_active) {
@@ -174,19 +179,21 @@
         }
     }
 
-    /// What the beginning of the store's answer may take beyond that. A store that is slow gets longer.
+    /// How long the store may take to begin its answer, in addition to the wait. Doubles after each
+    /// timeout.
     pub fn store_answer_timeout_ms(&self, budget: ApplyBudget) -> u64 {
         budget.store_answer_timeout_ms() << self.timeouts.min(TIMEOUT_DOUBLINGS_MAX)
     }
 
-    /// The store has answered.
+    /// Records that the store answered.
     pub fn store_answered(&mut self) {
         self.store_tried = true;
         self.failures = 0;
         self.timeouts = 0;
     }
 
-    /// A read of the store has failed; the pause before the next.
+    /// Records that a read of the store failed. Returns the pause before the next read, in
+    /// milliseconds.
     pub fn store_failed(&mut self, failure: StoreFailure, budget: ApplyBudget) -> u64 {
         self.store_tried = true;
         let pause_ms = match self.leads.is_lead {
@@ -198,12 +205,13 @@
             StoreFailure::Refused => 0,
             StoreFailure::TimedOut => self.timeouts + 1,
         };
-        // A lead may hear of the store by now.
+        // The leads may be able to read the store by now, so all of them are asked again.
         self.skipped_until_ms.clear();
         pause_ms
     }
 
-    /// Whether nothing is heard of the store here, so that this node is of no help as a lead.
+    /// Whether this node cannot read the store at present, so that its followers have to use
+    /// another lead.
     pub fn is_store_failing(&self) -> bool {
         self.timeouts > 0 || self.failures >= STORE_FAILING_THRESHOLD
     }
--- a/src/distribution/offer.rs
+++ b/src/distribution/offer.rs
@@ -1,16 +1,17 @@
-//! A version as one node hands it to another.
+//! A version that one node offers to another.
 
 use super::holder::Content;
 use crate::core::version::Stamp;
 
-/// Content of a version, and how old the version is.
+/// Content of a version, and the age of the version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// Reached by applying the content.
+    /// Version and digest of the configuration after the content is applied.
     pub stamp: Stamp,
-    /// What to apply.
+    /// The configuration, or the difference from an older one.
     pub content: Content,
-    /// Longest time for which the version may have been accepted, in milliseconds, as far as whoever offers
-    /// it can tell; the way here is not in it. 0 where nothing is known.
+    /// Upper bound of the time since the version was accepted, in milliseconds, as far as the
+    /// offering node can tell. Does not include the time for sending the offer. 0 if nothing is
+    /// known.
     pub age_ms: u64,
 }
--- a/src/membership.rs
+++ b/src/membership.rs
@@ -1,16 +1,16 @@
-//! Who is in the mesh and how each one fares, as a state machine without sockets.
+//! Gossip membership and failure detection, as a state machine without sockets.
 //!
-//! Every node holds a [`Membership`]: its own statement and the latest one it has heard of each
-//! other node. The driver (an actor of [`crate::node`]) calls [`Membership::tick`], sends the
-//! exchanges that it returns, and feeds what comes back to [`Membership::receive`],
-//! [`Membership::exchange_done`] and [`Membership::exchange_failed`]. Statements are
-//! single-writer: ordered by incarnation and sequence, which only the node itself raises. Others
-//! may only suspect it.
+//! Every node has a [`Membership`]: its own member record and the latest record that it has
+//! received of each other node. The driver (an actor of [`crate::node`]) calls
+//! [`Membership::tick`], sends the exchanges that it returns, and passes the results to
+//! [`Membership::receive`], [`Membership::exchange_done`] and [`Membership::exchange_failed`]. Only
+//! the node itself writes its record; the records of a node are ordered by incarnation and sequence
+//! number. Other nodes may only mark it as suspect or dead.
 //!
-//! [`roster`] keeps the statements, [`neighbours`] chooses the peers, [`link`] remembers what each
-//! of them still has to be told, [`reports`] counts who enforces what, [`exchange`] and
-//! [`discovery`] do the talking, [`merge`] takes in what others say, and [`view`] ties them
-//! together. See `docs/design/spread.md`.
+//! [`roster`] stores the records, [`neighbours`] chooses the peers to gossip with, [`link`] stores
+//! what is still to be sent to each of them, [`reports`] tracks which node enforces which version,
+//! [`exchange`] and [`discovery`] create and answer messages, [`merge`] merges received messages,
+//! and [`view`] holds the state as a whole. See `docs/design/spread.md`.
 
 pub(crate) mod discovery;
 pub(crate) mod exchange;
--- a/src/membership/discovery.rs
+++ b/src/membership/discovery.rs
@@ -1,4 +1,5 @@
-//! Exchanges outside the links: greetings of seeds, probes for the dead, answers to claims.
+//! Exchanges with nodes that are not neighbours: contacting seeds, probing dead members, and
+//! sending refutations.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,21 +12,22 @@
 use crate::core::version::Version;
 use crate::decide::pacing::Backoff;
 
-/// Longest pause between two probes of one dead member. Their number is bounded by who is asked
-/// to probe, so this bounds only the time to find each other again after a long cut.
+/// Longest pause between two probes of one dead member. Few nodes probe a member, so this limit is
+/// not needed to bound the traffic; it bounds how long two sides of a healed partition take to find
+/// each other.
 const PROBE_PAUSE_MAX_MS: u64 = 30_000;
 
-/// How long one that has gone is looked for often: most that go are back within seconds, some without a
-/// word of who else is there.
+/// How long a dead or departed member is probed frequently. Most of them are back within seconds,
+/// some without knowing any other member.
 const RECENTLY_GONE_MS: u64 = 30_000;
-/// Between two probes for such members, and before the first of one.
+/// Pause between two probes of recently gone members, and before the first probe of each.
 const RECENTLY_GONE_PROBE_MS: u64 = 500;
 
-/// Pauses between greetings of seeds while the node knows nobody.
+/// Pauses between attempts to contact seeds while the node knows no live member.
 const JOIN_BACKOFF: Backoff = Backoff::new(200, 10_000);
 
 impl Membership {
-    /// Exchanges outside the links: answers to claims about this node.
+    /// Sends the own record to members that repeated an outdated claim about this node.
     pub(super) fn refutation_exchanges(&mut self, now_ms: u64) -> Vec<Exchange> {
         let refutations_due = std::mem::take(&mut self.refutations_due);
         refutations_due
@@ -54,7 +56,7 @@
             .updates
             .extend(to.and_then(|node| self.claim_about(node)));
         Some(Exchange {
-            // A failed probe is no news of anybody, so nobody is named to be suspected.
+            // `None`, so that a failed exchange does not mark any member as suspect.
             to: None,
             address,
             gossip,
@@ -62,9 +64,12 @@
         })
     }
 
-    /// Greets two seeds at a time, ever more slowly, so that a herd that starts does not flood itself with whole
-    /// views: the nearest, which is asked for its view, and any other, which is only told of this node, so that
-    /// groups that start apart know of each other.
+    /// Contacts two seeds at a time while no other member is known to be alive: the nearest one,
+    /// which is asked for its whole view, and another one, which only receives the own record. The
+    /// second contact connects groups that started independently.
+    ///
+    /// The attempts back off, so that many nodes that start at once do not overload each other with
+    /// whole views.
     pub(super) fn join_exchanges(&mut self, now_ms: u64) -> Vec<Exchange> {
         if now_ms < self.next_join_ms || self.seeds.is_empty() || !self.is_alone() {
             return Vec::new();
@@ -87,11 +92,13 @@
         exchanges
     }
 
-    /// Looks for members that were declared dead or have left, and for seeds that nobody has mentioned.
+    /// Probes members that were declared dead or have left, and seeds whose address belongs to no
+    /// known member.
     ///
-    /// After a partition both halves hold each other for dead, and a node that restarts while the platform is away
-    /// knows nobody: neither would ever speak to the other again. Only those who would hold the link probe it, so
-    /// a healed link sees a few greetings.
+    /// After a partition each side considers the other one dead, and a node that restarts during a
+    /// platform outage knows no member. Without probes they would never exchange messages again.
+    /// Only the nodes that would be neighbours of the member probe it, so it receives a few
+    /// messages after the partition heals instead of one from every node.
     pub(super) fn probe(&mut self, now_ms: u64) -> Option<Exchange> {
         if now_ms < self.next_probe_ms {
             return None;
@@ -138,8 +145,9 @@
         Some((node, self.address_of(node)?))
     }
 
-    /// Dead nodes of the own data centre are probed by two of it; those elsewhere by the own end
-    /// of the link, while nobody over there is left to do it.
+    /// Dead members of the own data centre are probed by its two watchers. Those of another data
+    /// centre are probed by the nodes at this end of the link to it, and only if no live member is
+    /// left there.
     fn is_prober_of(&self, node: NodeId) -> bool {
         let Some(dead) = self.roster.get(node) else {
             return false;
@@ -162,25 +170,27 @@
             .flat_map(|member| [member.node.0, member.external])
             .collect();
         let position = self.seeds.iter().position(|seed| !known.contains(seed))?;
-        // Those behind it are tried before it is tried again.
+        // Moves the seed to the end of the list, so that all others are tried first.
         let seed = self.seeds.remove(position);
         self.seeds.push(seed);
         Some(seed)
     }
 }
 
-/// Members that are looked for.
+/// Which of the dead and departed members to probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeTarget {
-    /// Died or left within [`RECENTLY_GONE_MS`].
+    /// Died or left less than [`RECENTLY_GONE_MS`] ago.
     RecentlyGone,
-    /// Died before. One that left then is not expected back.
+    /// Died at least [`RECENTLY_GONE_MS`] ago. A member that left that long ago is not probed: it
+    /// is not expected to return.
     LongDead,
 }
 
 impl ProbeTarget {
-    /// Whether a member is one of these and may be probed again; the pauses grow with the time since it
-    /// went.
+    /// Whether the member belongs to this group and its pause since the last probe is over. The
+    /// pause equals the time from the member's death or departure to that probe, so it doubles with
+    /// each probe.
     fn is_due(self, now_ms: u64, entry: &Entry, probe_interval_ms: u64) -> bool {
         let gone_for_ms = now_ms.saturating_sub(entry.changed_ms);
         let is_probed = match (self, entry.member.liveness) {
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -1,4 +1,5 @@
-//! Exchanges with neighbours: what they are told, and what their answer or silence means.
+//! Exchanges with neighbours: which updates a message carries, and how answers and timeouts change
+//! the view.
 
 use std::collections::BTreeSet;
 
@@ -10,17 +11,19 @@
 use crate::core::member::{Liveness, Member, NodeId};
 use crate::core::version::{Stamp, Version};
 
-/// Members of one data centre that must fail to answer a bridge in a row before all of it is
-/// suspected. One may be dead and the next busy; three in a row without any answer is the link or
-/// the data centre. Suspecting one at a time would keep 87 dead endpoints for minutes.
+/// Members of one data centre that must fail to answer a bridge one after the other before all its
+/// members are marked as suspect. One may be dead and the next one busy; three without any answer
+/// mean that the link or the data centre is down. Marking one member at a time would keep 87 dead
+/// endpoints in use for minutes.
 const SILENT_PEERS_THRESHOLD: usize = 3;
 
-/// Peers that must confirm a version before it is enforced. Two, so that the loss of the node
-/// together with one of them does not lose what the node had enforced; see docs/design/floor.md.
+/// Peers that must acknowledge a version before the node enforces it. With two, the enforced
+/// version is still known if the node and one of these peers fail together; see
+/// docs/design/floor.md.
 const ACKS_REQUIRED: usize = 2;
 
 impl Membership {
-    /// Takes in a message and answers it.
+    /// Merges a received message and returns the answer to it.
     pub fn receive(&mut self, now_ms: u64, gossip: &Gossip) -> Gossip {
         self.detect_freeze(now_ms);
         let generation = self.generation();
@@ -29,8 +32,8 @@
         let views_equal = gossip.view_hash == self.view_hash();
         let from = gossip.from;
         let mut answer = self.message_to(from);
-        // One that came back without memory and without the platform has nobody to greet: who
-        // heartbeats it tells it the rest.
+        // A node that restarted without state while the platform is down has no seeds to contact.
+        // It gets the other records from the nodes that send heartbeats to it.
         answer.want_all = self.is_alone();
         let sent_updates = !answer.updates.is_empty();
         if gossip.want_all {
@@ -44,14 +47,15 @@
             answer.updates.push(self.me.clone());
         }
         answer.updates.extend(self.claim_about(from));
-        // Only a neighbour compares again; to a stranger a difference says nothing.
+        // Only a neighbour's views are compared again later. For other senders a difference leads
+        // to nothing.
         if let Some(link) = self.links.get_mut(&from) {
             link.record_comparison(now_ms, views_equal, view_changed || sent_updates);
         }
         answer
     }
 
-    /// Takes in the answer to an exchange.
+    /// Merges the answer to an exchange that this node started.
     pub fn exchange_done(&mut self, now_ms: u64, sent: &Exchange, answer: &Gossip) {
         self.detect_freeze(now_ms);
         let generation = self.generation();
@@ -77,7 +81,8 @@
         self.update_acknowledged_version();
     }
 
-    /// A peer gave no answer: suspect it.
+    /// Handles an exchange without an answer: queues its contents again and marks the peer as
+    /// suspect.
     pub fn exchange_failed(&mut self, now_ms: u64, sent: &Exchange) {
         self.detect_freeze(now_ms);
         let Some(to) = sent.to else { return };
@@ -113,8 +118,9 @@
         self.merge_member(now_ms, suspect, None);
     }
 
-    /// Bridge partners of a data centre that one after the other give no answer put all of its members under suspicion
-    /// together; each of them refutes it if any way to it is left.
+    /// Counts members of another data centre that did not answer. When [`SILENT_PEERS_THRESHOLD`]
+    /// of them failed to answer, one after the other, marks all members of that data centre as
+    /// suspect. Each of them refutes this if any path to it is left.
     fn record_silent_peer(&mut self, now_ms: u64, member: &Member) {
         let key = place_key(&member.place);
         let silent_peers = self.silent_peers.entry(key.clone()).or_default();
@@ -157,7 +163,9 @@
             .collect()
     }
 
-    /// Whether a node that restarts here asks `node` about its floor.
+    /// Whether `node` is one of the peers whose acknowledgement counts: ring neighbours, or all
+    /// neighbours if there is no ring neighbour. A node that restarts at this address asks the same
+    /// peers for its floor.
     fn is_acknowledging_peer(&self, node: NodeId) -> bool {
         match self.links.get(&node) {
             Some(link) if link.kind == NeighbourKind::Ring => true,
@@ -168,9 +176,9 @@
         }
     }
 
-    /// The highest version that enough witnesses have confirmed: [`ACKS_REQUIRED`], or all where fewer
-    /// are alive. A suspected one is not waited for, or a frozen neighbour would hold up a version
-    /// in a small data centre until it counts as dead.
+    /// Recomputes the highest version that [`ACKS_REQUIRED`] peers have acknowledged, or all of
+    /// them if fewer are alive. Suspect peers do not count: otherwise a frozen neighbour in a small
+    /// data centre would delay a version until that neighbour is declared dead.
     pub(super) fn update_acknowledged_version(&mut self) {
         let is_alive = |node: NodeId| {
             let member = self.roster.get(node);
@@ -190,9 +198,9 @@
             .max(lowest.unwrap_or(Version::NONE));
     }
 
-    /// A version waits for witnesses before it is enforced. The neighbours may all hold it already,
-    /// so that there is nothing else to tell them; as many as are missing are told all the same,
-    /// those of the ring first, since a restarted node asks these.
+    /// Adds exchanges for acknowledgements that are still missing for the held version. All
+    /// neighbours may already hold it, in which case no other exchange would be due. Ring
+    /// neighbours come first, because a restarted node asks these for its floor.
     fn add_acknowledging_peers(&self, now_ms: u64, due: &mut BTreeSet<NodeId>) {
         let held = self.held.version;
         if self.acknowledged_version >= held {
@@ -216,8 +224,8 @@
         due.extend(idle.into_iter().take(missing).map(|(_, node)| node));
     }
 
-    /// Whether [`Membership::tick`] is worth calling again after
-    /// [`super::link::MIN_UPDATE_INTERVAL_MS`].
+    /// Whether updates wait for [`super::link::MIN_UPDATE_INTERVAL_MS`] to pass, so that
+    /// [`Membership::tick`] has to be called again after that time.
     pub fn has_deferred_updates(&self, now_ms: u64) -> bool {
         let announcement = self.announcement();
         let mut links = self.links.values();
@@ -230,7 +238,7 @@
         let own_report = self.own_report();
         let link = self.links.get_mut(&node)?;
         if link.kind == NeighbourKind::Ring && own_report.version > Version::NONE {
-            // With every heartbeat, so that a report that got lost is made up for.
+            // The own report goes with every heartbeat, which makes up for lost reports.
             gossip
                 .reports
                 .retain(|report| report.node != own_report.node);
@@ -247,7 +255,7 @@
         })
     }
 
-    /// A message with what `to` still has to be told, if it is a neighbour.
+    /// Creates a message that carries all pending updates for `to` if it is a neighbour.
     fn message_to(&mut self, to: NodeId) -> Gossip {
         let mut gossip = Gossip {
             from: self.me.node,
@@ -276,7 +284,8 @@
                 true => Some(&self.me),
                 false => self.roster.get(node),
             };
-            // Suspicion is settled inside the region; what comes of it crosses.
+            // A suspicion stays inside the region; only its outcome, dead or refuted, is sent to
+            // other regions.
             let crosses = |m: &&Member| !crosses_regions || m.liveness != Liveness::Suspect;
             gossip.updates.extend(member.filter(crosses).cloned());
         }
@@ -287,7 +296,8 @@
         gossip
     }
 
-    /// What this node believes of `node` that `node` would deny.
+    /// The record of `node` if this node considers it suspect, dead or gone. It is sent to `node`,
+    /// so that `node` can refute it.
     pub(super) fn claim_about(&self, node: NodeId) -> Option<Member> {
         let member = self.roster.get(node)?;
         (member.liveness != Liveness::Alive).then(|| member.clone())
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! What travels between two members.
+//! Messages that members exchange.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -6,62 +6,65 @@
 use crate::core::member::{Member, NodeId, Place};
 use crate::core::version::{Stamp, Version};
 
-/// One message of an exchange, either way.
+/// One message of an exchange: the request or the answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Gossip {
-    /// The sender.
+    /// Node that sends the message.
     pub from: NodeId,
-    /// Hash of the sender's view.
+    /// Hash over the sender's records of all live members. Equal hashes show that two views are
+    /// equal.
     pub view_hash: u64,
-    /// Version that the sender enforces or is about to. The receiver remembers it, so that the
-    /// sender never comes back below it.
+    /// Version that the sender enforces or is about to enforce. The receiver stores it, so that the
+    /// sender does not enforce an older version after a restart.
     pub version: Version,
-    /// Newest stamp the sender knows of, where the receiver may not know it. The sender holds its
-    /// content if it is not above [`Self::version`].
+    /// Newest stamp (version and digest) that the sender knows, if the receiver may not know it
+    /// yet. The sender has its content if it is not newer than [`Self::version`].
     pub announce: Option<Stamp>,
-    /// Statements that may be news to the receiver.
+    /// Member records that may be new to the receiver.
     pub updates: Vec<Member>,
-    /// Who enforces what; inside a data centre only.
+    /// Which node enforces which version. Sent only inside a data centre.
     pub reports: Vec<Report>,
-    /// What each data centre enforces.
+    /// How many nodes of each data centre enforce which version.
     pub summaries: Vec<Summary>,
-    /// The sender asks for the whole view.
+    /// Asks the receiver for its whole view.
     pub want_all: bool,
 }
 
-/// Which version a node enforces.
+/// Which version one node enforces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// The node.
+    /// Node that the report is about.
     pub node: NodeId,
-    /// Which life of it.
+    /// Start time of its process, as in [`Member::incarnation_us`]. A report from an earlier
+    /// process is outdated.
     pub incarnation_us: u64,
-    /// What it enforces.
+    /// Version that it enforces.
     pub version: Version,
 }
 
-/// What the nodes of one data centre enforce, counted by one of them.
+/// How many nodes of one data centre enforce which version, counted by one of its nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Summary {
-    /// The data centre.
+    /// Region and name of the data centre.
     pub place: Place,
-    /// Nodes that are alive.
+    /// Number of its live nodes.
     pub nodes: u32,
-    /// How many of them enforce each version.
+    /// Number of nodes that enforce each version.
     pub versions: BTreeMap<Version, u32>,
-    /// Orders the summaries of one data centre.
+    /// Orders the summaries of one data centre; the highest one is the newest.
     pub sequence: u64,
 }
 
-/// An exchange that the driver is to start.
+/// An exchange that the driver has to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exchange {
-    /// With whom; unknown for a seed.
+    /// Member that is marked as suspect if it does not answer; `None` for exchanges that are only
+    /// attempts, such as contacting a seed.
     pub to: Option<NodeId>,
-    /// Where to dial.
+    /// Address to connect to.
     pub address: SocketAddr,
-    /// What to send.
+    /// Message to send.
     pub gossip: Gossip,
-    /// When it was started.
+    /// Time at which it was started, on the clock of [`super::Membership`].
     pub started_ms: u64,
 }
--- a/src/membership/link.rs
+++ b/src/membership/link.rs
@@ -1,4 +1,5 @@
-//! What one neighbour still has to be told, and when it is next due.
+//! State of the link to one neighbour: updates that are still to be sent, and when the next
+//! exchange is due.
 
 use std::collections::BTreeSet;
 
@@ -7,53 +8,54 @@
 use crate::core::version::Version;
 use crate::decide::pacing::Backoff;
 
-/// How long reports and summaries are gathered before they cause an exchange of their own. They
-/// inform operators; half a second is no delay to a person, and a publication's 87 reports then
+/// How long reports and summaries are batched before they start an exchange. They only inform
+/// operators, for whom half a second is no delay, and the 87 reports after a publication then
 /// travel in a few messages instead of 87.
 const BATCH_MS: u64 = 500;
 
-/// Least time between two exchanges for the sake of statements. The first news of a quiet time goes
-/// out at once; of a burst, as when a herd restarts, the rest is gathered, or each of hundreds of
-/// statements would cause an exchange with each neighbour.
+/// Minimum time between two exchanges that carry member records. After a quiet period the first
+/// update is sent at once; the rest of a burst, such as many nodes restarting, is batched.
+/// Otherwise each of hundreds of records would cause an exchange with each neighbour.
 pub const MIN_UPDATE_INTERVAL_MS: u64 = 50;
 
-/// After how long a neighbour may be asked for its whole view again. Views that differ for longer than
-/// news needs to cross the mesh are rare; a whole view of 520 members is about 20 KB.
+/// Minimum time between two requests for a neighbour's whole view. Views seldom differ for longer
+/// than updates take to cross the mesh, and a whole view of 520 members is about 20 KB.
 const FULL_VIEW_REQUEST_INTERVAL_MS: u64 = 5_000;
 
-/// Views that differ are compared again after this, rather than with the next heartbeat.
+/// How soon differing views are compared again, if the next heartbeat is later.
 const RECOMPARE_DELAY_MS: u64 = 1_000;
 
-/// Differences in a row until the whole view is asked for. One alone is usual while
-/// news is on its way.
+/// Comparisons in a row with differing views after which the whole view is requested. A single
+/// difference is normal while updates are in transit.
 const MISMATCHES_MAX: u32 = 2;
 
-/// Pauses before a neighbour that gave no answer is tried again. News must not turn a refused
-/// connection into a hot loop; a process that restarts is back within a second or two.
+/// Pauses before an exchange is retried with a neighbour that did not answer. Without them, pending
+/// updates would retry a refused connection in a hot loop. A restarting process is back within a
+/// second or two.
 const RETRY_BACKOFF: Backoff = Backoff::new(250, 4_000);
 
-/// The own side of the connection to one neighbour.
+/// This node's state of the link to one neighbour.
 #[derive(Debug)]
 pub struct Link {
-    /// What the neighbour is for.
+    /// Role of the neighbour.
     pub kind: NeighbourKind,
-    /// Statements not yet sent to it.
+    /// Nodes whose records are still to be sent to it.
     pub pending_members: BTreeSet<NodeId>,
-    /// Reports not yet sent to it.
+    /// Nodes whose reports are still to be sent to it.
     pub pending_reports: BTreeSet<NodeId>,
-    /// Summaries not yet sent to it, by data centre.
+    /// Data centres, by key, whose summaries are still to be sent to it.
     pub pending_summaries: BTreeSet<String>,
-    /// Version that it enforces or is about to, as it says.
+    /// Version that it enforces or is about to enforce, as it reported.
     pub peer_version: Version,
-    /// Newest version that it has heard of, as it says or was told.
+    /// Newest version that it is known to know, from its own messages or from what was sent to it.
     pub peer_head: Version,
-    /// The own version that it has confirmed to have heard.
+    /// Highest own version whose receipt it has acknowledged.
     pub acked_version: Version,
-    /// Whether an exchange is under way.
+    /// Whether an exchange with it is in flight.
     pub in_flight: bool,
-    /// The own version that the exchange under way tells.
+    /// Own version that the exchange in flight carries.
     pub sending_version: Version,
-    /// Whether to ask it for its whole view.
+    /// Whether the next exchange requests its whole view.
     pub want_all: bool,
     interval_ms: u64,
     next_heartbeat_ms: u64,
@@ -64,17 +66,18 @@
     not_before_ms: u64,
 }
 
-/// What there is to announce.
+/// Versions that this node can announce to its neighbours.
 #[derive(Clone, Copy, Debug)]
 pub struct Announcement {
-    /// Own version, whose content is here.
+    /// Version that this node holds and that neighbours can fetch from it.
     pub held: Version,
-    /// Newest version heard of.
+    /// Newest version that this node knows.
     pub head: Version,
 }
 
 impl Link {
-    /// A link that is first due after `first_delay_ms`, then every `interval_ms`.
+    /// Creates a link whose first heartbeat is due after `first_delay_ms`, and further ones every
+    /// `interval_ms`.
     pub fn new(kind: NeighbourKind, now_ms: u64, first_delay_ms: u64, interval_ms: u64) -> Self {
         Self {
             kind,
@@ -97,12 +100,12 @@
         }
     }
 
-    /// Changes how often a heartbeat is due.
+    /// Changes the heartbeat interval.
     pub fn set_interval(&mut self, interval_ms: u64) {
         self.interval_ms = interval_ms;
     }
 
-    /// Whether an exchange is to be started now.
+    /// Whether to start an exchange now.
     pub fn is_due(&self, now_ms: u64, announcement: Announcement) -> bool {
         if !self.can_start(now_ms) {
             return false;
@@ -111,10 +114,11 @@
         let updates_due = self.has_urgent_updates(announcement)
             || (self.has_updates(announcement) && !self.sent_recently(now_ms));
         match self.kind {
-            // News that crosses at the gateway is seen here by equal hashes; a version is told here too,
-            // as the gateway may be gone without anybody's having noticed.
+            // Records that crossed by way of the gateway show here as equal view hashes. A new
+            // version is sent over this link as well, because the gateway may have failed without
+            // being detected yet.
             NeighbourKind::Standby => heartbeat_due || self.has_new_version(announcement),
-            // Summaries wait for a heartbeat: the link is billed by volume.
+            // Summaries wait for a heartbeat, because traffic between regions is billed by volume.
             NeighbourKind::Gateway => heartbeat_due || updates_due,
             NeighbourKind::Ring | NeighbourKind::Bridge => {
                 let batch_due = now_ms.saturating_sub(self.last_sent_ms) >= BATCH_MS;
@@ -125,7 +129,7 @@
         }
     }
 
-    /// Whether news waits here only because the last exchange is too young.
+    /// Whether updates are pending and wait only because the last exchange was too recent.
     pub fn is_deferred(&self, now_ms: u64, announcement: Announcement) -> bool {
         let postponed =
             !self.in_flight && self.kind != NeighbourKind::Standby && self.sent_recently(now_ms);
@@ -136,7 +140,7 @@
         now_ms.saturating_sub(self.last_sent_ms) < MIN_UPDATE_INTERVAL_MS
     }
 
-    /// Content that can be fetched here, or a comparison that is due.
+    /// A version that the neighbour can fetch from this node, or a whole view to request.
     fn has_urgent_updates(&self, announcement: Announcement) -> bool {
         self.want_all || self.has_new_version(announcement)
     }
@@ -147,22 +151,23 @@
     }
 
     fn has_updates(&self, announcement: Announcement) -> bool {
-        // Across the billed link only what can be fetched there is worth a message.
+        // Over the billed link a version is announced only if the neighbour can fetch it from this
+        // node.
         let new_head = self.kind != NeighbourKind::Gateway && announcement.head > self.peer_head;
         new_head || !self.pending_members.is_empty()
     }
 
-    /// Lets what is gathered go out with the next look.
+    /// Makes pending updates due at the next tick.
     pub fn skip_batching(&mut self) {
         self.last_sent_ms = 0;
     }
 
-    /// Whether an exchange could be started now.
+    /// Whether no exchange is in flight and the pause after a failure is over.
     pub fn can_start(&self, now_ms: u64) -> bool {
         !self.in_flight && now_ms >= self.not_before_ms
     }
 
-    /// Notes that an exchange starts.
+    /// Records that an exchange carrying the own `version` starts.
     pub fn exchange_started(&mut self, now_ms: u64, version: Version) {
         self.in_flight = true;
         self.sending_version = version;
@@ -173,25 +178,27 @@
         }
     }
 
-    /// Notes that the exchange was answered.
+    /// Records that the exchange was answered.
     pub fn exchange_answered(&mut self) {
         self.in_flight = false;
         self.failures = 0;
     }
 
-    /// Notes that the exchange was not answered.
+    /// Records that the exchange failed, and sets the pause before the next one.
     pub fn exchange_failed(&mut self, now_ms: u64) {
         self.in_flight = false;
         self.not_before_ms = now_ms + RETRY_BACKOFF.pause_ms(self.failures);
         self.failures += 1;
     }
 
-    /// Whether statements go along. At a standby only once views have been seen to differ.
+    /// Whether exchanges carry member records. A standby gets them only after views were found to
+    /// differ.
     pub fn carries_members(&self) -> bool {
         self.kind != NeighbourKind::Standby || self.mismatches > 0
     }
 
-    /// Notes whether views were equal after an exchange that brought news or not.
+    /// Records whether both views were equal after an exchange. After one that carried updates a
+    /// difference is expected and does not count.
     pub fn record_comparison(&mut self, now_ms: u64, views_equal: bool, carried_updates: bool) {
         if views_equal {
             self.mismatches = 0;
@@ -210,8 +217,8 @@
         let requested_recently = self.full_view_requested_ms.is_some_and(|requested_ms| {
             now_ms.saturating_sub(requested_ms) < FULL_VIEW_REQUEST_INTERVAL_MS
         });
-        // A bridge joins groups that may have started apart; there is one for each pair, so it need
-        // not wait to see whether the difference passes.
+        // One difference is enough between data centres: the two sides may be groups that started
+        // independently, and a bridge is one of only a few links between them.
         let threshold = match self.kind {
             NeighbourKind::Bridge | NeighbourKind::Gateway => 1,
             NeighbourKind::Ring | NeighbourKind::Standby => MISMATCHES_MAX,
@@ -221,8 +228,8 @@
         }
     }
 
-    /// Takes in what the neighbour says of itself: its version, and what it announces, unless it
-    /// takes that for known here.
+    /// Updates the versions that the neighbour is known to enforce and to know. `announced` is
+    /// `None` if the neighbour expects this node to know its newest version already.
     pub fn record_peer_versions(&mut self, version: Version, announced: Option<Version>) {
         let peer_lost_state = version < self.peer_version;
         if peer_lost_state {
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -1,4 +1,4 @@
-//! Taking in what others say, and passing on what is news.
+//! Merges received messages into the view, and queues what is new for the neighbours.
 
 use super::gossip::{Gossip, Report, Summary};
 use super::neighbours::NeighbourKind;
@@ -9,7 +9,8 @@
 use crate::core::version::Stamp;
 
 impl Membership {
-    /// Takes in a message; whether the own statement had to be raised.
+    /// Merges a message. Returns whether it contained a claim that this node had to refute by
+    /// raising its sequence number.
     pub(super) fn merge_message(&mut self, now_ms: u64, gossip: &Gossip) -> bool {
         let sequence = self.me.sequence;
         let from = Some(gossip.from);
@@ -52,22 +53,24 @@
             Change::Presence => self.neighbours_stale = true,
         }
         if is_claim {
-            // A suspected bridge partner is replaced at once.
+            // Choosing the neighbours again replaces a suspect bridge peer at once.
             self.neighbours_stale = true;
         }
         self.generation += 1;
         for (neighbour, link) in &mut self.links {
-            // The suspected node itself is told, so that it can refute.
+            // A claim is also sent to the node that it is about, so that the node can refute it.
             if Some(*neighbour) != received_from && (*neighbour != node || is_claim) {
                 link.pending_members.insert(node);
             }
         }
     }
 
-    /// Somebody says of this node what it does not say itself: a higher sequence overrules it.
+    /// Refutes a claim about this node that outranks its own record, by raising the own sequence
+    /// number above it.
     ///
-    /// A replaced VM whose clock is behind starts with an incarnation below the one that the mesh remembers, and learns
-    /// that one from such a claim; one above it supersedes the earlier life.
+    /// A replaced VM whose clock is behind starts with a lower incarnation than the one that the
+    /// mesh remembers for its address. The claim contains that incarnation; the node then takes one
+    /// above it, which supersedes the records of the earlier process.
     fn refute(&mut self, claim: &Member) {
         if claim.rank() <= self.me.rank() {
             return;
--- a/src/membership/neighbours.rs
+++ b/src/membership/neighbours.rs
@@ -1,46 +1,49 @@
-//! Which peers a node gossips with: a small, stable, connected partial view.
+//! Which peers a node gossips with: a small, stable and connected partial view.
 //!
-//! The members of a data centre stand on a ring ordered by a hash of their identity. Each node
-//! talks to those at distance 1, 3, 9 and 27 either way ([`RING_DISTANCES`]): with steps both
-//! ways, every distance up to 40 is a sum of at most four of them, so news crosses 87 nodes in
-//! about five hops over at most eight connections, and the loss of any few leaves other ways.
+//! The members of a data centre form a ring, ordered by a hash of their identity. Each node
+//! exchanges messages with the members 1, 3, 9 and 27 steps away in both directions
+//! ([`RING_DISTANCES`]). Every distance up to 40 is a sum of at most four of these steps, so an
+//! update reaches 87 nodes in about five hops over at most eight connections per node, and
+//! alternative paths remain if a few nodes fail.
 //!
-//! Data centres of a region are joined by [`BRIDGES`] pairs of members each, and regions by one
-//! pair of [`gateways`] that carries and one that stands by. All are chosen by rendezvous hash
-//! over the live view, so both ends agree without a word, and others take over as soon as the view
-//! says that one is gone.
+//! Two data centres of a region are connected by [`BRIDGES`] pairs of members, and two regions by
+//! one active and one standby pair of [`gateways`]. All of them are chosen by rendezvous hashing
+//! over the live members, so both ends make the same choice without coordination, and replacements
+//! take over as soon as a member is seen to be gone.
 
 use std::collections::BTreeMap;
 
 use crate::core::member::{Distance, Liveness, Member, NodeId};
 
-/// Steps along the ring, both ways.
+/// Steps along the ring to a node's neighbours, in both directions.
 pub const RING_DISTANCES: [usize; 4] = [1, 3, 9, 27];
 
-/// Bridges between two data centres of a region. Two, so that the loss of one is not a gap.
+/// Number of bridges between two data centres of a region. With two, the loss of one does not
+/// separate them.
 pub const BRIDGES: usize = 2;
 
-/// Members of a data centre that may read the store for the others.
+/// Number of members of a data centre that may read the store for the others.
 pub const LEADS: usize = 3;
 
-/// Gateways of a region: the first carries, the second stands by, the third is a spare for the
-/// store.
+/// Number of gateways of a region. The first is active, the second is its standby, and the third is
+/// a spare reader of the store.
 pub const GATEWAYS: usize = 3;
 
-/// What a neighbour is for.
+/// Role of a neighbour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NeighbourKind {
     /// In the same data centre.
     Ring,
     /// In another data centre of the region.
     Bridge,
-    /// In another region; every change crosses here, once.
+    /// In another region. Every update crosses the regions over this link, once.
     Gateway,
-    /// In another region; compares views now and then, and steps in when they stay apart.
+    /// In another region. Compares views periodically, and carries member records only when they
+    /// still differ.
     Standby,
 }
 
-/// The peers that `me` starts exchanges with, given all members.
+/// Chooses the neighbours of `me`, with which it starts exchanges.
 pub fn choose<'a>(
     me: &Member,
     members: impl Iterator<Item = &'a Member>,
@@ -58,7 +61,8 @@
     chosen
 }
 
-/// The members of `me`'s region that deal with other regions and with the store, first first.
+/// The members of `me`'s region that connect it with other regions and read the store, highest
+/// ranked first.
 pub fn gateways<'a>(me: &Member, members: impl Iterator<Item = &'a Member>) -> Vec<NodeId> {
     let region = members
         .filter(|member| is_present(member) && member.place.region == me.place.region)
@@ -66,7 +70,8 @@
     ranked(region, "gateway", GATEWAYS)
 }
 
-/// The members of `me`'s data centre that watch the head row and report on it, first first.
+/// The members of `me`'s data centre that poll the head row of the store, highest ranked first. The
+/// first of them also counts which versions the nodes of the data centre enforce.
 pub fn watchers<'a>(me: &Member, members: impl Iterator<Item = &'a Member>) -> Vec<NodeId> {
     let near = members
         .filter(|member| is_present(member) && member.place == me.place)
@@ -74,9 +79,9 @@
     ranked(near, "watcher", BRIDGES)
 }
 
-/// The members of `me`'s data centre that read the store for the others, `me` itself maybe: the first
-/// while it can, the next in its place. One that is suspected is none: whoever follows it would hear of
-/// nothing until it counts as dead.
+/// The members of `me`'s data centre, possibly including `me`, that read the store for the others:
+/// the first one while it can, otherwise the next. Suspect members are left out, because nodes that
+/// follow a failed lead would receive no versions until it is declared dead.
 pub fn leads<'a>(me: &Member, members: impl Iterator<Item = &'a Member>) -> Vec<NodeId> {
     let near = members
         .filter(|member| member.liveness == Liveness::Alive && member.place == me.place)
@@ -84,7 +89,7 @@
     ranked(near, "watcher", LEADS)
 }
 
-/// Whether `me` looks after the links to `far`'s data centre, also when nobody there is alive.
+/// Whether `me` is an end of the links to `far`'s data centre, even if no member is alive there.
 pub fn is_bridge_to<'a>(
     me: &Member,
     far: &Member,
@@ -178,8 +183,8 @@
     by_region.into_values().map(far_end).collect()
 }
 
-/// Those that nobody suspects, or else all: a bridge whose partner is suspected tries the next
-/// one at once instead of waiting for the verdict.
+/// The members that are not suspect, or all if every one is. A bridge whose peer becomes suspect
+/// thus switches to another one at once, without waiting until the peer is declared dead.
 fn alive_or_all(members: Vec<&Member>) -> Vec<&Member> {
     let alive: Vec<&Member> = members
         .iter()
@@ -199,7 +204,8 @@
     ranked.into_iter().map(|(_, node)| node).collect()
 }
 
-/// The same on every node and in every build, unlike the standard library's hasher.
+/// Hash that is the same on every node and in every build, unlike that of the standard library's
+/// hasher.
 pub(crate) fn node_hash(node: NodeId, salt: &str) -> u64 {
     let mut hasher = blake3::Hasher::new();
     match node.0.ip() {
@@ -209,5 +215,9 @@
     hasher.update(&node.0.port().to_be_bytes());
     hasher.update(salt.as_bytes());
     let hash = hasher.finalize();
-    u64::from_le_bytes(hash.as_bytes()[..8].try_into().expect("eight of 32 bytes"))
+    u64::from_le_bytes(
+        hash.as_bytes()[..8]
+            .try_into()
+            .expect("a BLAKE3 hash has 32 bytes"),
+    )
 }
--- a/src/membership/reports.rs
+++ b/src/membership/reports.rs
@@ -1,9 +1,10 @@
-//! Who enforces which version: exact inside the data centre, counted beyond it.
+//! Which node enforces which version: one report per node inside a data centre, and counts per data
+//! centre everywhere else.
 //!
-//! A report per node and publication that crossed the whole mesh would cost 520 statements at each
-//! of 520 nodes. So reports stay in their data centre, where they also are the memory that a
-//! restarted node's floor is taken from, and one member of each data centre, its reporter, spreads
-//! the count. A summary is informative: two reporters at once only cost bytes.
+//! If every report after a publication crossed the whole mesh, each of 520 nodes would receive 520
+//! of them. So reports stay in their data centre, where a restarted node also takes its floor from
+//! them, and one member of each data centre (its first watcher) distributes a summary. Summaries
+//! only inform operators: two members that both count cost some traffic and do no other harm.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +12,15 @@
 use crate::core::member::{Member, NodeId, Place};
 use crate::core::version::Version;
 
-/// Addresses whose highest version is remembered: several times the nodes of a data centre, so
-/// that replaced addresses do not push out living ones.
+/// Number of addresses whose highest version is stored: several times the nodes of a data centre,
+/// so that replaced addresses do not displace live ones.
 const TRACKED_ADDRESSES_MAX: usize = 1_024;
 
-/// Between two counts of the own data centre.
+/// Minimum time between two counts of the own data centre.
 const COUNT_INTERVAL_MS: u64 = 500;
 
-/// Reports of the own data centre, floors, and summaries of all data centres.
+/// Reports of the own data centre, the highest version per address, and summaries of all data
+/// centres.
 #[derive(Debug, Default)]
 pub struct Reports {
     reports: BTreeMap<NodeId, Report>,
@@ -33,7 +35,7 @@
 }
 
 impl Reports {
-    /// Highest version that a node's address is known to have reported, in any of its lives.
+    /// Highest version that any process at the node's address is known to have reported.
     pub fn highest_reported(&self, node: NodeId) -> Version {
         self.highest_reported
             .get(&node)
@@ -41,7 +43,7 @@
             .unwrap_or(Version::NONE)
     }
 
-    /// Remembers a version that a node enforces or is about to.
+    /// Stores a version that a node enforces or is about to enforce.
     pub fn record_version(&mut self, node: NodeId, version: Version) {
         if version == Version::NONE {
             return;
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Takes in a report; whether it is news.
+    /// Merges a report. Returns whether it was new.
     pub fn merge_report(&mut self, report: Report) -> bool {
         self.record_version(report.node, report.version);
         let order = |report: &Report| (report.incarnation_us, report.version);
@@ -70,22 +72,22 @@
         true
     }
 
-    /// All reports.
+    /// Reports of all nodes.
     pub fn reports(&self) -> impl Iterator<Item = &Report> {
         self.reports.values()
     }
 
-    /// All summaries.
+    /// Summaries of all data centres.
     pub fn summaries(&self) -> impl Iterator<Item = &Summary> {
         self.summaries.values()
     }
 
-    /// The report about one node.
+    /// Newest report of one node.
     pub fn get(&self, node: NodeId) -> Option<Report> {
         self.reports.get(&node).copied()
     }
 
-    /// Version that a member is known to enforce in its present life.
+    /// Version that the member's current process is known to enforce.
     pub fn enforced_by(&self, member: &Member) -> Version {
         let report = self.reports.get(&member.node);
         report
@@ -93,12 +95,12 @@
             .map_or(Version::NONE, |report| report.version)
     }
 
-    /// Drops reports of nodes that are no longer known. What they had enforced is still remembered.
+    /// Drops the reports of nodes that are no longer known. Their highest versions stay.
     pub fn retain(&mut self, known: impl Fn(NodeId) -> bool) {
         self.reports.retain(|node, _| known(*node));
     }
 
-    /// Takes in a summary; whether it is news.
+    /// Merges a summary. Returns whether it was new.
     pub fn merge_summary(&mut self, summary: Summary) -> bool {
         let key = place_key(&summary.place);
         let known = self.summaries.get(&key);
@@ -109,13 +111,14 @@
         true
     }
 
-    /// The summary of a data centre.
+    /// Newest summary of a data centre.
     pub fn summary(&self, key: &str) -> Option<&Summary> {
         self.summaries.get(key)
     }
 
-    /// Counts the own data centre anew, at most twice a second; its key if the count changed. A
-    /// summary with a higher sequence from before this node's time is outbid by the next count.
+    /// Counts the own data centre again, at most once per [`COUNT_INTERVAL_MS`]. Returns its key if
+    /// the count changed. The new summary's sequence is above that of the known one, also if that
+    /// one comes from before this node started.
     pub fn recount<'a>(
         &mut self,
         now_ms: u64,
@@ -139,7 +142,7 @@
         Some(key)
     }
 
-    /// The count of the own data centre as this node sees it.
+    /// Counts the own data centre from the reports that this node has.
     pub fn current_summary<'a>(
         &self,
         place: &Place,
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -1,33 +1,33 @@
-//! The statements that a node has heard, one per other node, and the hash over them.
+//! The member records that a node has received, one per other node, and a hash over them.
 
 use std::collections::BTreeMap;
 
 use super::neighbours::node_hash;
 use crate::core::member::{Liveness, Member, NodeId};
 
-/// A statement and when it came.
+/// A member record with its timestamps.
 #[derive(Debug)]
 pub struct Entry {
-    /// The statement.
+    /// Newest record of the member.
     pub member: Member,
-    /// When it last changed.
+    /// When the record last changed.
     pub changed_ms: u64,
-    /// When the node was last probed, if it is dead.
+    /// When the member was last probed after it died or left; initially when the record changed.
     pub probed_ms: u64,
 }
 
-/// What a new statement changed.
+/// Effect of merging a member record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It is not news.
+    /// The record was not newer than the known one.
     None,
-    /// The same nodes are present as before.
+    /// The record changed, but not whether the member is present.
     Record,
-    /// A node came or went.
+    /// The member became present, or no longer is.
     Presence,
 }
 
-/// All statements but the own one.
+/// Records of all members except the own one.
 #[derive(Debug, Default)]
 pub struct Roster {
     entries: BTreeMap<NodeId, Entry>,
@@ -35,22 +35,22 @@
 }
 
 impl Roster {
-    /// Every statement.
+    /// All records.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.entries.values().map(|entry| &entry.member)
     }
 
-    /// Every entry, to note probes in.
+    /// All entries, for updating probe times.
     pub fn entries_mut(&mut self) -> impl Iterator<Item = &mut Entry> {
         self.entries.values_mut()
     }
 
-    /// The statement about one node.
+    /// Record of one member.
     pub fn get(&self, node: NodeId) -> Option<&Member> {
         self.entries.get(&node).map(|entry| &entry.member)
     }
 
-    /// Takes in a statement if it outranks the known one.
+    /// Stores a record if it outranks the known one.
     pub fn merge(&mut self, now_ms: u64, member: Member) -> Change {
         let node = member.node;
         let known = self.entries.get(&node).map(|entry| &entry.member);
@@ -73,7 +73,7 @@
         change
     }
 
-    /// Members that have been suspected for `suspicion_timeout_ms`.
+    /// Members that have been suspect for at least `suspicion_timeout_ms`.
     pub fn expired_suspects(&self, now_ms: u64, suspicion_timeout_ms: u64) -> Vec<Member> {
         self.entries
             .values()
@@ -83,7 +83,8 @@
             .collect()
     }
 
-    /// Forgets tombstones: those who said goodbye after `left_retention_ms`, the others after `dead_retention_ms`.
+    /// Drops tombstones: those of departed members after `left_retention_ms`, those of dead ones
+    /// after `dead_retention_ms`.
     pub fn expire_tombstones(
         &mut self,
         now_ms: u64,
@@ -100,8 +101,9 @@
         });
     }
 
-    /// Order-free hash over the present members, `me` included. Tombstones are left out, since
-    /// they are forgotten at different times, and so are suspicions, which do not cross regions.
+    /// Hash over the present members including `me`, independent of their order. Tombstones are
+    /// left out, because nodes drop them at different times. Suspicions are left out, because they
+    /// are not sent to other regions.
     pub fn hash(&self, me: &Member) -> u64 {
         self.hash ^ member_hash(me)
     }
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -14,27 +14,29 @@
 use crate::core::version::{Stamp, Version};
 use crate::decide::pacing::jittered_ms;
 
-/// Intervals of the protocol, in milliseconds.
+/// Intervals and timeouts of the protocol, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Between two heartbeats of this node inside its data centre, whoever is next. With eight
-    /// neighbours each is asked every eight seconds and, since eight ask, every node is asked once
-    /// a second: a dead one is noticed in about a second at a cost that does not grow with the
-    /// mesh.
+    /// Interval between two heartbeats of this node to its ring neighbours, which it contacts in
+    /// turn. With eight ring neighbours, each is contacted every eight seconds; since eight nodes
+    /// contact it, every node receives about one heartbeat a second. A failure is thus noticed in
+    /// about a second, at a cost per node that does not grow with the mesh.
     pub heartbeat_ms: u64,
-    /// Between two heartbeats across data centres of a region.
+    /// Interval between two heartbeats to a neighbour in another data centre of the region.
     pub bridge_heartbeat_ms: u64,
-    /// Between two heartbeats across regions: billed, and news does not wait for it.
+    /// Interval between two heartbeats to a neighbour in another region. Long, because this traffic
+    /// is billed; updates do not wait for it.
     pub gateway_heartbeat_ms: u64,
-    /// From suspicion to death. Long enough for a paused node to refute it over several
-    /// heartbeats.
+    /// Time from suspicion until a member is declared dead. Long enough for a paused node to refute
+    /// it over several heartbeats.
     pub suspicion_timeout_ms: u64,
-    /// Between two probes for dead members and unknown seeds.
+    /// Interval between two probes of dead members and unknown seeds.
     pub probe_interval_ms: u64,
-    /// How long a departed member is remembered, so that old news cannot revive it.
+    /// How long the tombstone of a departed member is kept, so that outdated records cannot revive
+    /// it.
     pub left_retention_ms: u64,
-    /// How long a dead one is remembered and probed: longer than the hour for which regions lose
-    /// each other, so that both halves find each other again without the platform.
+    /// How long the tombstone of a dead member is kept and the member probed. Longer than an outage
+    /// of one hour between regions, so that both sides find each other again without the platform.
     pub dead_retention_ms: u64,
 }
 
@@ -52,13 +54,14 @@
     }
 }
 
-/// The driver ticks four times a second; a gap of this length means that it could not.
+/// Gap between two calls from which the process is considered frozen. The driver normally ticks
+/// four times a second.
 const FREEZE_GAP_MS: u64 = 3_000;
 
-/// Between two looks for suspicions and tombstones that have run out.
+/// Interval between two checks for expired suspicions and tombstones.
 const EXPIRY_INTERVAL_MS: u64 = 250;
 
-/// One node's view. Time is an argument, in milliseconds of any steady clock.
+/// One node's view of the mesh. Times are arguments, in milliseconds of any monotonic clock.
 #[derive(Debug)]
 pub struct Membership {
     pub(super) me: Member,
@@ -67,9 +70,9 @@
     pub(super) reports: Reports,
     pub(super) links: BTreeMap<NodeId, Link>,
     pub(super) timing: Timing,
-    /// Newest stamp whose content this node holds and may enforce.
+    /// Stamp of the newest version whose content this node holds and may enforce.
     pub(super) held: Stamp,
-    /// Newest stamp heard of.
+    /// Newest stamp that is known.
     pub(super) head: Stamp,
     pub(super) acknowledged_version: Version,
     pub(super) generation: u64,
@@ -78,20 +81,23 @@
     watcher_rank: Option<usize>,
     pub(super) enforced: Version,
     next_expiry_ms: u64,
-    /// Members that were told of a claim about themselves, or are owed an answer to one.
+    /// Members whose answer contained a claim about this node that it refuted; they are sent the
+    /// new record.
     pub(super) refutations_due: BTreeSet<NodeId>,
-    /// Bridge partners that gave no answer since their data centre was last heard.
+    /// Bridge peers that did not answer, by data centre, since the last message from that data
+    /// centre.
     pub(super) silent_peers: BTreeMap<String, BTreeSet<NodeId>>,
     pub(super) join_attempts: u32,
     pub(super) next_join_ms: u64,
     pub(super) next_probe_ms: u64,
-    /// Exchanges started before this are void: the process was frozen since.
+    /// Exchanges started before this time are ignored when they fail, because the process was
+    /// frozen since.
     pub(super) exchanges_valid_from_ms: u64,
     last_call_ms: u64,
 }
 
 impl Membership {
-    /// A view that knows only its own node and where others may be found.
+    /// Creates a view that contains only the own node, and the seeds to contact.
     pub fn new(me: Member, seeds: Vec<SocketAddr>, timing: Timing) -> Self {
         let mut membership = Self {
             me,
@@ -117,7 +123,8 @@
             exchanges_valid_from_ms: 0,
             last_call_ms: 0,
         };
-        // Settings name the same few to everybody; each node starts at another one.
+        // All nodes are configured with the same few seeds, so each node tries them in a different
+        // order.
         let mut seeds = seeds;
         let salt = membership.me.node.to_string();
         seeds.sort_by_cached_key(|seed| node_hash(NodeId(*seed), &salt));
@@ -125,17 +132,17 @@
         membership
     }
 
-    /// The node's own statement.
+    /// The node's own record.
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// Every known member, the own one included.
+    /// All known members, including the own node.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         std::iter::once(&self.me).chain(self.roster.members())
     }
 
-    /// A copy of every known member with the version that it is known to enforce.
+    /// Copies of all known members, with the version that each is known to enforce.
     pub fn members_with_versions(&self) -> Vec<Member> {
         let with_version = |member: &Member| Member {
             enforced: self.reports.enforced_by(member),
@@ -144,39 +151,39 @@
         self.members().map(with_version).collect()
     }
 
-    /// Rises whenever something changes that requests or operators see.
+    /// Increases with every change that requests or operators can see.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Peers that exchanges are started with.
+    /// Peers with which this node starts exchanges, and their roles.
     pub fn neighbours(&self) -> impl Iterator<Item = (NodeId, NeighbourKind)> {
         self.links.iter().map(|(node, link)| (*node, link.kind))
     }
 
-    /// Where to dial a member.
+    /// Address at which this node connects to a member.
     pub fn address_of(&self, node: NodeId) -> Option<SocketAddr> {
         let member = self.roster.get(node)?;
         Some(member.dial_address(&self.me.place))
     }
 
-    /// How far away a member stands.
+    /// Distance from this node to a member.
     pub fn distance_to(&self, node: NodeId) -> Option<Distance> {
         let member = self.roster.get(node)?;
         Some(self.me.place.distance_to(&member.place))
     }
 
-    /// Place of this node among the [`neighbours::gateways`] of its region.
+    /// Position of this node among the [`neighbours::gateways`] of its region.
     pub fn gateway_rank(&self) -> Option<usize> {
         self.gateway_rank
     }
 
-    /// Place of this node among the [`neighbours::watchers`] of its data centre.
+    /// Position of this node among the [`neighbours::watchers`] of its data centre.
     pub fn watcher_rank(&self) -> Option<usize> {
         self.watcher_rank
     }
 
-    /// The nodes of the data centre that read the store for the others, see [`neighbours::leads`].
+    /// The nodes of the data centre that read the store for the others; see [`neighbours::leads`].
     pub fn leads(&self) -> Vec<NodeId> {
         neighbours::leads(&self.me, self.members())
     }
@@ -188,41 +195,41 @@
         !others.any(|m| m.place != *place && m.liveness == Liveness::Alive)
     }
 
-    /// Highest version that a node's address has reported, in any of its lives.
+    /// Highest version that any process at the node's address has reported.
     pub fn highest_reported(&self, node: NodeId) -> Version {
         self.reports.highest_reported(node)
     }
 
-    /// Newest stamp heard of.
+    /// Newest stamp that is known.
     pub fn head(&self) -> Stamp {
         self.head
     }
 
-    /// Newest stamp whose content is here and about to be enforced.
+    /// Stamp of the newest version whose content this node holds and is about to enforce.
     pub fn held(&self) -> Stamp {
         self.held
     }
 
-    /// Whether no other node is believed to be there.
+    /// Whether every other known node is dead or has left.
     pub fn is_alone(&self) -> bool {
         !self.roster.members().any(|m| m.liveness < Liveness::Dead)
     }
 
-    /// Whether no other node of the data centre is known that might come back.
+    /// Whether no other node of the data centre is known that could return: all others have left.
     pub fn is_only_node_of_data_centre(&self) -> bool {
         let place = &self.me.place;
         let mut others = self.roster.members();
         !others.any(|m| m.place == *place && m.liveness != Liveness::Left)
     }
 
-    /// Highest version of this node that two peers have confirmed to have heard, peers of the
-    /// data centre while there are any, or all of them where there are fewer: what it enforces up to
-    /// here is remembered if it dies now.
+    /// Highest own version that two peers have acknowledged, or all where there are fewer. Peers of
+    /// the data centre count, or others if there are none. Up to this version, peers still know
+    /// what the node enforced if it fails now.
     pub fn acknowledged_version(&self) -> Version {
         self.acknowledged_version
     }
 
-    /// What the nodes of each data centre enforce, by data centre.
+    /// Number of live nodes and the versions they enforce, for each data centre.
     pub fn summaries(&self) -> Vec<DataCentreSummary> {
         let mut node_counts: BTreeMap<String, (&Place, usize)> = BTreeMap::new();
         for member in self.members().filter(|m| m.liveness < Liveness::Dead) {
@@ -246,7 +253,7 @@
         node_counts.into_iter().map(summary_of).collect()
     }
 
-    /// Learns of further places to find peers at, the best first.
+    /// Adds further seeds, the nearest first.
     pub fn add_seeds(&mut self, seeds: impl IntoIterator<Item = SocketAddr>) {
         for seed in seeds {
             if seed != self.me.node.0 && seed != self.me.external && !self.seeds.contains(&seed) {
@@ -255,7 +262,7 @@
         }
     }
 
-    /// Changes the own statement about the backend server.
+    /// Changes the service and state of the backend server in the own record.
     pub fn set_backend(&mut self, service: Option<ServiceName>, state: BackendState) {
         if self.me.service == service && self.me.backend == state {
             return;
@@ -265,15 +272,15 @@
         self.raise_sequence();
     }
 
-    /// Notes a newer stamp, from wherever it was heard.
+    /// Stores the newest known stamp, whatever its source.
     pub fn set_head(&mut self, head: Stamp) {
         if head.version > self.head.version {
             self.head = head;
         }
     }
 
-    /// The content of `held` is here and the node means to enforce it: the neighbours are told,
-    /// and fetch it here if they lack it.
+    /// Sets the version whose content this node holds and is about to enforce. It is announced to
+    /// the neighbours, which can fetch it from this node.
     pub fn set_held(&mut self, held: Stamp) {
         if held.version > self.held.version {
             self.held = held;
@@ -281,7 +288,7 @@
         }
     }
 
-    /// The node enforces `version`: reported inside the data centre.
+    /// Sets the version that this node enforces, and reports it inside the data centre.
     pub fn set_enforced(&mut self, version: Version) {
         self.enforced = version;
         self.merge_report(self.own_report(), None);
@@ -295,17 +302,17 @@
         }
     }
 
-    /// Says goodbye: the last statement of this process.
+    /// Marks the own record as left. This is the last record of the process.
     pub fn leave(&mut self) {
         self.me.liveness = Liveness::Left;
         self.me.backend = BackendState::Gone;
         self.raise_sequence();
-        // Nothing is gathered any more: there is no later message.
+        // Updates are not batched any more, because no later message will carry them.
         self.links.values_mut().for_each(Link::skip_batching);
     }
 
-    /// Notices a freeze of this process by the gap since the last call. Calls that were under way all time out when it
-    /// goes on, which proves nothing about others.
+    /// Detects a freeze of this process by the gap since the last call. The exchanges that were in
+    /// flight all time out when the process resumes, which does not mean that the peers failed.
     pub(super) fn detect_freeze(&mut self, now_ms: u64) {
         let gap_ms = now_ms.saturating_sub(self.last_call_ms);
         self.last_call_ms = now_ms;
@@ -318,7 +325,7 @@
         }
     }
 
-    /// Starts the exchanges that are due, and ages suspicions and tombstones.
+    /// Expires suspicions and tombstones, and returns the exchanges that are due.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Exchange> {
         self.detect_freeze(now_ms);
         self.expire(now_ms);
@@ -374,7 +381,7 @@
                 NeighbourKind::Gateway => self.timing.gateway_heartbeat_ms,
                 NeighbourKind::Standby => 2 * self.timing.gateway_heartbeat_ms,
             };
-            // Nodes that start together must not stay in step.
+            // Keeps nodes that start together from sending heartbeats at the same moments.
             let first_delay_ms =
                 self.jittered(self.timing.heartbeat_ms, now_ms ^ node_hash(node, "first"));
             let new_link = || Link::new(kind, now_ms, first_delay_ms, interval_ms);
@@ -383,7 +390,7 @@
         }
     }
 
-    /// Half to whole of a pause, different for each node and moment.
+    /// A pause between half and all of `pause_ms` that differs by node and by `moment`.
     pub(super) fn jittered(&self, pause_ms: u64, moment: u64) -> u64 {
         jittered_ms(pause_ms, node_hash(self.me.node, &moment.to_string()))
     }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,9 +1,9 @@
 //! Control traffic between nodes: the gRPC service and its client.
 //!
-//! [`convert`] translates between the generated messages and the plain data of [`crate::core`]; a
-//! message that does not translate is refused whole.
+//! [`convert`] converts between the generated messages and the plain data of [`crate::core`]. A
+//! message of which any part cannot be converted is rejected as a whole.
 
-// The generator's own style is not ours to lint.
+// Lints do not apply to generated code.
 #[allow(missing_docs, unreachable_pub, clippy::all, rustdoc::all)]
 #[rustfmt::skip]
 #[path = "peer/generated/control.rs"]
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -21,65 +21,65 @@
 use crate::distribution::lead_choice::LeadState;
 use crate::membership::Gossip;
 
-/// Result of this module.
+/// Result of a call to a peer.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Longest wait for one answer. Twenty times the latency between regions; a peer that takes longer
-/// is frozen or cut off, and the next heartbeat tries again.
+/// Timeout for one answer: twenty times the latency between regions. A peer that takes longer is
+/// frozen or unreachable, and the next heartbeat tries again.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Content may be a snapshot over the throttled link between regions.
+/// Timeout for content, which may be a snapshot sent over the rate-limited link between regions.
 const CONTENT_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-/// What a peer told a follower.
+/// A peer's answer to a follower.
 #[derive(Debug)]
 pub(crate) struct FollowAnswer {
-    /// A newer version, if there was one in time.
+    /// A newer version, if the peer had one before the wait was over.
     pub(crate) offer: Option<Offer>,
-    /// How the peer stands to the store.
+    /// How current the peer's data from the store is.
     pub(crate) state: LeadState,
 }
 
-/// Why a peer gave no usable answer.
+/// Why a call to a peer failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The address cannot be dialled.
-    #[snafu(display("`{address}` cannot be dialled"))]
+    /// No endpoint can be created for the address.
+    #[snafu(display("cannot create a connection to `{address}`"))]
     Address {
-        /// The address.
+        /// The invalid address.
         address: SocketAddr,
-        /// From the transport.
+        /// Error of the transport.
         source: tonic::transport::Error,
     },
-    /// It was not reached, was late, or refused.
+    /// The peer was unreachable, did not answer in time, or answered with an error status.
     #[snafu(display("no answer from {address}"))]
     Call {
-        /// The peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// From the transport.
+        /// Status of the call.
         #[snafu(source(from(tonic::Status, Box::new)))]
         source: Box<tonic::Status>,
     },
-    /// The answer breaks the protocol.
-    #[snafu(display("the answer from {address} breaks the protocol: {reason}"))]
+    /// The answer violates the protocol.
+    #[snafu(display("the answer from {address} violates the protocol: {reason}"))]
     Answer {
-        /// The peer.
+        /// Address of the peer.
         address: SocketAddr,
-        /// In what way.
+        /// Which rule it violates.
         reason: String,
     },
 }
 
-/// How peers are dialled.
+/// Options for connections to peers.
 #[derive(Clone, Debug, Default)]
 pub struct DialOptions {
-    /// Local address to connect from, if it matters.
+    /// Local address to connect from; chosen by the system if `None`.
     pub dial_from: Option<IpAddr>,
-    /// What to show them.
+    /// Token that authenticates this node to its peers.
     pub token: MeshToken,
 }
 
-/// Puts the mesh token on every call.
+/// Adds the mesh token to the metadata of every call.
 #[derive(Clone, Debug)]
 struct TokenInterceptor {
     token: Option<MetadataValue<Ascii>>,
@@ -101,7 +101,8 @@
     }
 }
 
-/// One peer. Cheap to clone; connects when first used and again after a loss.
+/// Client for one peer. Cheap to clone. It connects when it is first used, and reconnects after the
+/// connection is lost.
 #[derive(Clone, Debug)]
 pub struct PeerClient {
     address: SocketAddr,
@@ -109,7 +110,7 @@
 }
 
 impl PeerClient {
-    /// A client for the peer at `address`. Nothing is dialled yet.
+    /// Creates a client for the peer at `address`, without connecting yet.
     pub fn new(address: SocketAddr, options: &DialOptions) -> Result<Self> {
         let endpoint = Endpoint::from_shared(format!("http://{address}"))
             .context(AddressSnafu { address })?
@@ -128,7 +129,7 @@
         })
     }
 
-    /// One gossip exchange.
+    /// Sends a gossip message and returns the answer.
     pub async fn exchange(&mut self, gossip: &Gossip) -> Result<Gossip> {
         let request = with_timeout(convert::gossip_to_wire(gossip), ANSWER_TIMEOUT);
         let answer = self.client.exchange(request).await;
@@ -138,7 +139,7 @@
         convert::gossip_from_wire(answer.get_ref()).map_err(|error| self.protocol_error(&error))
     }
 
-    /// Asks for the content of a version above `have`.
+    /// Requests the content of a version newer than `have`. Returns `None` if the peer has none.
     pub async fn fetch(&mut self, have: Version, want: Version) -> Result<Option<Offer>> {
         let request = wire::FetchRequest {
             have_version: have.0,
@@ -154,8 +155,8 @@
         convert::offer_from_wire(answer.into_inner()).map_err(|error| self.protocol_error(&error))
     }
 
-    /// Asks for the content of a version above `have` as soon as the peer holds one, and waits for
-    /// it for `wait` at most; its answer may take `answer` beyond that.
+    /// Requests the content of a version newer than `have`, for which the peer may wait up to
+    /// `wait`. Its answer may take `answer_timeout` in addition.
     pub(crate) async fn follow(
         &mut self,
         have: Version,
@@ -187,7 +188,7 @@
         Ok(FollowAnswer { offer, state })
     }
 
-    /// Tells the peer that `head` has been accepted; answers what it enforces.
+    /// Tells the peer that `head` was accepted. Returns the stamp that the peer enforces.
     pub async fn hint(&mut self, head: Stamp) -> Result<Stamp> {
         let request = wire::HintRequest {
             head: Some(convert::stamp_to_wire(head)),
@@ -203,8 +204,8 @@
             .map_err(|error| self.protocol_error(&error))
     }
 
-    /// Asks for the highest version that the peer knows `node` to have reported, and for what the
-    /// peer itself enforces.
+    /// Requests the highest version that the peer knows `node` to have reported, and the stamp that
+    /// the peer itself enforces.
     pub async fn floor(&mut self, node: NodeId) -> Result<(Version, Stamp)> {
         let request = wire::FloorRequest {
             node: node.to_string(),
--- a/src/peer/connector.rs
+++ b/src/peer/connector.rs
@@ -1,4 +1,4 @@
-//! Dials peers and counts the bytes of control traffic, both ways, at the socket.
+//! Connects to peers, and counts the bytes of control traffic in both directions at the socket.
 
 use std::future::Future;
 use std::io;
@@ -16,7 +16,7 @@
 
 use crate::util::dial::dial;
 
-/// Connects to one peer.
+/// Opens TCP connections to one peer.
 #[derive(Clone, Debug)]
 pub(crate) struct Connector {
     pub(crate) address: SocketAddr,
@@ -44,7 +44,7 @@
     }
 }
 
-/// A connection whose bytes are counted.
+/// A TCP connection that counts its bytes in the metrics.
 #[derive(Debug)]
 pub(crate) struct CountedStream {
     stream: TcpStream,
--- a/src/peer/convert.rs
+++ b/src/peer/convert.rs
@@ -1,4 +1,4 @@
-//! Between generated messages and plain data.
+//! Conversion between generated messages and plain data.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -11,10 +11,10 @@
 use crate::distribution::{Content, DeltaStep, Offer};
 use crate::membership::{Gossip, Report, Summary};
 
-/// Result of this module.
+/// Result of a conversion.
 pub(crate) type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// A message that breaks the protocol; nothing of it is used.
+/// Why a message violates the protocol. No part of such a message is used.
 #[derive(Debug, Snafu)]
 pub(crate) enum Error {
     #[snafu(display("`{text}` is not an address"))]
@@ -47,7 +47,7 @@
     })
 }
 
-/// Names that a message mentions, each written once.
+/// Names used in one message. Each is sent once, and referred to by its index.
 #[derive(Default)]
 struct NameTable {
     places: Vec<Place>,
@@ -59,7 +59,7 @@
         index_in(&mut self.places, place)
     }
 
-    /// From 1; 0 is no service.
+    /// Index of a service, counted from 1; 0 means no service.
     fn service_index(&mut self, service: Option<&ServiceName>) -> u32 {
         service.map_or(0, |service| index_in(&mut self.services, service) + 1)
     }
@@ -71,7 +71,7 @@
         list.push(item.clone());
         list.len() - 1
     });
-    u32::try_from(position).expect("a message mentions a few names")
+    u32::try_from(position).expect("a message has fewer than 2^32 names")
 }
 
 pub(crate) fn gossip_to_wire(gossip: &Gossip) -> wire::Gossip {
@@ -128,7 +128,7 @@
     })
 }
 
-/// IP and port as 6 or 18 bytes.
+/// IP address and port in network byte order, as 6 or 18 bytes.
 fn address_to_wire(address: SocketAddr) -> Vec<u8> {
     let mut bytes = match address.ip() {
         IpAddr::V4(ip) => ip.octets().to_vec(),
--- a/src/peer/pool.rs
+++ b/src/peer/pool.rs
@@ -1,4 +1,4 @@
-//! The control connections of a node, shared by all that ask its peers something.
+//! The control connections of a node, shared by all callers within the process.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 
 use super::client::{DialOptions, PeerClient};
 
-/// One client per peer address.
+/// Clients of the control service, one per peer address.
 #[derive(Debug)]
 pub(crate) struct PeerPool {
     options: DialOptions,
@@ -21,7 +21,8 @@
         }
     }
 
-    /// The client of a peer; nothing is dialled before it is used.
+    /// The client for a peer. It connects when it is first used. `None` if the address cannot be
+    /// connected to.
     pub(crate) fn client(&self, address: SocketAddr) -> Option<PeerClient> {
         let mut clients = self.lock_clients();
         if let Some(client) = clients.get(&address) {
@@ -32,14 +33,15 @@
         Some(client)
     }
 
-    /// Gives up a connection that brought no answer. After a long cut the system would go on
-    /// resending on it ever more slowly, up to minutes apart, although the way is free again.
+    /// Drops a connection on which a call failed. After a long network partition TCP would continue
+    /// to retransmit on it at growing intervals, up to minutes, although the network works again.
     pub(crate) fn discard(&self, address: SocketAddr) {
         self.lock_clients().remove(&address);
     }
 
-    /// Closes the connections to all but `wanted`: a node talks to a few neighbours, whoever they
-    /// are at the time, and must not gather a connection to each of 520 nodes.
+    /// Closes all connections except those to `wanted`. A node exchanges messages with a few
+    /// neighbours, which change over time, and must not accumulate a connection to each of 520
+    /// nodes.
     pub(crate) fn retain(&self, wanted: &BTreeSet<SocketAddr>) {
         self.lock_clients()
             .retain(|address, _| wanted.contains(address));
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -1,4 +1,4 @@
-//! The control service of this node: hands each call to the actor that owns the matter.
+//! The control service of this node: passes each call to the actor that is responsible for it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,9 +16,9 @@
 use crate::node::membership::MembershipMsg;
 use crate::node::state::NodeState;
 
-/// Longest wait for an actor of this process.
+/// Longest wait for an answer of an actor in this process.
 const ACTOR_TIMEOUT_MS: u64 = 1_000;
-/// Longest time for which a follower is kept waiting.
+/// Longest time for which a follower's request waits for a newer version.
 const FOLLOW_WAIT_MAX: Duration = Duration::from_secs(10);
 
 #[derive(Clone, Debug)]
@@ -99,7 +99,7 @@
     ) -> Result<Response<wire::HintReply>, Status> {
         let head = request.get_ref().head.as_ref();
         let head = convert::stamp_from_wire(head).map_err(|e| invalid(&e))?;
-        // The actors are gone only while the process ends.
+        // Sending fails only while the process shuts down.
         let _ = self.membership.cast(MembershipMsg::Head(head));
         let _ = self.configuration.cast(ConfigurationMsg::Announced {
             stamp: head,
