--- a/tests/testsuite/spread_decisions.rs
+++ b/tests/testsuite/spread_decisions.rs
@@ -1,4 +1,5 @@
-//! Decisions about content without sockets: what to fetch, when to enforce, below what never.
+//! Decisions about configuration content, without sockets: what to fetch, when to enforce it, and
+//! which versions are below the floor.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -25,16 +26,17 @@
     }
 }
 
-/// Moment at which the fetcher first goes to the store, asked every 10 ms; `None` within 20 s.
+/// Time of the first fetch, with the fetcher polled every 10 ms; `None` if there is none within 20
+/// s.
 fn first_fetch_ms(fetcher: &mut Fetcher) -> Option<u64> {
     (0..20_000)
         .step_by(10)
         .find(|now_ms| fetcher.next_fetch(*now_ms, Version::NONE).is_some())
 }
 
-/// 520 nodes are told of a version that no peer holds yet. Only the gateway may go to the store at
-/// once; the others must leave it alone for long enough that the content reaches them, and must
-/// not come all together if it does not.
+/// Guards against a burst of reads from the store when 520 nodes receive the announcement of a
+/// version that no peer holds yet. Only the gateway may read it at once. The other nodes must wait
+/// long enough for the content to reach them, and must spread their reads if it does not.
 #[test]
 fn only_the_gateway_reads_the_store_at_once() {
     let mut fetch_times_ms = Vec::new();
@@ -42,7 +44,8 @@
         let mut fetcher = Fetcher::new(node(number + 1));
         fetcher.set_gateway_rank((number == 0).then_some(0));
         fetcher.note_head(0, stamp(1));
-        fetch_times_ms.push(first_fetch_ms(&mut fetcher).expect("it goes in the end"));
+        fetch_times_ms
+            .push(first_fetch_ms(&mut fetcher).expect("every node reads the store within 20 s"));
     }
     let (gateway, others) = fetch_times_ms.split_first().expect("520 nodes");
     assert!(*gateway <= 200, "{gateway}");
@@ -51,31 +54,34 @@
     for fetch_ms in others {
         *by_second.entry(fetch_ms / 1_000).or_default() += 1;
     }
-    // Each goes with a handful of reads; two thousand a second are allowed.
+    // Each node needs a handful of reads, and the store allows two thousand a second.
     assert!(
         by_second.values().all(|count| *count < 130),
         "{by_second:?}"
     );
 }
 
-/// A peer refuses at once, again and again, as one that restarts. The node must neither hammer it
-/// nor wait for it for ever.
+/// Guards against a hot loop of fetches from a peer that refuses each one, as during its restart,
+/// and against giving up on that peer.
 #[test]
 fn failed_fetches_back_off() {
     let mut fetcher = Fetcher::new(node(1));
     let mut attempts = 0;
     for now_ms in 0..60_000 {
-        // The peer goes on announcing, so there is always somebody to ask.
+        // The peer announces the version again and again, so there is always a holder to ask.
         fetcher.note_holder(now_ms, stamp(1), peer(2, Distance::DataCentre));
         if let Some(fetch) = fetcher.next_fetch(now_ms, Version::NONE) {
             attempts += 1;
             fetcher.fetch_ended(now_ms, &fetch, false);
         }
     }
-    assert!((8..=30).contains(&attempts), "{attempts} tries in a minute");
+    assert!(
+        (8..=30).contains(&attempts),
+        "{attempts} attempts in a minute"
+    );
 }
 
-/// Guards against a fetch that waits anew with each version that is announced meanwhile.
+/// Guards against a fetch whose delay starts again with each version that is announced meanwhile.
 #[test]
 fn newer_versions_do_not_postpone_a_fetch() {
     const PEER_FETCH_DELAY_MS: u64 = 300;
@@ -92,7 +98,7 @@
     assert_eq!(fetched_ms, Some(PEER_FETCH_DELAY_MS));
 }
 
-/// Guards against versions that are each held back for a lead that has not told of the ones before.
+/// Guards against delaying each version for a lead that did not report the versions before it.
 #[test]
 fn peers_are_asked_at_once_while_the_lead_is_late() {
     const PEER_FETCH_DELAY_MS: u64 = 300;
@@ -105,7 +111,7 @@
     );
     let fetch = fetcher
         .next_fetch(PEER_FETCH_DELAY_MS, Version::NONE)
-        .expect("it has waited");
+        .expect("the delay is over");
     fetcher.fetch_ended(PEER_FETCH_DELAY_MS, &fetch, true);
     fetcher.note_holder(400, stamp(2), near);
     let fetch = fetcher
@@ -117,7 +123,7 @@
     assert_eq!(
         fetcher.next_fetch(500, Version(2)),
         None,
-        "the lead told in time"
+        "the lead reported in time"
     );
     assert_eq!(
         fetcher.next_fetch_at_ms(Version(2)),
@@ -125,7 +131,7 @@
     );
 }
 
-/// Guards against reads of the store that each version that gossip tells of starts anew.
+/// Guards against reads from the store by a follower when gossip announces a version.
 #[test]
 fn a_follower_never_fetches_from_the_store() {
     let mut fetcher = Fetcher::for_follower(node(1), 300);
@@ -135,15 +141,18 @@
     assert_eq!(fetcher.next_fetch_at_ms(Version::NONE), None);
 }
 
-/// The region's gateway hears of a version from the store's side and from across the link; the
-/// region's other nodes hear it too. Content crosses the link once, whoever holds it nearer.
+/// Guards against content that crosses the link between regions more than once. All nodes of a
+/// region know that a peer of the other region holds a version; only the gateway fetches it there,
+/// and the others fetch it from the gateway.
 #[test]
 fn only_the_gateway_fetches_across_the_link() {
     let remote = peer(9, Distance::Mesh);
     let mut gateway = Fetcher::new(node(1));
     gateway.set_gateway_rank(Some(0));
     gateway.note_holder(0, stamp(1), remote);
-    let fetch = gateway.next_fetch(0, Version::NONE).expect("at once");
+    let fetch = gateway
+        .next_fetch(0, Version::NONE)
+        .expect("the gateway fetches at once");
     assert!(matches!(
         fetch.source,
         Source::Peer {
@@ -162,8 +171,8 @@
     assert!(fetch.as_ref().is_some_and(near), "{fetch:?}");
 }
 
-/// The store is down while a version is announced, so the gateway's tries are seconds apart. When a
-/// neighbour turns out to hold the version, the gateway fetches it there at once.
+/// Guards against waiting for the backoff of a store that is down although a peer of the region
+/// holds the version by now.
 #[test]
 fn a_holder_in_the_region_ends_the_backoff() {
     let mut fetcher = Fetcher::new(node(1));
@@ -172,7 +181,7 @@
     let mut now_ms = 0;
     for _ in 0..12 {
         let at_ms = (now_ms..).find(|at_ms| fetcher.next_fetch(*at_ms, Version::NONE).is_some());
-        now_ms = at_ms.expect("it tries again");
+        now_ms = at_ms.expect("it retries");
         let fetch = Fetch {
             wanted: stamp(1),
             source: Source::Store,
@@ -194,13 +203,13 @@
     (TeamName::new(name), record)
 }
 
-/// Names that do not compress, so that a whole is longer than a few differences.
+/// Names that do not compress, so that a snapshot is larger than a few deltas.
 fn incompressible_name(number: u64) -> String {
     let digest = Digest::of(&number.to_be_bytes());
     format!("team-{digest}")
 }
 
-/// Versions 1, 2, 3, ... each with one team more.
+/// Versions 1, 2, 3, ..., each with one more team than the one before.
 fn history(count: u64) -> Vec<Configuration> {
     let version = |number: u64| Configuration {
         version: Version(number),
@@ -214,8 +223,8 @@
     (child.stamp(), Content::Delta(bytes))
 }
 
-/// A peer that is three versions behind gets the three deltas, not the whole, and ends with the
-/// same content; a chain that lies about its end changes nothing.
+/// A peer that is three versions behind gets three deltas instead of a snapshot, and ends with the
+/// same content. A chain that leads to another version than announced changes nothing.
 #[test]
 fn peer_that_is_behind_gets_a_chain_of_deltas() {
     let versions = history(40);
@@ -237,11 +246,13 @@
     assert!(matches!(&content, Content::Chain(steps) if steps.len() == 3));
     assert!(behind.apply(versions[38].stamp(), &content).is_err());
     assert_eq!(behind.held().version, Version(37));
-    behind.apply(stamp, &content).expect("the chain fits");
+    behind
+        .apply(stamp, &content)
+        .expect("the chain starts at version 37");
     assert_eq!(behind.stamp(), versions[39].stamp());
 }
 
-/// A node holds version 2 for its peers but must not enforce it below its floor of 3.
+/// A node holds version 2 for its peers, but must not enforce it below its floor of 3.
 #[test]
 fn nothing_is_enforced_below_the_floor() {
     let versions = history(3);
@@ -250,16 +261,19 @@
     let snapshot = Content::Snapshot(versions[1].to_snapshot());
     holder
         .prepare(versions[1].stamp(), &snapshot)
-        .expect("held");
+        .expect("the content is valid");
     assert!(holder.enforce().is_none());
     assert!(holder.content_for(Version::NONE).is_some());
     let (stamp, content) = delta(&versions[1], &versions[2]);
-    holder.prepare(stamp, &content).expect("held");
+    holder
+        .prepare(stamp, &content)
+        .expect("the content is valid");
     assert!(holder.enforce().is_some());
 }
 
-/// A restarted node is cut off from the platform. Peers that restarted with it know nothing, and
-/// peers of other data centres were not told before it enforced: neither may settle its floor.
+/// Guards against a floor that is settled by peers that cannot know it. A restarted node cannot
+/// reach the store. Peers that restarted at the same time know nothing, and peers of other data
+/// centres did not have to acknowledge what the node enforced.
 #[test]
 fn floor_does_not_count_peers_without_a_record() {
     let mut floor = Floor::new(0, VersionSource::Acknowledged);
@@ -273,9 +287,10 @@
     assert_eq!(floor.version(), Version(7));
 }
 
-/// A node enforced version 5 once one of its neighbours had confirmed it, and died before the others
-/// heard. The platform is away, and its successor hears the others first: they know of 4 only. It
-/// must wait for the one that knows, for as long as that one may still answer.
+/// Guards against a floor below the version enforced last. A node enforced version 5 after one
+/// neighbour acknowledged it, and died before the others received it. The store is down, and the
+/// others, which know only version 4, answer first. The restarted node must wait for the remaining
+/// neighbour as long as it may still answer.
 #[test]
 fn floor_waits_for_every_asked_peer() {
     let mut floor = Floor::new(0, VersionSource::Acknowledged);
@@ -289,22 +304,23 @@
     assert_eq!(floor.version(), Version(5));
 }
 
-/// Operators write configurations into the store, and it is away when a node restarts in a data centre
-/// whose other nodes are all down. Peers elsewhere follow the store as well: what they enforce is as new
-/// as anything known there, and the node need not wait for the dead.
+/// A node of a followed configuration restarts while the store is down and all other nodes of its
+/// data centre are down. Peers of other data centres follow the store too, so their versions are as
+/// new as any, and the node need not wait for the dead ones.
 #[test]
 fn a_follower_accepts_any_peer_after_a_second() {
     let mut floor = Floor::new(0, VersionSource::Followed);
     floor.record_asked(node(2));
     floor.record_answer(node(9), Distance::Mesh, Version(3), Version(4));
-    assert!(!floor.is_settled(900), "the one asked may still answer");
+    assert!(!floor.is_settled(900), "the asked peer may still answer");
     assert!(floor.is_settled(1_000));
     assert_eq!(floor.version(), Version(4));
     let mut alone = Floor::new(0, VersionSource::Followed);
-    assert!(!alone.is_settled(600_000), "without any answer it waits");
+    assert!(!alone.is_settled(600_000), "no peer has answered");
 }
 
-/// The head is at or above whatever anybody has applied, so having read it is enough.
+/// The head is at least as new as any version that a node has enforced, so reading it settles the
+/// floor.
 #[test]
 fn head_settles_the_floor_at_once() {
     let mut floor = Floor::new(0, VersionSource::Acknowledged);
@@ -314,8 +330,8 @@
     assert_eq!(floor.version(), Version(5));
 }
 
-/// A configuration large enough that a difference is shorter than the whole; its versions differ in
-/// nothing but their number, as when operators write the same again and again.
+/// A configuration that is large enough for a delta to be smaller than a snapshot. Its versions
+/// differ only in their number, as when operators write the same content repeatedly.
 fn identical_configuration(version: u64) -> Configuration {
     let team = |number: u64| {
         let name = TeamName::new(format!("team-{number}"));
@@ -333,28 +349,34 @@
     }
 }
 
-/// Versions come many a second. While a node asks a neighbour for what is newer than version 1, it gets
-/// versions 2 and 3 from elsewhere; then the differences from 1 to 4 arrive. Taken for differences from 3,
-/// the first leads back to 2: a peer that then asks for what is newer than 1 sends the node round in
-/// circles for ever, and with it all of its requests.
+/// Guards against an endless loop of fetches. While a node requests what is newer than version 1,
+/// it receives versions 2 and 3 from another source; then the deltas from 1 to 4 arrive. Applied to
+/// version 3, the first of them leads back to 2. A peer that requests what is newer than 1 would
+/// then be sent along these deltas in a loop, and none of its requests would be answered.
 #[test]
 fn chain_with_a_step_to_an_older_version_is_refused() {
     let mut source = Holder::default();
     for version in 1..=4 {
         source
             .prepare_configuration(identical_configuration(version))
-            .expect("it closes");
+            .expect("all references resolve");
     }
-    let (newest, chain) = source.content_for(Version(1)).expect("it is newer");
+    let (newest, chain) = source
+        .content_for(Version(1))
+        .expect("the held version is newer");
     assert!(matches!(chain, Content::Chain(_)), "{chain:?}");
     let mut holder = Holder::default();
     for version in 1..=3 {
         holder
             .prepare_configuration(identical_configuration(version))
-            .expect("it closes");
+            .expect("all references resolve");
     }
-    holder.prepare(newest, &chain).expect_err("it leads back");
+    holder
+        .prepare(newest, &chain)
+        .expect_err("a step leads back");
     assert_eq!(holder.held().version, Version(3));
-    let (reached, _) = holder.content_for(Version(2)).expect("it is newer");
+    let (reached, _) = holder
+        .content_for(Version(2))
+        .expect("the held version is newer");
     assert_eq!(reached.version, Version(3));
 }
--- a/tests/testsuite/spread_leads.rs
+++ b/tests/testsuite/spread_leads.rs
@@ -1,4 +1,5 @@
-//! Decisions without sockets: whom a node asks for new versions, and how long that may take.
+//! Decisions without sockets: which source a node asks for new versions, and how long each path of
+//! a version takes.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// A choice that has asked the store once, as each life begins.
+/// A `LeadChoice` that has made its first read, which goes to the store.
 fn started(before: &[u16], own: bool) -> LeadChoice {
     let mut lead_choice = LeadChoice::default();
     lead_choice.set_leads(Leads {
@@ -54,7 +55,7 @@
     lead_choice.lead_answered(now_ms, lead(number).node, state, BUDGET)
 }
 
-/// Guards against followers of a lead that answers and hears nothing of the store.
+/// Guards against followers that stay with a lead that answers but cannot read the store.
 #[test]
 fn a_lead_that_cannot_read_the_store_is_replaced_by_the_next() {
     let wait_ms = BUDGET.follow_wait_ms();
@@ -62,7 +63,7 @@
     assert_eq!(
         queried_lead(&mut lead_choice, 0),
         Some((1, 0)),
-        "it asks before it waits"
+        "the first request does not wait"
     );
     assert!(lead_answers(&mut lead_choice, 0, 1, STORE_READABLE));
     assert_eq!(queried_lead(&mut lead_choice, 0), Some((1, wait_ms)));
@@ -70,7 +71,7 @@
     assert_eq!(queried_lead(&mut lead_choice, 10), Some((2, 0)));
     assert!(lead_answers(&mut lead_choice, 10, 2, STORE_READABLE));
     assert_eq!(queried_lead(&mut lead_choice, 10), Some((2, wait_ms)));
-    // The first is asked again after a while.
+    // The first lead is asked again after a while.
     assert_eq!(queried_lead(&mut lead_choice, 4_000), Some((1, 0)));
 }
 
@@ -95,7 +96,7 @@
     assert!(!lead_choice.is_store_failing());
 }
 
-/// Guards against a data centre whose nodes all read a store that refuses all of them, again and again.
+/// Guards against all nodes of a data centre reading, at a high rate, a store that refuses them.
 #[test]
 fn a_non_lead_reads_the_store_rarely_when_all_leads_fail() {
     let mut lead_choice = started(&[1, 2, 3], false);
@@ -108,7 +109,7 @@
     assert_eq!(
         queried_lead(&mut lead_choice, 0),
         Some((1, 0)),
-        "it may be of help by now"
+        "the lead is asked again"
     );
 }
 
@@ -118,7 +119,7 @@
     lead_choice.store_failed(StoreFailure::Refused, BUDGET);
     assert!(
         !lead_choice.is_store_failing(),
-        "one refusal may be a rate ceiling"
+        "one refusal may be a rate limit"
     );
     lead_choice.store_failed(StoreFailure::Refused, BUDGET);
     assert!(lead_choice.is_store_failing());
@@ -128,7 +129,7 @@
     assert!(lead_choice.is_store_failing());
 }
 
-/// Guards against a store that is slow for long and whose answers are all given up.
+/// Guards against a slow store none of whose answers arrive within a fixed timeout.
 #[test]
 fn store_answer_timeout_grows_after_a_timeout() {
     let mut lead_choice = started(&[], true);
@@ -139,7 +140,8 @@
     assert_eq!(lead_choice.store_answer_timeout_ms(BUDGET), initial_ms);
 }
 
-/// Guards against a silent connection that hides versions for as long as a read may wait in quiet times.
+/// Guards against a stalled connection that hides versions for as long as a read may wait when
+/// versions are rare.
 #[test]
 fn store_reads_wait_longer_only_when_versions_are_rare_and_others_read() {
     let (short_ms, long_ms) = (BUDGET.short_store_wait_ms(), BUDGET.long_store_wait_ms());
@@ -149,12 +151,12 @@
     assert_eq!(
         lead_choice.store_wait_ms(5_000, BUDGET),
         short_ms,
-        "versions come"
+        "versions are frequent"
     );
     assert_eq!(
         lead_choice.store_wait_ms(15_000, BUDGET),
         long_ms,
-        "they have ceased"
+        "versions are rare"
     );
     lead_choice.set_leads(Leads {
         higher_ranked: Vec::new(),
@@ -164,14 +166,16 @@
     assert_eq!(
         lead_choice.store_wait_ms(15_000, BUDGET),
         short_ms,
-        "nobody else reads"
+        "no other data centre reads the store"
     );
 }
 
-/// Longest time for which news is gathered on its way through a data centre and a bridge, or two.
+/// Longest total delay from batching updates on the path of an announcement through a data centre
+/// and one or two bridges.
 const GOSSIP_DELAY_MS: u64 = 4 * MIN_UPDATE_INTERVAL_MS;
 
-/// Ways of a version to a node, and the longest that each takes with one failure after the other.
+/// The paths of a version to a node, with the longest time that each takes under successive
+/// failures.
 fn worst_path_times(budget: ApplyBudget) -> Vec<(&'static str, u64)> {
     let lead_timeout_ms = budget.follow_wait_ms() + budget.follow_answer_timeout_ms();
     let store_ms = budget.store_answer_timeout_ms();
@@ -179,39 +183,39 @@
         GOSSIP_DELAY_MS + budget.peer_fetch_delay_ms() + budget.region_fetch_timeout_ms();
     vec![
         (
-            "the lead has gone or is blind, the next reads the store",
+            "the lead is gone or cannot read the store, the next reads it",
             store_ms + store_ms,
         ),
         (
-            "the lead is silent, the next reads the store",
+            "the lead times out, the next reads the store",
             lead_timeout_ms + store_ms,
         ),
         (
-            "two leads are silent, the third reads the store",
+            "two leads time out, the third reads the store",
             lead_timeout_ms + budget.probe_answer_timeout_ms() + store_ms,
         ),
         (
-            "the only data centre's lead reads on a silent connection",
+            "the lead of the only data centre reads on a stalled connection",
             budget.short_store_wait_ms() + store_ms + store_ms,
         ),
         (
-            "all readers here hear nothing, peers elsewhere do",
+            "the data centre cannot read the store, peers of another one can",
             peer_fetch_ms,
         ),
         (
-            "the same, and the first peer asked is silent",
+            "the same, and the first peer times out",
             peer_fetch_ms + budget.region_fetch_timeout_ms(),
         ),
         (
-            "the same by the bridge, and then again inside the data centre",
+            "the same over a bridge, and then inside the data centre",
             peer_fetch_ms + 2 * budget.region_fetch_timeout_ms(),
         ),
         (
-            "all readers of the region hear nothing, the other region's do",
+            "the region cannot read the store, the other region can",
             peer_fetch_ms + budget.cross_region_fetch_timeout_ms(),
         ),
         (
-            "nobody helps a node that is no lead, then the store answers it",
+            "all leads fail a non-lead, then the store answers it",
             budget.non_lead_store_pause_ms()
                 + store_ms
                 + 3 * budget.probe_answer_timeout_ms().min(MIN_UPDATE_INTERVAL_MS),
@@ -219,7 +223,8 @@
     ]
 }
 
-/// Guards against waits that are each reasonable and together longer than a version may take.
+/// Guards against timeouts that are each reasonable but whose sum exceeds the time that a version
+/// may take.
 #[test]
 fn no_distribution_path_exceeds_the_apply_budget() {
     for apply_ms in [2_000, 2_500, 3_000, 5_000, 15_000] {
--- a/tests/testsuite/spread_timing.rs
+++ b/tests/testsuite/spread_timing.rs
@@ -1,6 +1,6 @@
-//! How old versions get at the nodes of a deployment in virtual time, whatever fails.
+//! How long versions take to reach the nodes of a simulated deployment, whichever failures occur.
 //!
-//! A version has to be held by each node that is up within the budget.
+//! Each running node has to hold a version within the apply budget.
 
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
     assert_in_time(Deployment::new(4, 4, 1), "nothing fails");
 }
 
-/// Guards against a lead that answers its followers and hears nothing of the store.
+/// Guards against followers that stay with a lead that answers them but cannot read the store.
 #[test]
 fn versions_are_in_time_behind_a_lead_that_cannot_read_the_store() {
     for store_fault in [
@@ -44,7 +44,7 @@
     }
 }
 
-/// Guards against a data centre whose leads fail one after the other.
+/// Guards against versions that are late while the leads of a data centre fail one after the other.
 #[test]
 fn versions_are_in_time_while_leads_fail_in_turn() {
     for store_fault in [StoreFault::Refused, StoreFault::Unanswered] {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Guards against failures drawn at random that together keep a version from a node for too long.
+/// Guards against combinations of random failures that together delay a version for too long.
 #[test]
 fn versions_are_in_time_under_random_failures() {
     const SEEDS: u64 = 200;
@@ -67,7 +67,7 @@
         let mut deployment = Deployment::new(data_centres, per_data_centre, seed);
         deployment.gap_ms = [(60, 150), (100, 400), (900, 4_000)][rng.random_range(0..3)];
         let nodes = data_centres * per_data_centre;
-        // A third of the nodes at a time, in three series that overlap.
+        // Three overlapping series of failures, each of which affects a third of the nodes.
         for series in 0..3 {
             let store_fault = [
                 StoreFault::Refused,
