--- a/tests/testsuite/fuzz_holder.rs
+++ b/tests/testsuite/fuzz_holder.rs
@@ -1,6 +1,6 @@
-//! What a node holds, against a number: content in any order, damaged, stale, for another parent,
-//! or accepted by mistake though it does not close. Either the whole of a greater version is
-//! enforced, or nothing has changed.
+//! Compares what a `Holder` enforces with the expected version number. Content arrives in any
+//! order; it may be damaged, outdated, for another parent, or have references that do not resolve.
+//! Either a greater version is enforced as a whole, or nothing changes.
 
 use std::sync::LazyLock;
 
@@ -17,7 +17,7 @@
 /// A version in which a call names a resource that does not exist.
 const UNRESOLVED_VERSION: usize = 4;
 
-/// Versions 0 (empty) to 8; each has one team more than the one before, and other records.
+/// Versions 0 (empty) to 8. Each has one team more than the one before, and other records.
 static PUBLISHED: LazyLock<Vec<Configuration>> =
     LazyLock::new(|| (0..=VERSIONS).map(published).collect());
 
@@ -35,7 +35,7 @@
              idempotent = true\n[[service.s{team}.route]]\npath = \"/\"\n\
              resource = \"{resource}\"\n[calls]\ns0 = [\"{called}\"]\n"
         );
-        let record = team_file::parse(&text).expect("a right team file");
+        let record = team_file::parse(&text).expect("the team file is valid");
         (record.team.clone(), record)
     });
     Configuration {
@@ -66,14 +66,14 @@
         parent: usize,
         version: usize,
     },
-    /// A snapshot or delta of which one bit has flipped, or the end is missing.
+    /// A snapshot or delta with one bit flipped, or truncated.
     Damaged {
         version: usize,
         delta: bool,
         at: prop::sample::Index,
         cut: bool,
     },
-    /// The right content under another version's stamp.
+    /// Valid content under the stamp of a possibly different version.
     WrongStamp {
         version: usize,
         content: usize,
@@ -83,7 +83,7 @@
     },
 }
 
-/// What must be enforced, and the floor.
+/// The version that must be enforced, and the floor.
 #[derive(Clone, Copy, Debug, Default)]
 struct Expected {
     version: usize,
@@ -128,7 +128,7 @@
     fn apply(mut state: Expected, step: &Step) -> Expected {
         match *step {
             Step::Snapshot { version } if state.accepts(version) => state.version = version,
-            // Nothing is enforced at version 0, so there is no parent.
+            // At version 0 no configuration is enforced, so there is no parent for a delta.
             Step::Delta { parent, version }
                 if state.accepts(version) && parent == state.version && parent != 0 =>
             {
@@ -146,7 +146,7 @@
     }
 }
 
-/// Damages `bytes`; `None` if the compression hides the damage, so that nothing is wrong.
+/// Damaged content of `version`. `None` if the damage does not change the decompressed content.
 fn damaged(
     version: usize,
     parent: Option<usize>,
@@ -206,7 +206,7 @@
                 at,
                 cut,
             } => {
-                let held = usize::try_from(before.version.0).expect("few versions");
+                let held = usize::try_from(before.version.0).expect("the version fits in usize");
                 match damaged(version, delta.then_some(held), at, cut) {
                     Some(content) => (stamp(version), content),
                     None => return holder,
@@ -230,7 +230,8 @@
     }
 }
 
-/// Whatever a peer holds, what it is handed brings it to the same configuration.
+/// Checks that the content offered to a peer leads it to the same configuration, whichever version
+/// the peer holds.
 fn assert_peers_reach(holder: &Holder, version: usize) {
     for have in 0..=VERSIONS {
         let offered = holder.content_for(Version(have as u64));
@@ -245,7 +246,7 @@
         }
         if have != UNRESOLVED_VERSION {
             peer.apply(stamp, &content)
-                .expect("it fits what the peer has");
+                .expect("the content applies to the peer's version");
             assert_eq!(peer.stamp(), PUBLISHED[version].stamp());
         }
     }
--- a/tests/testsuite/fuzz_membership.rs
+++ b/tests/testsuite/fuzz_membership.rs
@@ -1,6 +1,7 @@
-//! A node's view against the highest statement of each member: whatever arrives in whatever order,
-//! doubled or not, the view is that of the highest ranks, claims about the node itself are refuted,
-//! and the version that an address ever reported is remembered through its restarts.
+//! Compares a node's view with the highest ranked record of each member. Messages arrive in any
+//! order and may be repeated. The view has to contain the highest ranked records, claims about the
+//! node itself have to be refuted, and the highest version that each address has reported has to be
+//! kept across its restarts.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +14,7 @@
 
 use crate::fuzz;
 
-/// The node under test.
+/// Number of the node under test.
 const ME: u8 = 0;
 const NODES: u8 = 4;
 const INCARNATIONS: u64 = 3;
@@ -22,8 +23,8 @@
     NodeId(([10, 0, 0, number + 1], 7000).into())
 }
 
-/// What a node says at one point of one life. Each has a single writer, so the same incarnation and
-/// sequence always say the same, but for the liveness that others may claim.
+/// The record of a node for an incarnation and sequence number. Only the node itself writes it, so
+/// the same numbers always mean the same record, except for the liveness, which others may claim.
 fn member_record(number: u8, incarnation_us: u64, sequence: u64, liveness: Liveness) -> Member {
     let backend = match sequence % 3 {
         0 => BackendState::Serving,
@@ -55,8 +56,8 @@
     want_all: bool,
 }
 
-/// The highest statement of each other node, the highest claim about this one, and the highest
-/// version that each sender has reported.
+/// The highest ranked record of each other node, the highest ranked claim about the own node, and
+/// the highest version that each sender has reported.
 #[derive(Clone, Debug, Default)]
 struct ExpectedView {
     members: BTreeMap<NodeId, Member>,
@@ -105,7 +106,7 @@
         if state.earlier.is_empty() {
             return message().boxed();
         }
-        // One in four is an earlier message again.
+        // One message in four repeats an earlier one.
         let repeated = prop::sample::select(state.earlier.clone());
         prop_oneof![3 => message(), 1 => repeated].boxed()
     }
--- a/tests/testsuite/simulation.rs
+++ b/tests/testsuite/simulation.rs
@@ -1,6 +1,7 @@
-//! A deterministic simulation of callers, entries and gates in virtual time, driving the product's
-//! decisions or the plain policy that they replace: random placement, one queue without bound or
-//! deadline, an attempt's share of the deadline, and always another attempt.
+//! A deterministic simulation, in virtual time, of callers, entry nodes and the gates in front of
+//! backend servers. It runs either the product's decisions or a simple baseline policy: random
+//! placement, an unbounded queue without deadlines, a fixed share of the deadline per attempt, and
+//! a retry after every failed attempt.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -29,16 +30,16 @@
     Baseline,
 }
 
-/// One backend server and how it misbehaves.
+/// One backend server and its faults.
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
-    /// Work takes so many times as long.
+    /// Factor by which work takes longer.
     pub(crate) work_factor: u64,
-    /// Until then it is cold, and work takes five times as long.
+    /// The server is cold until this time, and work takes five times as long.
     pub(crate) cold_until_us: u64,
-    /// It answers 500 at once, whatever its health endpoint says.
+    /// Answers every request with status 500 at once, while its health checks succeed.
     pub(crate) always_fails: bool,
-    /// It stands in the other data centre of the region; all callers are in the first.
+    /// Whether it is in the other data centre of the region. All callers are in the first one.
     pub(crate) is_remote: bool,
 }
 
@@ -53,18 +54,18 @@
     }
 }
 
-/// Requests of one kind.
+/// A stream of requests of one kind.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stream {
     pub(crate) class: Class,
     pub(crate) requests_per_s: u64,
     pub(crate) work_us: u64,
     pub(crate) timeout_us: u64,
-    /// An answer after this is late.
+    /// Latency above which an answer counts as late.
     pub(crate) target_us: u64,
     /// Longest wait for a slot.
     pub(crate) patience_us: u64,
-    /// Between these times.
+    /// Start of the stream; it ends at `until_us`.
     pub(crate) from_us: u64,
     pub(crate) until_us: u64,
 }
@@ -75,23 +76,23 @@
     pub(crate) queue_len: u32,
     pub(crate) servers: Vec<Server>,
     pub(crate) streams: Vec<Stream>,
-    /// Nodes at which requests arrive.
+    /// Number of nodes at which requests arrive.
     pub(crate) entries: usize,
-    /// Whether requests look for a free slot before they wait.
+    /// Whether requests look for a free slot before they wait in a queue.
     pub(crate) checks_free_slots: bool,
 }
 
-/// What callers of one class saw.
+/// Results of the calls of one class, as callers see them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcomes {
     pub(crate) calls: u64,
     pub(crate) succeeded: u64,
-    /// Good ones within the target.
+    /// Successful calls within the target latency.
     pub(crate) on_time: u64,
     pub(crate) refused: u64,
     pub(crate) timed_out: u64,
     pub(crate) errors: u64,
-    /// Good ones from the other data centre.
+    /// Successful calls served by the other data centre.
     pub(crate) served_remotely: u64,
     pub(crate) attempts: u64,
     latencies_us: Vec<u64>,
@@ -148,14 +149,14 @@
     attempts: Attempts,
     tried: Vec<NodeId>,
     search: Search,
-    /// The attempt under way is a look.
+    /// The current attempt only checks for a free slot, and does not wait.
     checking_slot: bool,
     at: Option<(usize, AttemptState)>,
     ended: bool,
 }
 
 impl Stream {
-    /// What a request that began at `began_us` asks of a gate.
+    /// What a request that began at `began_us` requires of a gate.
     fn ask(&self, began_us: u64) -> Ask {
         Ask {
             due_us: began_us + self.target_us,
@@ -191,7 +192,7 @@
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     sequence: u64,
     rng: StdRng,
-    /// Of its own, so that both policies get the same requests.
+    /// Separate generator for arrivals, so that both policies get the same requests.
     arrival_rng: StdRng,
     calls: Vec<Call>,
     gates: Vec<Gate>,
@@ -199,7 +200,7 @@
     outcomes: BTreeMap<Class, Outcomes>,
 }
 
-/// Runs a scenario to its end under a policy.
+/// Runs a scenario to its end under a policy. Returns the results by class.
 pub(crate) fn run(scenario: &Scenario, policy: Policy) -> BTreeMap<Class, Outcomes> {
     let mut simulation = Simulation::new(scenario.clone(), policy);
     for stream in 0..scenario.streams.len() {
@@ -359,7 +360,7 @@
                 let chosen = entry
                     .balancer
                     .choose(self.now_us, &entry.ranked, &need, &mut self.rng)
-                    .expect("there are endpoints");
+                    .expect("there is an endpoint");
                 entry.balancer.begun(self.now_us, &chosen);
                 call.checking_slot =
                     self.scenario.checks_free_slots && !call.search.waits_at(chosen.node);
@@ -393,7 +394,7 @@
 
     fn reaches_gate(&mut self, number: usize, attempt: u32, server: usize) {
         if self.policy == Policy::Baseline {
-            // Nobody tells it that the attempt has been given up.
+            // The baseline gate is not told that an attempt was abandoned.
             self.gates[server]
                 .baseline_queue
                 .push_back((number, attempt));
@@ -460,7 +461,7 @@
         self.start_queued(server);
     }
 
-    /// Gives back whatever a call holds at its gate.
+    /// Releases the slot or queue position that a call holds at its gate.
     fn release(&mut self, number: usize, answered: bool) {
         let call = &mut self.calls[number];
         let Some((server, place)) = call.at.take() else {
@@ -589,7 +590,7 @@
         let ask = self.calls[call].stream.ask(self.now_us);
         let gate = &self.gates[server].product_admission;
         let resource = resource(ask.class);
-        // A price list.
+        // Body size of a small answer, in bytes.
         entry.balancer.answered(&resource, 5_000);
         let load = gate.load(self.now_us, &ask, &resource);
         entry.balancer.reported(self.now_us, node, &resource, load);
@@ -618,7 +619,7 @@
     ServiceName::new("tablon")
 }
 
-/// Requests of the two classes ask for different things.
+/// Each class requests a resource of its own.
 fn resource(class: Class) -> ResourceName {
     ResourceName::new(match class {
         Class::Interactive => "prices",
--- a/tests/testsuite/spread_deployment.rs
+++ b/tests/testsuite/spread_deployment.rs
@@ -1,7 +1,7 @@
-//! A deployment in virtual time: who follows whom, and what gossip brings.
+//! A simulated deployment in virtual time, for measuring how long versions take to reach its nodes.
 //!
-//! Nodes take the product's decisions ([`LeadChoice`], [`Fetcher`]); the store and the processes fail as they
-//! are told to.
+//! Nodes use the product's decisions ([`LeadChoice`], [`Fetcher`]). The store, the network between
+//! nodes and gossip are simulated, and faults are injected into the store and the processes.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -22,26 +22,26 @@
 
 const BUDGET: ApplyBudget = ApplyBudget::new(2_500);
 const LEADS: usize = 3;
-/// Answers of the store, without the way there.
+/// Time that the store takes to answer, without network latency.
 const STORE_LATENCY_MS: u64 = 4;
 
-/// What the store does to one node.
+/// How the store treats one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum StoreFault {
     #[default]
     None,
-    /// Every call is refused.
+    /// Every read is refused.
     Refused,
-    /// No call is answered.
+    /// No read is answered.
     Unanswered,
-    /// The connections of now are never answered, new ones are.
+    /// Reads on the existing connections are never answered, reads on new ones are.
     OldConnectionsUnanswered,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     Store(StoreFault),
-    /// The process is gone, and stays so.
+    /// The process dies and does not restart.
     Killed,
 }
 
@@ -114,9 +114,9 @@
     fetching: Option<(u64, Fetch)>,
     held: u64,
     head: u64,
-    /// Numbers what it asks of a lead or the store; answers to earlier questions are void.
+    /// Numbers the requests to leads and the store; answers to earlier requests are ignored.
     request_id: u64,
-    /// A read of the store is under way since then.
+    /// Start of the read of the store that is in flight.
     reading_since_ms: Option<u64>,
     store_read_ms: u64,
     waiters: Vec<Waiter>,
@@ -127,7 +127,7 @@
     per_data_centre: usize,
     now_ms: u64,
     accepted: u64,
-    /// Least and most time between two versions.
+    /// Shortest and longest time between two versions.
     pub(crate) gap_ms: (u64, u64),
     until_ms: u64,
     processes: Vec<Process>,
@@ -138,11 +138,12 @@
 }
 
 fn node(index: usize) -> NodeId {
-    let port = u16::try_from(index + 1).expect("few nodes");
+    let port = u16::try_from(index + 1).expect("fewer than 65535 nodes");
     NodeId(SocketAddr::from((Ipv4Addr::new(10, 0, 0, 1), port)))
 }
 
-/// Place among the gateways of a region, for the node at a place of the region's first data centre.
+/// Gateway rank of the node with this number in the first data centre of its region: 0 and 1 for
+/// numbers 1 and 2.
 fn gateway_rank(number: usize) -> Option<usize> {
     number.checked_sub(1).filter(|rank| *rank < 2)
 }
@@ -204,7 +205,7 @@
         self.data_centre_of(index).is_multiple_of(2)
     }
 
-    /// Two data centres form a region.
+    /// Distance between two nodes. Two data centres form a region.
     fn distance(&self, one: usize, other: usize) -> Distance {
         let (one, other) = (self.data_centre_of(one), self.data_centre_of(other));
         match (one == other, one / 2 == other / 2) {
@@ -221,7 +222,7 @@
         }
     }
 
-    /// The store stands in the first region.
+    /// Time for a read of the store, which is in the first region.
     fn store_latency_ms(&self, index: usize) -> u64 {
         STORE_LATENCY_MS + 2 * self.latency_ms(0, index)
     }
@@ -234,7 +235,8 @@
         }
     }
 
-    /// All of the data centre, two bridges to the other one of the region, and two pairs between regions.
+    /// All nodes of the data centre, two bridges to the region's other data centre, and two gateway
+    /// pairs between regions.
     fn neighbours(&self, index: usize) -> Vec<usize> {
         let is_neighbour = |other: &usize| {
             let rank = (index % self.per_data_centre, other % self.per_data_centre);
@@ -271,7 +273,7 @@
         self.events.push(Reverse((at_ms, self.sequence, event)));
     }
 
-    /// Lets `fault` strike `at` after a time, for a time.
+    /// Injects `fault` into the node `index` after `after_ms`. A store fault ends `for_ms` later.
     pub(crate) fn inject(&mut self, after_ms: u64, for_ms: u64, index: usize, fault: Fault) {
         let number = self.faults.len();
         self.faults.push((index, fault));
@@ -279,7 +281,8 @@
         self.after(after_ms + for_ms, Event::FaultEnds(number));
     }
 
-    /// Runs to the end; the versions that were late, with the node.
+    /// Runs the simulation to its end. Returns each version that a node did not hold in time, with
+    /// the node's index.
     pub(crate) fn run(mut self) -> Vec<(u64, usize)> {
         let mut late = Vec::new();
         while let Some(Reverse((now_ms, _, event))) = self.events.pop() {
@@ -484,7 +487,7 @@
         self.after(BUDGET.apply_ms(), Event::Deadline(version));
         for index in 0..self.processes.len() {
             let process = &self.processes[index];
-            // A read that a silent connection hides is told nothing.
+            // A read that a store fault leaves unanswered does not receive the version.
             if process.reading_since_ms.is_some() && process.store_fault == StoreFault::None {
                 let request_id = process.request_id;
                 let version = Some(version);
@@ -513,7 +516,7 @@
             Fault::Store(store_fault) => {
                 self.processes[index].store_fault = store_fault;
                 if reads {
-                    // Answers of before are void; the read ends as the trouble has it.
+                    // The pending answer is ignored, and the read ends as the fault determines.
                     self.processes[index].request_id += 1;
                     match store_fault {
                         StoreFault::Refused => {
@@ -535,7 +538,7 @@
 
     fn kill(&mut self, index: usize) {
         self.processes[index].up = false;
-        // A connection that is closed shows at once.
+        // The followers notice the closed connections at once.
         for waiter in std::mem::take(&mut self.processes[index].waiters) {
             let (index, request_id, lead) = (waiter.by, waiter.request_id, index);
             self.after(
@@ -582,7 +585,7 @@
         let process = &mut self.processes[index];
         process.request_id += 1;
         process.reading_since_ms = None;
-        // New connections are answered.
+        // Reads on new connections are answered.
         if process.store_fault == StoreFault::OldConnectionsUnanswered {
             process.store_fault = StoreFault::None;
         }
@@ -725,7 +728,7 @@
 
     fn ask_holder(&mut self, index: usize, number: u64, fetch: &Fetch) {
         let Source::Peer { node, .. } = fetch.source else {
-            panic!("a follower fetches from peers alone");
+            panic!("a follower never fetches from the store");
         };
         let holder = position(node);
         let held = self.processes[holder]
--- a/tests/testsuite/spread_membership.rs
+++ b/tests/testsuite/spread_membership.rs
@@ -1,4 +1,4 @@
-//! Membership without sockets: convergence, partition, heal, loss, herds.
+//! Membership without sockets: convergence, partitions, message loss, and many restarts at once.
 
 use dragonflywall::core::member::{BackendState, Liveness, Member};
 use dragonflywall::core::version::Version;
@@ -8,17 +8,17 @@
 
 fn converged_network(per_data_centre: u8) -> TestNetwork {
     let mut network = TestNetwork::new(per_data_centre);
-    network.run_until("all know all", 60_000, TestNetwork::has_converged);
+    network.run_until("all views converge", 60_000, TestNetwork::has_converged);
     network
 }
 
-/// Pseudo-random but the same in each run.
+/// A pseudo-random percentage that is the same in each run.
 fn pseudo_random_percent(seed: u64) -> u64 {
     seed.wrapping_mul(0x9E37_79B9_7F4A_7C15).rotate_left(29) % 100
 }
 
-/// Six groups of nodes that each know only three neighbours find each other and agree on who is
-/// there, and when nothing happens no further statements travel.
+/// The nodes of six data centres, which start with three seeds each, find each other and agree on
+/// the members. While nothing changes, no further records are sent.
 #[test]
 fn nodes_converge_and_stop_sending_updates() {
     let mut network = converged_network(10);
@@ -28,8 +28,8 @@
     assert_eq!(network.records_sent, before);
 }
 
-/// What a node spends on heartbeats must not grow with the mesh: more nodes, and each still starts
-/// about one exchange a second.
+/// Guards against heartbeat traffic per node that grows with the mesh. With more nodes, each still
+/// starts about one exchange a second.
 #[test]
 fn heartbeats_per_node_do_not_grow_with_the_mesh() {
     let per_node = |per_data_centre: u8| {
@@ -44,8 +44,9 @@
     assert!(many <= few, "{few} grew to {many} exchanges a minute");
 }
 
-/// Lets a node announce a version that every node fetches in no time once it has heard of it; the time
-/// until all running nodes hold it, if that takes less than a second.
+/// Lets one node announce a version, which every other node fetches instantly once it receives the
+/// announcement. Returns the time until all running nodes hold it, if that takes less than a
+/// second.
 fn held_everywhere_ms(network: &mut TestNetwork, from: usize) -> Option<u64> {
     const STEP_MS: u64 = 5;
     network.node(from).set_head(stamp(1));
@@ -61,7 +62,7 @@
     })
 }
 
-/// A version is announced by one node and known to all long before the next heartbeat is due.
+/// An announcement reaches every node long before the next heartbeat is due.
 #[test]
 fn announcement_reaches_every_node_at_once() {
     let mut network = converged_network(20);
@@ -69,7 +70,8 @@
     assert!(held_everywhere_ms(&mut network, 3).is_some());
 }
 
-/// Guards against a region that hears of nothing until the death of its gateway is certain.
+/// Guards against a region that receives no announcements until its failed gateway is declared
+/// dead.
 #[test]
 fn a_version_crosses_between_regions_right_after_a_gateway_has_died() {
     let mut network = converged_network(6);
@@ -82,14 +84,14 @@
         })
     };
     let gateways: Vec<usize> = (0..network.nodes.len()).filter(is_gateway).collect();
-    assert_eq!(gateways.len(), 2, "one of each region: {gateways:?}");
+    assert_eq!(gateways.len(), 2, "one gateway per region: {gateways:?}");
     let from = usize::from(gateways[0] == 0);
     network.stop(gateways[0]);
     assert!(held_everywhere_ms(&mut network, from).is_some());
 }
 
-/// Every node enforces a version; the report of each stays in its data centre, and the count of
-/// each data centre is known at all nodes, so that an operator can ask any of them.
+/// Every node enforces a version. The individual reports stay in their data centre, while the count
+/// of each data centre reaches all nodes, so that an operator can ask any of them.
 #[test]
 fn summaries_of_each_data_centre_reach_every_node() {
     let mut network = converged_network(8);
@@ -98,7 +100,7 @@
         network.node(position).set_held(stamp(4));
         network.node(position).set_enforced(Version(4));
     }
-    network.run_until("all counts everywhere", 30_000, |network| {
+    network.run_until("every node has all counts", 30_000, |network| {
         let complete = |row: &dragonflywall::core::status::DataCentreSummary| {
             row.nodes == 8 && row.versions == [(Version(4), 8)].into()
         };
@@ -111,19 +113,19 @@
     assert_eq!(network.cross_region_records, crossed_before);
 }
 
-/// A node is paused for as long as it takes to be declared dead, and goes on: it is back in
-/// everybody's view, and did not take the others for dead because its own calls had timed out.
+/// A node is paused until it is declared dead, and resumes. It returns to every view, and does not
+/// mark others as suspect because its own exchanges timed out during the pause.
 #[test]
 fn paused_node_rejoins_without_suspecting_others() {
     let mut network = converged_network(6);
     let paused = network.records[5].node;
-    // It has just begun to tell all its neighbours something, and has no answer yet.
+    // The node has just started exchanges with all its neighbours and gets no answers.
     network.set_filter(move |from, _, _| from.node != paused);
     network.node(5).set_held(stamp(1));
     network.run_for(300);
     network.set_filter(|_, _, _| true);
     network.freeze(5);
-    network.run_until("the paused node is given up", 60_000, |network| {
+    network.run_until("the paused node is declared dead", 60_000, |network| {
         let others = network.running().filter(|n| n.me().node != paused);
         others
             .into_iter()
@@ -136,13 +138,13 @@
     };
     let before = highest_sequence_of_others(&network);
     network.resume(5);
-    network.run_until("it is back", 60_000, TestNetwork::has_converged);
-    // Nobody else had to refute anything.
+    network.run_until("the node rejoins", 60_000, TestNetwork::has_converged);
+    // No other node had to refute a claim.
     assert_eq!(highest_sequence_of_others(&network), before);
 }
 
-/// A VM is replaced by one with the same address whose clock is an hour behind, so everything it
-/// says looks older than what the mesh remembers of its predecessor.
+/// A VM is replaced by one with the same address whose clock is an hour behind, so its records look
+/// older than the ones that the mesh has of the replaced VM.
 #[test]
 fn restarted_node_with_an_earlier_clock_supersedes_its_old_record() {
     let mut network = converged_network(6);
@@ -150,36 +152,37 @@
     network.run_for(20_000);
     network.records[7].incarnation_us = 10;
     network.start(7);
-    network.run_until("it is back", 60_000, TestNetwork::has_converged);
+    network.run_until("the node rejoins", 60_000, TestNetwork::has_converged);
 }
 
-/// The link between the regions is cut until each half holds the other for dead, and heals. Nobody
-/// restarts and the platform is not asked: they must find each other by probing.
+/// The link between the regions is cut until each side has declared the other dead, and heals. No
+/// node restarts and the store is not read: the sides must find each other by probing.
 #[test]
 fn regions_that_declared_each_other_dead_merge_again() {
     let mut network = converged_network(8);
     network.set_filter(|from, to, _| from.place.region == to.place.region);
-    network.run_until("each half is on its own", 120_000, |network| {
+    network.run_until("each region sees only itself", 120_000, |network| {
         network.running().all(|node| alive_nodes(node).len() == 24)
     });
     network.run_for(600_000);
     network.set_filter(|_, _, _| true);
     let before = network.cross_region_records;
-    network.run_until("one mesh again", 120_000, TestNetwork::has_converged);
+    network.run_until("the regions merge", 120_000, TestNetwork::has_converged);
     network.run_for(20_000);
-    // Each of 48 nodes has to refute its death once; whole views cross a few times, not per node.
+    // Each of the 48 nodes refutes its death once. Whole views cross the link a few times, not once
+    // per node.
     let crossed = network.cross_region_records - before;
-    assert!(crossed < 48 * 12, "{crossed} statements crossed");
+    assert!(crossed < 48 * 12, "{crossed} records crossed");
 }
 
-/// One data centre is cut off from all others, which must not cost the others any member, and
-/// comes back.
+/// One data centre is partitioned from all others and returns. The others must not lose any other
+/// member.
 #[test]
 fn partitioned_data_centre_rejoins() {
     let mut network = converged_network(8);
     let is_isolated = |member: &Member| member.place.data_centre.as_str() == "dc-1";
     network.set_filter(move |from, to, _| is_isolated(from) == is_isolated(to));
-    network.run_until("both sides know", 120_000, |network| {
+    network.run_until("both sides see only themselves", 120_000, |network| {
         let expected = |node: &Membership| match is_isolated(node.me()) {
             true => 8,
             false => 40,
@@ -188,25 +191,25 @@
             .running()
             .all(|node| alive_nodes(node).len() == expected(node))
     });
-    // Until suspicion has become death.
+    // Long enough for suspects to be declared dead.
     network.run_for(30_000);
     network.set_filter(|_, _, _| true);
-    network.run_until("one mesh again", 120_000, TestNetwork::has_converged);
+    network.run_until("the sides merge", 120_000, TestNetwork::has_converged);
 }
 
-/// A fifth of all messages is lost for a minute, so nodes are suspected and declared dead wrongly;
-/// afterwards everybody is alive in every view.
+/// A fifth of all messages is lost for a minute, so that live nodes are suspected and declared
+/// dead. Afterwards every node is alive in every view.
 #[test]
 fn membership_recovers_from_message_loss() {
     let mut network = converged_network(8);
     network.set_filter(|_, _, number| pseudo_random_percent(number) >= 20);
     network.run_for(60_000);
     network.set_filter(|_, _, _| true);
-    network.run_until("all know all", 60_000, TestNetwork::has_converged);
+    network.run_until("all views converge", 60_000, TestNetwork::has_converged);
 }
 
-/// All processes die and start again at the same moment, with nothing but three addresses each:
-/// they find each other, and the greetings do not become a storm.
+/// Guards against a storm of exchanges after all processes die and restart at the same time with
+/// three seeds each. They must find each other with few exchanges per node.
 #[test]
 fn nodes_that_all_restart_at_once_converge() {
     let mut network = converged_network(20);
@@ -215,13 +218,13 @@
         network.records[position].incarnation_us += 1_000_000;
         network.start(position);
     }
-    network.run_until("all know all", 60_000, TestNetwork::has_converged);
+    network.run_until("all views converge", 60_000, TestNetwork::has_converged);
     let per_node = (network.exchanges - before) / network.nodes.len() as u64;
     assert!(per_node < 150, "{per_node} exchanges per node");
 }
 
-/// Half of all nodes die at once; the rest agree on who is left, and those that died are taken
-/// back when they start again.
+/// Half of all nodes die at once. The others agree on the remaining members, and accept the dead
+/// ones again after their restart.
 #[test]
 fn half_of_the_nodes_die_and_come_back() {
     let mut network = converged_network(10);
@@ -229,18 +232,19 @@
     for position in &dead {
         network.stop(*position);
     }
-    network.run_until("the dead are known", 120_000, TestNetwork::has_converged);
+    network.run_until("the dead are detected", 120_000, TestNetwork::has_converged);
     let is_dead = |m: &Member| m.liveness == Liveness::Dead;
     assert!(network.running().all(|n| n.members().any(is_dead)));
     for position in dead {
         network.records[position].incarnation_us += 1_000_000;
         network.start(position);
     }
-    network.run_until("all are back", 120_000, TestNetwork::has_converged);
+    network.run_until("the dead nodes rejoin", 120_000, TestNetwork::has_converged);
 }
 
-/// A node is about to enforce a version and cannot reach anybody of its data centre, who would be
-/// asked for its floor if it died. Peers elsewhere hear of it, but that must not count.
+/// Guards against acknowledgements that a restarted node would not find. A node that is about to
+/// enforce a version can reach no peer of its data centre, where it would ask for its floor after a
+/// restart. Acknowledgements from other data centres must not count.
 #[test]
 fn only_the_own_data_centre_acknowledges_a_version() {
     let mut network = converged_network(4);
@@ -252,8 +256,8 @@
     network.run_for(3_000);
     assert_eq!(network.node(0).acknowledged_version(), Version::NONE);
     network.set_filter(|_, _, _| true);
-    network.run_until("witnessed", 60_000, |network| {
-        let node = network.running().next().expect("it runs");
+    network.run_until("version 5 is acknowledged", 60_000, |network| {
+        let node = network.running().next().expect("the node runs");
         node.acknowledged_version() == Version(5)
     });
     let isolated = network.records[0].clone();
@@ -265,8 +269,8 @@
     );
 }
 
-/// A node has just told its neighbours something when it says goodbye and ends. Gathering news must
-/// not hold back the goodbye, since there is no later message: callers would go on being sent there.
+/// Guards against a leave message that is delayed by batching. A node that has just sent an update
+/// leaves and ends; there is no later message, so callers would continue to send requests to it.
 #[test]
 fn leave_message_is_not_batched() {
     let mut network = converged_network(8);
@@ -274,8 +278,8 @@
     let leaving = network.node(20);
     leaving.set_backend(None, BackendState::Draining);
     let node = leaving.me().node;
-    // All neighbours have been told by now, and the next news would be gathered.
-    network.run_until("the draining is known", 1_000, |network| {
+    // All neighbours have just received an update, so the next one would be batched.
+    network.run_until("all nodes see it draining", 1_000, |network| {
         let draining = |n: &Membership| {
             let mut members = n.members();
             members.any(|m| m.node == node && m.backend == BackendState::Draining)
@@ -286,14 +290,14 @@
     network.tick(20);
     network.run_for(3);
     network.leave(20);
-    network.run_until("the goodbye is known", 1_000, |network| {
+    network.run_until("all nodes see it gone", 1_000, |network| {
         network.running().all(|n| !alive_nodes(n).contains(&node))
     });
 }
 
-/// A node is about to enforce a version and one of its two neighbours in the data centre is slow. If
-/// the node enforced on the word of the other alone and both died, nobody would know; so it waits
-/// for the second, or until that one is suspected.
+/// Guards against a version that is enforced after a single acknowledgement: if the node and the
+/// acknowledging peer died, no peer would know the version. One of the two neighbours in the data
+/// centre is slow; the node must wait for it, or until it is suspected.
 #[test]
 fn version_needs_two_acknowledgements() {
     let mut network = converged_network(4);
@@ -313,8 +317,8 @@
     assert!(network.running().any(knows));
     assert_eq!(network.node(0).acknowledged_version(), Version::NONE);
     network.set_filter(|_, _, _| true);
-    network.run_until("witnessed", 10_000, |network| {
-        let node = network.running().next().expect("it runs");
+    network.run_until("version 5 is acknowledged", 10_000, |network| {
+        let node = network.running().next().expect("the node runs");
         node.acknowledged_version() == Version(5)
     });
     assert!(network.running().filter(|n| knows(n)).count() >= 2);
--- a/tests/testsuite/spread_network.rs
+++ b/tests/testsuite/spread_network.rs
@@ -1,4 +1,5 @@
-//! A network of membership state machines in one thread: no sockets, its own time.
+//! A simulated network of membership state machines in one thread and in virtual time, without
+//! sockets.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -9,7 +10,7 @@
 use dragonflywall::membership::link::MIN_UPDATE_INTERVAL_MS;
 use dragonflywall::membership::{Exchange, Gossip, Membership, Timing};
 
-/// Between two ticks of a node.
+/// Interval between two ticks of a node.
 pub(crate) const TICK_MS: u64 = 250;
 const TIMEOUT_MS: u64 = 1_000;
 
@@ -21,19 +22,20 @@
     Failure(usize, Exchange),
 }
 
-/// Decides whether a message passes from one node to another.
+/// Decides whether a message from one node to another is delivered. The number identifies the
+/// message.
 type MessageFilter = Box<dyn Fn(&Member, &Member, u64) -> bool>;
 
-/// The nodes, the messages under way, and the time.
+/// The nodes, the messages in flight, and the virtual time.
 pub(crate) struct TestNetwork {
     pub(crate) nodes: Vec<Option<Membership>>,
     pub(crate) records: Vec<Member>,
     pub(crate) now_ms: u64,
-    /// Exchanges started so far.
+    /// Number of exchanges started so far.
     pub(crate) exchanges: u64,
-    /// Statements carried so far.
+    /// Number of member records delivered so far.
     pub(crate) records_sent: u64,
-    /// Statements carried from one region to another so far.
+    /// Number of member records delivered from one region to another so far.
     pub(crate) cross_region_records: u64,
     frozen: BTreeSet<usize>,
     wake_scheduled: BTreeSet<usize>,
@@ -50,7 +52,7 @@
 }
 
 impl TestNetwork {
-    /// Six data centres in two regions; each node knows the next three as seeds.
+    /// Creates six data centres in two regions. Each node has the next three as seeds.
     pub(crate) fn new(per_data_centre: u8) -> Self {
         let mut network = Self {
             nodes: Vec::new(),
@@ -80,7 +82,7 @@
         network
     }
 
-    /// Starts a node, as after the loss of all its memory.
+    /// Starts a node without any state from an earlier run.
     pub(crate) fn start(&mut self, position: usize) {
         let count = self.records.len();
         let seeds = (1..=3).map(|step| self.records[(position + step) % count].external);
@@ -93,7 +95,7 @@
         self.nodes[position] = None;
     }
 
-    /// The process says goodbye, sends what that starts, and ends.
+    /// Lets a node leave, send the messages that are then due, and end.
     pub(crate) fn leave(&mut self, position: usize) {
         self.node(position).leave();
         self.tick(position);
@@ -104,7 +106,7 @@
         self.frozen.insert(position);
     }
 
-    /// The process goes on, with all the timeouts that ran out meanwhile.
+    /// Resumes a frozen process, in which all timeouts of the meantime now expire.
     pub(crate) fn resume(&mut self, position: usize) {
         self.frozen.remove(&position);
     }
@@ -114,7 +116,7 @@
     }
 
     pub(crate) fn node(&mut self, position: usize) -> &mut Membership {
-        self.nodes[position].as_mut().expect("it runs")
+        self.nodes[position].as_mut().expect("the node runs")
     }
 
     pub(crate) fn run_for(&mut self, duration_ms: u64) {
@@ -127,7 +129,7 @@
             let event = entry.remove();
             self.now_ms = at_ms;
             let event = match event {
-                // It waits for the process to go on, which then finds that its time has run out.
+                // Delivered after the process resumes, when the exchange has already timed out.
                 Event::Answer(position, sent, _) | Event::Failure(position, sent)
                     if self.frozen.contains(&position) =>
                 {
@@ -141,8 +143,8 @@
         self.now_ms = end_ms;
     }
 
-    /// Runs until `condition` holds; panics with `what` if it does not within `limit_ms`. Returns
-    /// how long it took.
+    /// Runs until `condition` holds, and returns how long that took. Panics with `what` if it takes
+    /// longer than `limit_ms`.
     pub(crate) fn run_until(
         &mut self,
         what: &str,
@@ -153,7 +155,7 @@
         while !condition(self) {
             assert!(
                 self.now_ms - begin_ms < limit_ms,
-                "never came: {what}; alive by view: {:?}",
+                "timed out: {what}; live nodes by view: {:?}",
                 self.running()
                     .map(|n| alive_nodes(n).len())
                     .collect::<Vec<_>>()
@@ -163,7 +165,7 @@
         self.now_ms - begin_ms
     }
 
-    /// Whether every running node knows exactly the running ones as alive.
+    /// Whether every running node considers exactly the running nodes alive.
     pub(crate) fn has_converged(&self) -> bool {
         let running: BTreeSet<NodeId> = self.running().map(|node| node.me().node).collect();
         self.running().all(|node| alive_nodes(node) == running)
@@ -210,7 +212,7 @@
         self.nodes[position].is_some() && !self.frozen.contains(&position)
     }
 
-    /// Lets a node start what is due, as its driver does after each message.
+    /// Sends the exchanges of a node that are due, as its driver does after each message.
     pub(crate) fn tick(&mut self, position: usize) {
         if !self.is_up(position) {
             return;
@@ -233,7 +235,7 @@
             .records
             .iter()
             .position(|member| member.node.0 == address || member.external == address)
-            .expect("every address is a node's");
+            .expect("every address belongs to a node");
         let near = &self.records[from];
         let far = &self.records[to];
         let is_cross_region = near.place.region != far.place.region;
@@ -269,7 +271,7 @@
     }
 }
 
-/// The nodes that `node` believes to be alive.
+/// The nodes that are alive in the view of `node`.
 pub(crate) fn alive_nodes(node: &Membership) -> BTreeSet<NodeId> {
     node.members()
         .filter(|member| member.liveness == Liveness::Alive)
