--- a/src/distribution/budget.rs
+++ b/src/distribution/budget.rs
@@ -47,34 +47,34 @@
 
     /// How long a lead may hold a follower's request while it has no newer version.
     pub fn follow_wait_ms(self) -> u64 {
-        self.of(FOLLOW_WAIT)
+        self.share_ms(FOLLOW_WAIT)
     }
 
     /// How long a lead's answer may take in addition to that wait.
     pub fn follow_answer_timeout_ms(self) -> u64 {
-        self.of(FOLLOW_ANSWER_TIMEOUT)
+        self.share_ms(FOLLOW_ANSWER_TIMEOUT)
     }
 
     /// How long a lead's answer may take if it is asked only for what it holds now.
     pub fn probe_answer_timeout_ms(self) -> u64 {
-        self.of(PROBE_ANSWER_TIMEOUT)
+        self.share_ms(PROBE_ANSWER_TIMEOUT)
     }
 
     /// How long a read of the store waits for a newer version if no other source would deliver, in
     /// time, a version that a stalled connection to the store hides.
     pub fn short_store_wait_ms(self) -> u64 {
-        self.of(SHORT_STORE_WAIT)
+        self.share_ms(SHORT_STORE_WAIT)
     }
 
     /// How long a read of the store waits for a newer version if other data centres read it too and
     /// versions are rare.
     pub fn long_store_wait_ms(self) -> u64 {
-        self.of(LONG_STORE_WAIT)
+        self.share_ms(LONG_STORE_WAIT)
     }
 
     /// How long the store may take to begin its answer, in addition to the wait.
     pub fn store_answer_timeout_ms(self) -> u64 {
-        self.of(STORE_ANSWER_TIMEOUT)
+        self.share_ms(STORE_ANSWER_TIMEOUT)
     }
 
     /// Maximum time since a lead's last answer from the store; a lead with older data is not used.
@@ -85,31 +85,31 @@
     /// How long a node that received a version's announcement by gossip leaves the version to its
     /// lead or its own read of the store, before it asks peers for it.
     pub fn peer_fetch_delay_ms(self) -> u64 {
-        self.of(PEER_FETCH_DELAY)
+        self.share_ms(PEER_FETCH_DELAY)
     }
 
     /// Timeout for fetching content from a peer of the region.
     pub fn region_fetch_timeout_ms(self) -> u64 {
-        self.of(REGION_FETCH_TIMEOUT)
+        self.share_ms(REGION_FETCH_TIMEOUT)
     }
 
     /// Timeout for fetching content from a peer of another region.
     pub fn cross_region_fetch_timeout_ms(self) -> u64 {
-        self.of(CROSS_REGION_FETCH_TIMEOUT)
+        self.share_ms(CROSS_REGION_FETCH_TIMEOUT)
     }
 
     /// Pause between two reads of the store by a node that is not a lead, while neither the leads
     /// nor the store answer it.
     pub fn non_lead_store_pause_ms(self) -> u64 {
-        self.of(NON_LEAD_STORE_PAUSE)
+        self.share_ms(NON_LEAD_STORE_PAUSE)
     }
 
     /// Longest pause between two reads of the head row by the nodes that poll it for the others.
     pub fn head_poll_interval_ms(self) -> u64 {
-        self.of(HEAD_POLL_INTERVAL)
+        self.share_ms(HEAD_POLL_INTERVAL)
     }
 
-    fn of(self, share: Share) -> u64 {
+    fn share_ms(self, share: Share) -> u64 {
         (self.apply_ms * share.per_mille / 1_000).min(share.max_ms)
     }
 }
--- a/src/distribution/fetch.rs
+++ b/src/distribution/fetch.rs
@@ -205,8 +205,8 @@
     /// Records that `peer` holds the content of `stamp`.
     pub fn note_holder(&mut self, now_ms: u64, stamp: Stamp, peer: Peer) {
         self.note_head(now_ms, stamp);
-        let full = self.holders.len() >= HOLDERS_MAX;
-        if full && !self.holders.contains_key(&peer.node) {
+        let is_full = self.holders.len() >= HOLDERS_MAX;
+        if is_full && !self.holders.contains_key(&peer.node) {
             self.holders.pop_first();
         }
         self.holders.insert(peer.node, (stamp, peer));
@@ -296,13 +296,13 @@
 
     /// A fetch from the nearest holder of the newest version inside the region.
     fn region_fetch(&self) -> Option<Fetch> {
-        let near = self
+        let in_region = self
             .holders
             .values()
             .filter(|(_, peer)| peer.distance != Distance::Mesh);
         // The hash differs by node, so that nodes that know the same few holders do not all ask the
         // same one.
-        let best = near.min_by_key(|(stamp, peer)| {
+        let best = in_region.min_by_key(|(stamp, peer)| {
             let salt = self.me.to_string();
             let newest_first = std::cmp::Reverse(stamp.version);
             (newest_first, peer.distance, node_hash(peer.node, &salt))
@@ -316,8 +316,8 @@
     }
 
     fn remote_fetch(&self, waited_ms: u64) -> Option<Fetch> {
-        let far = self.holders.values().next();
-        if let Some((stamp, peer)) = far
+        let remote_holder = self.holders.values().next();
+        if let Some((stamp, peer)) = remote_holder
             && waited_ms >= self.cross_region_delay_ms()
         {
             return Some(from_peer(*stamp, peer));
--- a/src/distribution/lead_choice.rs
+++ b/src/distribution/lead_choice.rs
@@ -172,8 +172,8 @@
     /// only when versions are rare and other data centres read the store too, from which a version
     /// that is missed here would arrive by gossip.
     pub fn store_wait_ms(&self, now_ms: u64, budget: ApplyBudget) -> u64 {
-        let is_active = |(_, since_ms): (Version, u64)| now_ms < since_ms + RECENT_VERSION_MS;
-        match self.leads.is_only_data_centre || self.newest_held.is_some_and(is_active) {
+        let is_recent = |(_, since_ms): (Version, u64)| now_ms < since_ms + RECENT_VERSION_MS;
+        match self.leads.is_only_data_centre || self.newest_held.is_some_and(is_recent) {
             true => budget.short_store_wait_ms(),
             false => budget.long_store_wait_ms(),
         }
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -192,10 +192,10 @@
             .collect();
         acked.sort_unstable_by(|a, b| b.cmp(a));
         let needed = ACKS_REQUIRED.min(acked.len());
-        let lowest = needed.checked_sub(1).map(|position| acked[position]);
+        let newly_acked = needed.checked_sub(1).map(|position| acked[position]);
         self.acknowledged_version = self
             .acknowledged_version
-            .max(lowest.unwrap_or(Version::NONE));
+            .max(newly_acked.unwrap_or(Version::NONE));
     }
 
     /// Adds exchanges for acknowledgements that are still missing for the held version. All
--- a/src/membership/neighbours.rs
+++ b/src/membership/neighbours.rs
@@ -50,10 +50,10 @@
 ) -> BTreeMap<NodeId, NeighbourKind> {
     let present: Vec<&Member> = members.filter(|member| is_present(member)).collect();
     let mut chosen = BTreeMap::new();
-    chosen.extend(bridges(me, &present));
-    chosen.extend(across_regions(me, &present));
+    chosen.extend(bridge_neighbours(me, &present));
+    chosen.extend(gateway_neighbours(me, &present));
     chosen.extend(
-        ring(me, &present)
+        ring_neighbours(me, &present)
             .into_iter()
             .map(|node| (node, NeighbourKind::Ring)),
     );
@@ -114,7 +114,7 @@
     matches!(member.liveness, Liveness::Alive | Liveness::Suspect)
 }
 
-fn ring(me: &Member, present: &[&Member]) -> Vec<NodeId> {
+fn ring_neighbours(me: &Member, present: &[&Member]) -> Vec<NodeId> {
     let mut others: Vec<(u64, NodeId)> = present
         .iter()
         .filter(|member| member.place == me.place && member.node != me.node)
@@ -137,7 +137,7 @@
     chosen
 }
 
-fn bridges(me: &Member, present: &[&Member]) -> Vec<(NodeId, NeighbourKind)> {
+fn bridge_neighbours(me: &Member, present: &[&Member]) -> Vec<(NodeId, NeighbourKind)> {
     let mut by_place: BTreeMap<&str, Vec<&Member>> = BTreeMap::new();
     for member in present {
         if member.place.region == me.place.region {
@@ -159,7 +159,7 @@
     chosen
 }
 
-fn across_regions(me: &Member, present: &[&Member]) -> Vec<(NodeId, NeighbourKind)> {
+fn gateway_neighbours(me: &Member, present: &[&Member]) -> Vec<(NodeId, NeighbourKind)> {
     let near = gateways(me, present.iter().copied());
     let Some(rank) = near.iter().take(BRIDGES).position(|node| *node == me.node) else {
         return Vec::new();
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -36,7 +36,7 @@
             ACTOR_TIMEOUT_MS,
             have
         );
-        offer.map_err(|_| stopping())
+        offer.map_err(|_| node_stopping())
     }
 }
 
@@ -46,14 +46,15 @@
         &self,
         request: Request<wire::Gossip>,
     ) -> Result<Response<wire::Gossip>, Status> {
-        let gossip = convert::gossip_from_wire(request.get_ref()).map_err(|e| invalid(&e))?;
+        let gossip =
+            convert::gossip_from_wire(request.get_ref()).map_err(|e| invalid_argument(&e))?;
         let answer = ractor::call_t!(
             self.membership,
             MembershipMsg::Receive,
             ACTOR_TIMEOUT_MS,
             gossip
         );
-        let answer = answer.map_err(|_| stopping())?;
+        let answer = answer.map_err(|_| node_stopping())?;
         Ok(Response::new(convert::gossip_to_wire(&answer)))
     }
 
@@ -98,7 +99,7 @@
         request: Request<wire::HintRequest>,
     ) -> Result<Response<wire::HintReply>, Status> {
         let head = request.get_ref().head.as_ref();
-        let head = convert::stamp_from_wire(head).map_err(|e| invalid(&e))?;
+        let head = convert::stamp_from_wire(head).map_err(|e| invalid_argument(&e))?;
         // Sending fails only while the process shuts down.
         let _ = self.membership.cast(MembershipMsg::Head(head));
         let _ = self.configuration.cast(ConfigurationMsg::Announced {
@@ -110,7 +111,7 @@
             ConfigurationMsg::Enforced,
             ACTOR_TIMEOUT_MS
         );
-        let enforced = enforced.map_err(|_| stopping())?;
+        let enforced = enforced.map_err(|_| node_stopping())?;
         Ok(Response::new(wire::HintReply {
             enforced: Some(convert::stamp_to_wire(enforced)),
         }))
@@ -120,20 +121,21 @@
         &self,
         request: Request<wire::FloorRequest>,
     ) -> Result<Response<wire::FloorReply>, Status> {
-        let node = convert::parse_address(&request.get_ref().node).map_err(|e| invalid(&e))?;
+        let node =
+            convert::parse_address(&request.get_ref().node).map_err(|e| invalid_argument(&e))?;
         let reported = ractor::call_t!(
             self.membership,
             MembershipMsg::Remembered,
             ACTOR_TIMEOUT_MS,
             NodeId(node)
         );
-        let reported = reported.map_err(|_| stopping())?;
+        let reported = reported.map_err(|_| node_stopping())?;
         let enforced = ractor::call_t!(
             self.configuration,
             ConfigurationMsg::Enforced,
             ACTOR_TIMEOUT_MS
         );
-        let enforced = enforced.map_err(|_| stopping())?;
+        let enforced = enforced.map_err(|_| node_stopping())?;
         Ok(Response::new(wire::FloorReply {
             reported_version: reported.0,
             enforced: Some(convert::stamp_to_wire(enforced)),
@@ -141,10 +143,10 @@
     }
 }
 
-fn invalid(error: &convert::Error) -> Status {
+fn invalid_argument(error: &convert::Error) -> Status {
     Status::invalid_argument(error.to_string())
 }
 
-fn stopping() -> Status {
+fn node_stopping() -> Status {
     Status::unavailable("the node is stopping")
 }
--- a/tests/testsuite/fuzz_holder.rs
+++ b/tests/testsuite/fuzz_holder.rs
@@ -70,8 +70,8 @@
     Damaged {
         version: usize,
         delta: bool,
-        at: prop::sample::Index,
-        cut: bool,
+        position: prop::sample::Index,
+        truncated: bool,
     },
     /// Valid content under the stamp of a possibly different version.
     WrongStamp {
@@ -110,14 +110,16 @@
         let version = 1..=VERSIONS;
         let held = state.version;
         let next = (held + 1).min(VERSIONS);
-        let fitting = next..=(next + 2).min(VERSIONS);
+        let following_versions = next..=(next + 2).min(VERSIONS);
         prop_oneof![
             2 => version.clone().prop_map(|version| Step::Snapshot { version }),
-            3 => fitting.prop_map(move |version| Step::Delta { parent: held, version }),
+            3 => following_versions.prop_map(move |version| Step::Delta { parent: held, version }),
             2 => (0..=VERSIONS, version.clone())
                 .prop_map(|(parent, version)| Step::Delta { parent, version }),
             3 => (version.clone(), any::<bool>(), any::<prop::sample::Index>(), any::<bool>())
-                .prop_map(|(version, delta, at, cut)| Step::Damaged { version, delta, at, cut }),
+                .prop_map(|(version, delta, position, truncated)| {
+                    Step::Damaged { version, delta, position, truncated }
+                }),
             1 => (version.clone(), version.clone())
                 .prop_map(|(version, content)| Step::WrongStamp { version, content }),
             1 => version.prop_map(|version| Step::RaiseFloor { version }),
@@ -150,8 +152,8 @@
 fn damaged(
     version: usize,
     parent: Option<usize>,
-    at: prop::sample::Index,
-    cut: bool,
+    position: prop::sample::Index,
+    truncated: bool,
 ) -> Option<Content> {
     let mut bytes = match parent {
         Some(parent) => {
@@ -160,22 +162,22 @@
         }
         None => PUBLISHED[version].to_snapshot(),
     };
-    let at = at.index(bytes.len());
-    if cut {
-        bytes.truncate(at);
+    let position = position.index(bytes.len());
+    if truncated {
+        bytes.truncate(position);
     } else {
-        bytes[at] ^= 1 << (at % 8);
+        bytes[position] ^= 1 << (position % 8);
     }
     let stamp = stamp(version);
     match parent {
         Some(parent) => {
             let read = Delta::from_bytes(&bytes, &PUBLISHED[parent]);
-            let intact = read.and_then(|delta| delta.apply(&PUBLISHED[parent], stamp));
-            intact.is_err().then_some(Content::Delta(bytes))
+            let decoded = read.and_then(|delta| delta.apply(&PUBLISHED[parent], stamp));
+            decoded.is_err().then_some(Content::Delta(bytes))
         }
         None => {
-            let intact = Configuration::from_snapshot(&bytes, stamp);
-            intact.is_err().then_some(Content::Snapshot(bytes))
+            let decoded = Configuration::from_snapshot(&bytes, stamp);
+            decoded.is_err().then_some(Content::Snapshot(bytes))
         }
     }
 }
@@ -203,11 +205,11 @@
             Step::Damaged {
                 version,
                 delta,
-                at,
-                cut,
+                position,
+                truncated,
             } => {
                 let held = usize::try_from(before.version.0).expect("the version fits in usize");
-                match damaged(version, delta.then_some(held), at, cut) {
+                match damaged(version, delta.then_some(held), position, truncated) {
                     Some(content) => (stamp(version), content),
                     None => return holder,
                 }
--- a/tests/testsuite/simulation.rs
+++ b/tests/testsuite/simulation.rs
@@ -151,7 +151,7 @@
     search: Search,
     /// The current attempt only checks for a free slot, and does not wait.
     checking_slot: bool,
-    at: Option<(usize, AttemptState)>,
+    current_attempt: Option<(usize, AttemptState)>,
     ended: bool,
 }
 
@@ -205,7 +205,7 @@
     let mut simulation = Simulation::new(scenario.clone(), policy);
     for stream in 0..scenario.streams.len() {
         let from_us = scenario.streams[stream].from_us;
-        simulation.at(from_us, Event::Arrive { stream });
+        simulation.schedule(from_us, Event::Arrive { stream });
     }
     while let Some(Reverse((time_us, _, event))) = simulation.events.pop() {
         simulation.now_us = time_us;
@@ -260,7 +260,7 @@
         }
     }
 
-    fn at(&mut self, time_us: u64, event: Event) {
+    fn schedule(&mut self, time_us: u64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((time_us, self.sequence, event)));
     }
@@ -322,7 +322,7 @@
             tried: Vec::new(),
             search: Search::default(),
             checking_slot: false,
-            at: None,
+            current_attempt: None,
             ended: false,
         });
         self.outcomes.entry(stream.class).or_default().calls += 1;
@@ -333,7 +333,7 @@
         let gap_us = (-uniform.ln() * SECOND as f64 / stream.requests_per_s as f64) as u64;
         let next_us = self.now_us + gap_us;
         if next_us < stream.until_us {
-            self.at(next_us, Event::Arrive { stream: number });
+            self.schedule(next_us, Event::Arrive { stream: number });
         }
     }
 
@@ -372,7 +372,7 @@
                 (server, deadline_us.min(self.now_us + share_us))
             }
         };
-        call.at = Some((server, AttemptState::UnderWay));
+        call.current_attempt = Some((server, AttemptState::UnderWay));
         let class = call.stream.class;
         let hop_us = self.hop_us(server);
         let outcomes = self.outcomes.entry(class).or_default();
@@ -382,8 +382,8 @@
             attempt,
             server,
         };
-        self.at(self.now_us + hop_us, reaches_gate);
-        self.at(
+        self.schedule(self.now_us + hop_us, reaches_gate);
+        self.schedule(
             timeout_us,
             Event::Timeout {
                 call: number,
@@ -415,7 +415,7 @@
         match admitted {
             Admitted::Slot => self.start(number, attempt, server),
             Admitted::Queued(ticket) => {
-                self.calls[number].at = Some((server, AttemptState::Waiting(ticket)));
+                self.calls[number].current_attempt = Some((server, AttemptState::Waiting(ticket)));
             }
             Admitted::Refused(_) => self.reply(number, attempt, server, Answer::Refused),
         }
@@ -435,14 +435,14 @@
         };
         if self.is_current(call, attempt) {
             let since_us = self.now_us;
-            self.calls[call].at = Some((server, AttemptState::Running { since_us }));
+            self.calls[call].current_attempt = Some((server, AttemptState::Running { since_us }));
         }
         let done = Event::Done {
             call,
             attempt,
             server,
         };
-        self.at(self.now_us + work_us, done);
+        self.schedule(self.now_us + work_us, done);
     }
 
     fn done(&mut self, call: usize, attempt: u32, server: usize) {
@@ -464,11 +464,11 @@
     /// Releases the slot or queue position that a call holds at its gate.
     fn release(&mut self, number: usize, answered: bool) {
         let call = &mut self.calls[number];
-        let Some((server, place)) = call.at.take() else {
+        let Some((server, attempt_state)) = call.current_attempt.take() else {
             return;
         };
         let gate = &mut self.gates[server].product_admission;
-        match place {
+        match attempt_state {
             AttemptState::UnderWay => (),
             AttemptState::Waiting(ticket) => {
                 gate.cancel(ticket);
@@ -492,7 +492,7 @@
             server,
             answer,
         };
-        self.at(self.now_us + self.hop_us(server), event);
+        self.schedule(self.now_us + self.hop_us(server), event);
     }
 
     fn hop_us(&self, server: usize) -> u64 {
@@ -511,7 +511,7 @@
                     match turn {
                         Turn::Slot => self.start(call, attempt, server),
                         Turn::Refused(_) => {
-                            self.calls[call].at = None;
+                            self.calls[call].current_attempt = None;
                             self.reply(call, attempt, server, Answer::Refused);
                         }
                     }
@@ -563,10 +563,10 @@
     }
 
     fn timeout(&mut self, number: usize) {
-        let at = self.calls[number].at;
+        let attempt = self.calls[number].current_attempt;
         if self.policy == Policy::Product {
             self.release(number, false);
-            if let Some((server, _)) = at {
+            if let Some((server, _)) = attempt {
                 self.start_queued(server);
                 self.observe(number, server, Observed::Lost);
             }
@@ -598,7 +598,7 @@
 
     fn failed(&mut self, number: usize, server: usize, failed: Failed) {
         let call = &mut self.calls[number];
-        call.at = None;
+        call.current_attempt = None;
         if call.checking_slot {
             call.search.busy(node(server as u16 + 1));
             return self.attempt(number);
--- a/tests/testsuite/spread_deployment.rs
+++ b/tests/testsuite/spread_deployment.rs
@@ -64,7 +64,7 @@
     },
     LeadAsked {
         lead: usize,
-        by: usize,
+        follower: usize,
         request_id: u64,
         have: u64,
         until_ms: u64,
@@ -101,13 +101,13 @@
 }
 
 struct Waiter {
-    by: usize,
+    follower: usize,
     request_id: u64,
     have: u64,
 }
 
 struct Process {
-    up: bool,
+    is_up: bool,
     store_fault: StoreFault,
     lead_choice: LeadChoice,
     fetcher: Fetcher,
@@ -169,15 +169,15 @@
         };
         for index in 0..data_centres * per_data_centre {
             deployment.processes.push(deployment.process(index));
-            deployment.after(0, Event::Step(index));
+            deployment.schedule(0, Event::Step(index));
         }
-        deployment.after(1_000, Event::Accept);
+        deployment.schedule(1_000, Event::Accept);
         deployment
     }
 
     fn process(&self, index: usize) -> Process {
         let mut process = Process {
-            up: true,
+            is_up: true,
             store_fault: StoreFault::None,
             lead_choice: LeadChoice::default(),
             fetcher: Fetcher::for_follower(node(index), BUDGET.peer_fetch_delay_ms()),
@@ -256,7 +256,8 @@
 
     fn leads(&self, index: usize) -> Leads {
         let first = self.data_centre_of(index) * self.per_data_centre;
-        let alive = (first..first + self.per_data_centre).filter(|other| self.processes[*other].up);
+        let alive =
+            (first..first + self.per_data_centre).filter(|other| self.processes[*other].is_up);
         let ranked: Vec<usize> = alive.take(LEADS).collect();
         let own = ranked.iter().position(|lead| *lead == index);
         let before = &ranked[..own.unwrap_or(ranked.len())];
@@ -267,7 +268,7 @@
         }
     }
 
-    fn after(&mut self, pause_ms: u64, event: Event) {
+    fn schedule(&mut self, pause_ms: u64, event: Event) {
         self.sequence += 1;
         let at_ms = self.now_ms + pause_ms;
         self.events.push(Reverse((at_ms, self.sequence, event)));
@@ -277,8 +278,8 @@
     pub(crate) fn inject(&mut self, after_ms: u64, for_ms: u64, index: usize, fault: Fault) {
         let number = self.faults.len();
         self.faults.push((index, fault));
-        self.after(after_ms, Event::Fault(number));
-        self.after(after_ms + for_ms, Event::FaultEnds(number));
+        self.schedule(after_ms, Event::Fault(number));
+        self.schedule(after_ms + for_ms, Event::FaultEnds(number));
     }
 
     /// Runs the simulation to its end. Returns each version that a node did not hold in time, with
@@ -293,7 +294,7 @@
             match event {
                 Event::Deadline(version) => {
                     let behind = self.processes.iter().enumerate();
-                    let behind = behind.filter(|(_, node)| node.up && node.held < version);
+                    let behind = behind.filter(|(_, node)| node.is_up && node.held < version);
                     late.extend(behind.map(|(index, _)| (version, index)));
                 }
                 event => self.handle(event),
@@ -321,7 +322,7 @@
             } => self.store_fails(index, request_id, timed_out),
             Event::LeadAsked {
                 lead,
-                by,
+                follower,
                 request_id,
                 have,
                 until_ms,
@@ -329,7 +330,7 @@
                 self.lead_asked(
                     lead,
                     Waiter {
-                        by,
+                        follower,
                         request_id,
                         have,
                     },
@@ -384,11 +385,11 @@
     }
 
     fn is_current(&self, index: usize, request_id: u64) -> bool {
-        self.processes[index].up && self.processes[index].request_id == request_id
+        self.processes[index].is_up && self.processes[index].request_id == request_id
     }
 
     fn step(&mut self, index: usize) {
-        if !self.processes[index].up {
+        if !self.processes[index].is_up {
             return;
         }
         let leads = self.leads(index);
@@ -409,17 +410,17 @@
                 let lead = position(lead.node);
                 let latency_ms = self.latency_ms(index, lead);
                 let until_ms = now_ms + wait_ms;
-                self.after(
+                self.schedule(
                     latency_ms,
                     Event::LeadAsked {
                         lead,
-                        by: index,
+                        follower: index,
                         request_id,
                         have,
                         until_ms,
                     },
                 );
-                self.after(
+                self.schedule(
                     wait_ms + answer_ms,
                     Event::LeadFailed {
                         index,
@@ -436,7 +437,7 @@
         self.processes[index].reading_since_ms = Some(self.now_ms);
         match self.processes[index].store_fault {
             StoreFault::Refused => {
-                self.after(
+                self.schedule(
                     latency_ms,
                     Event::StoreFails {
                         index,
@@ -455,7 +456,7 @@
                         .store_wait_ms(self.now_ms, BUDGET),
                 };
                 let version = newer.then_some(self.accepted);
-                self.after(
+                self.schedule(
                     wait_ms + latency_ms,
                     Event::StoreAnswers {
                         index,
@@ -471,7 +472,7 @@
         let lead_choice = &self.processes[index].lead_choice;
         let wait_ms = lead_choice.store_wait_ms(self.now_ms, BUDGET)
             + lead_choice.store_answer_timeout_ms(BUDGET);
-        self.after(
+        self.schedule(
             wait_ms,
             Event::StoreFails {
                 index,
@@ -484,14 +485,14 @@
     fn accept(&mut self) {
         self.accepted += 1;
         let version = self.accepted;
-        self.after(BUDGET.apply_ms(), Event::Deadline(version));
+        self.schedule(BUDGET.apply_ms(), Event::Deadline(version));
         for index in 0..self.processes.len() {
             let process = &self.processes[index];
             // A read that a store fault leaves unanswered does not receive the version.
             if process.reading_since_ms.is_some() && process.store_fault == StoreFault::None {
                 let request_id = process.request_id;
                 let version = Some(version);
-                self.after(
+                self.schedule(
                     self.store_latency_ms(index) / 2,
                     Event::StoreAnswers {
                         index,
@@ -503,24 +504,24 @@
         }
         if self.now_ms < self.until_ms {
             let gap_ms = self.rng.random_range(self.gap_ms.0..=self.gap_ms.1);
-            self.after(gap_ms, Event::Accept);
+            self.schedule(gap_ms, Event::Accept);
         }
     }
 
     fn fault(&mut self, number: usize) {
         let (index, fault) = self.faults[number];
         let request_id = self.processes[index].request_id;
-        let reads = self.processes[index].reading_since_ms.is_some();
+        let is_reading = self.processes[index].reading_since_ms.is_some();
         match fault {
             Fault::Killed => self.kill(index),
             Fault::Store(store_fault) => {
                 self.processes[index].store_fault = store_fault;
-                if reads {
+                if is_reading {
                     // The pending answer is ignored, and the read ends as the fault determines.
                     self.processes[index].request_id += 1;
                     match store_fault {
                         StoreFault::Refused => {
-                            self.after(
+                            self.schedule(
                                 1,
                                 Event::StoreFails {
                                     index,
@@ -537,11 +538,11 @@
     }
 
     fn kill(&mut self, index: usize) {
-        self.processes[index].up = false;
+        self.processes[index].is_up = false;
         // The followers notice the closed connections at once.
         for waiter in std::mem::take(&mut self.processes[index].waiters) {
-            let (index, request_id, lead) = (waiter.by, waiter.request_id, index);
-            self.after(
+            let (index, request_id, lead) = (waiter.follower, waiter.request_id, index);
+            self.schedule(
                 1,
                 Event::LeadFailed {
                     index,
@@ -593,13 +594,13 @@
         if process.lead_choice.is_store_failing() {
             self.answer_waiters(index, |_| true);
         }
-        self.after(pause_ms, Event::Step(index));
+        self.schedule(pause_ms, Event::Step(index));
     }
 
     fn lead_asked(&mut self, lead: usize, waiter: Waiter, until_ms: u64) {
-        if !self.processes[lead].up {
-            let (index, request_id) = (waiter.by, waiter.request_id);
-            return self.after(
+        if !self.processes[lead].is_up {
+            let (index, request_id) = (waiter.follower, waiter.request_id);
+            return self.schedule(
                 1,
                 Event::LeadFailed {
                     index,
@@ -615,7 +616,7 @@
         {
             return self.answer_waiters(lead, |waiter| waiter.request_id == request_id);
         }
-        self.after(until_ms - self.now_ms, Event::WaitEnds { lead, request_id });
+        self.schedule(until_ms - self.now_ms, Event::WaitEnds { lead, request_id });
     }
 
     fn answer_waiters(&mut self, lead: usize, is_due: impl Fn(&Waiter) -> bool) {
@@ -628,9 +629,9 @@
         let age_ms = self.now_ms - process.store_read_ms;
         let due: Vec<Waiter> = due;
         for waiter in due {
-            let (index, request_id) = (waiter.by, waiter.request_id);
+            let (index, request_id) = (waiter.follower, waiter.request_id);
             let latency_ms = self.latency_ms(lead, index);
-            self.after(
+            self.schedule(
                 latency_ms,
                 Event::LeadAnswers {
                     index,
@@ -675,7 +676,7 @@
         for to in self.neighbours(from) {
             let pause_ms =
                 self.rng.random_range(0..=MIN_UPDATE_INTERVAL_MS) + self.latency_ms(from, to);
-            self.after(
+            self.schedule(
                 pause_ms,
                 Event::Gossip {
                     to,
@@ -688,7 +689,7 @@
     }
 
     fn gossip(&mut self, to: usize, from: usize, head: u64, held: u64) {
-        if !self.processes[to].up || !self.processes[from].up {
+        if !self.processes[to].is_up || !self.processes[from].is_up {
             return;
         }
         let holder = self.peer(to, from);
@@ -709,7 +710,7 @@
         let now_ms = self.now_ms;
         let process = &mut self.processes[index];
         let held = Version(process.held);
-        if !process.up || process.fetching.is_some() {
+        if !process.is_up || process.fetching.is_some() {
             return;
         }
         if let Some(fetch) = process.fetcher.next_fetch(now_ms, held) {
@@ -719,7 +720,7 @@
             return self.ask_holder(index, number, &fetch);
         }
         if let Some(wake_ms) = process.fetcher.next_fetch_at_ms(held) {
-            self.after(
+            self.schedule(
                 wake_ms.saturating_sub(now_ms).max(1),
                 Event::FetchDue(index),
             );
@@ -732,10 +733,10 @@
         };
         let holder = position(node);
         let held = self.processes[holder]
-            .up
+            .is_up
             .then_some(self.processes[holder].held);
         let pause_ms = 2 * self.latency_ms(index, holder);
-        self.after(
+        self.schedule(
             pause_ms,
             Event::Fetched {
                 index,
--- a/tests/testsuite/spread_failures.rs
+++ b/tests/testsuite/spread_failures.rs
@@ -106,10 +106,10 @@
     mesh.network
         .set_cut(true, |from, to| (from == 2) != (to == 2));
     assert!(publish_change(&mesh, 31).await);
-    let alone = vms_of(&mesh, "tablon")
+    let isolated = vms_of(&mesh, "tablon")
         .pop()
         .expect("the last one is in the other region");
-    let operator = mesh.vms[alone].node().addresses.operator;
+    let operator = mesh.vms[isolated].node().addresses.operator;
     wait_until("the other region is declared dead", LIMIT, || async {
         let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
         let body = reply.map(|reply| reply.body).unwrap_or_default();
@@ -118,7 +118,7 @@
         members.iter().filter(|m| m["liveness"] == "dead").count() == 8
     })
     .await;
-    assert_eq!(mesh.version_at(alone).await, 1);
+    assert_eq!(mesh.version_at(isolated).await, 1);
     mesh.network.set_cut(false, |_, _| true);
     mesh.wait_enforced(2).await;
     mesh.wait_joined().await;
--- a/tests/testsuite/spread_network.rs
+++ b/tests/testsuite/spread_network.rs
@@ -236,12 +236,12 @@
             .iter()
             .position(|member| member.node.0 == address || member.external == address)
             .expect("every address belongs to a node");
-        let near = &self.records[from];
-        let far = &self.records[to];
-        let is_cross_region = near.place.region != far.place.region;
+        let sender = &self.records[from];
+        let receiver = &self.records[to];
+        let is_cross_region = sender.place.region != receiver.place.region;
         let delay_ms = if is_cross_region { 20 } else { 1 };
-        let request_passes = (self.filter)(near, far, self.scheduled);
-        let answer_passes = (self.filter)(far, near, self.scheduled + 1);
+        let request_passes = (self.filter)(sender, receiver, self.scheduled);
+        let answer_passes = (self.filter)(receiver, sender, self.scheduled + 1);
         if self.nodes[to].is_none() {
             self.schedule(self.now_ms + delay_ms, Event::Failure(from, exchange));
             return;
