--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -72,7 +72,7 @@
     /// mesh remembers for its address. The claim contains that incarnation; the node then takes one
     /// above it, which supersedes the records of the earlier process.
     fn refute(&mut self, claim: &Member) {
-        if claim.rank() <= self.me.rank() {
+        if claim.precedence() <= self.me.precedence() {
             return;
         }
         if claim.incarnation_us > self.me.incarnation_us {
--- a/tests/testsuite/fuzz_membership.rs
+++ b/tests/testsuite/fuzz_membership.rs
@@ -117,14 +117,14 @@
                 let higher = state
                     .claim
                     .as_ref()
-                    .is_none_or(|c| record.rank() > c.rank());
+                    .is_none_or(|c| record.precedence() > c.precedence());
                 if higher {
                     state.claim = Some(record.clone());
                 }
                 continue;
             }
             let known = state.members.get(&record.node);
-            if known.is_none_or(|known| record.rank() > known.rank()) {
+            if known.is_none_or(|known| record.precedence() > known.precedence()) {
                 state.members.insert(record.node, record.clone());
             }
         }
@@ -170,7 +170,10 @@
         assert_eq!(others, expected.members);
         assert_eq!(view.me().liveness, Liveness::Alive);
         if let Some(claim) = &expected.claim {
-            assert!(view.me().rank() >= claim.rank(), "{claim:?} is not refuted");
+            assert!(
+                view.me().precedence() >= claim.precedence(),
+                "{claim:?} is not refuted"
+            );
         }
         for (sender, version) in &expected.versions {
             assert_eq!(view.highest_reported(*sender), *version);
