--- a/src/distribution/fetch.rs
+++ b/src/distribution/fetch.rs
@@ -113,7 +113,7 @@
 }
 
 impl Fetcher {
-    /// Creates a fetcher that knows no version yet.
+    /// Creates a fetcher without any known version.
     pub fn new(me: NodeId) -> Self {
         Self {
             me,
@@ -300,8 +300,8 @@
             .holders
             .values()
             .filter(|(_, peer)| peer.distance != Distance::Mesh);
-        // The hash differs by node, so that nodes that know the same few holders do not all ask the
-        // same one.
+        // The hash differs by node, so that nodes with the same few holders do not all ask the same
+        // one.
         let best = in_region.min_by_key(|(stamp, peer)| {
             let salt = self.me.to_string();
             let newest_first = std::cmp::Reverse(stamp.version);
--- a/src/distribution/floor.rs
+++ b/src/distribution/floor.rs
@@ -1,20 +1,20 @@
 //! The floor: the lowest version that a node may enforce after it starts.
 //!
-//! A VM has no disk, so a restarted node does not know which version it enforced before. Two rules
-//! prevent it from enforcing an older one:
+//! A VM has no disk, so a restarted node has no record of the version that it enforced before. Two
+//! rules prevent it from enforcing an older one:
 //!
 //! 1. Before a node enforces a version, two peers of its data centre (or all, if fewer are alive)
 //!    have acknowledged the node's announcement of it
 //!    ([`crate::membership::Membership::acknowledged_version`]). Acknowledgements from other data
-//!    centres count only if the node sees no live peer in its own, and none is needed if it sees no
-//!    live peer at all.
+//!    centres count only if no peer of the own one is known to be alive, and none is needed if no
+//!    peer at all is.
 //! 2. After a start, a node enforces nothing until its floor is settled. Either it has read the
 //!    head from the store, which is at least as new as any version that a node has enforced; or
-//!    enough peers of its data centre have reported the highest version that they know of its
-//!    address and the version that they enforce themselves. The floor is the highest version
-//!    received. Peers of other data centres count only if no other node of the own data centre is
-//!    known: they may be behind, and did not have to acknowledge the version before it was
-//!    enforced.
+//!    enough peers of its data centre have reported the highest version that they have on record
+//!    for its address, and the version that they enforce themselves. The floor is the highest
+//!    version received. Peers of other data centres count only if no other node of the own data
+//!    centre is known: they may be behind, and did not have to acknowledge the version before it
+//!    was enforced.
 //!
 //! If neither happens, the node waits and reports that it is not ready. There is no time limit
 //! after which it continues without a floor.
@@ -24,8 +24,8 @@
 use crate::core::member::{Distance, NodeId};
 use crate::core::version::Version;
 
-/// Number of peers that must answer, in addition to the rule that all asked peers must. A node that
-/// has just started knows only some of its neighbours.
+/// Number of peers that must answer, in addition to the rule that all asked peers must. The view of
+/// a node that has just started contains only some of its neighbours.
 pub const ANSWERS_REQUIRED: usize = 3;
 
 /// Time after which fewer answers settle the floor, if there is at least one. A node that is cut
@@ -33,18 +33,19 @@
 /// reachable peer has had time to answer.
 pub const PARTIAL_ANSWERS_AFTER_MS: u64 = 5_000;
 
-/// The same if versions are [`Followed`](VersionSource::Followed). Shorter, because peers that
-/// answer late know no more than those that answer at once.
+/// The same if versions are [`Followed`](VersionSource::Followed). Shorter, because late answers
+/// contain nothing newer than early ones.
 const FOLLOWED_PARTIAL_ANSWERS_AFTER_MS: u64 = 1_000;
 
-/// How nodes receive versions, which determines which peers know what an address has enforced.
+/// How nodes receive versions, which determines which peers have a record of what an address has
+/// enforced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionSource {
     /// Versions are published, and each is enforced only after peers of the data centre have
-    /// acknowledged it. Only these peers are sure to know it.
+    /// acknowledged it. Only these peers are sure to have a record of it.
     Acknowledged,
     /// Operators write whole configurations into the store. All nodes follow it and receive a
-    /// version within a round trip, and no acknowledgement is needed, so any peer can know the
+    /// version within a round trip, and no acknowledgement is needed, so any peer can have the
     /// newest version.
     Followed,
 }
@@ -105,9 +106,9 @@
         self.asked.insert(peer);
     }
 
-    /// Records a peer's answer: the highest version that it knows this address to have reported,
-    /// and the version that it enforces itself. A peer that enforces nothing has just started and
-    /// may not know the address, so its answer can raise the floor but does not count towards
+    /// Records a peer's answer: the highest version that it has on record for this address, and the
+    /// version that it enforces itself. A peer that enforces nothing has just started and may have
+    /// no record of the address, so its answer can raise the floor but does not count towards
     /// settling it.
     pub fn record_answer(
         &mut self,
@@ -138,7 +139,8 @@
             now_ms.saturating_sub(self.started_ms) >= self.source.partial_answers_after_ms();
         // All asked peers have to answer, because any two of them may be the only ones that
         // acknowledged the version enforced last at this address. If the first answers were enough,
-        // the node could start below that version while the peers that know it answer late.
+        // the node could start below that version while the peers that have a record of it answer
+        // late.
         let all_answered =
             self.answered.len() >= ANSWERS_REQUIRED && self.asked.is_subset(&self.answered);
         let enough = all_answered || (timed_out && !self.answered.is_empty());
--- a/src/membership/discovery.rs
+++ b/src/membership/discovery.rs
@@ -23,7 +23,7 @@
 /// Pause between two probes of recently gone members, and before the first probe of each.
 const RECENTLY_GONE_PROBE_MS: u64 = 500;
 
-/// Pauses between attempts to contact seeds while the node knows no live member.
+/// Pauses between attempts to contact seeds while no other member is known to be alive.
 const JOIN_BACKOFF: Backoff = Backoff::new(200, 10_000);
 
 impl Membership {
@@ -64,9 +64,9 @@
         })
     }
 
-    /// Contacts two seeds at a time while no other member is known to be alive: the nearest one,
-    /// which is asked for its whole view, and another one, which only receives the own record. The
-    /// second contact connects groups that started independently.
+    /// Contacts two seeds at a time while no other member is known to be alive. The first one,
+    /// taken in order of distance, is asked for its whole view; the other one, taken by a hash,
+    /// only receives the own record. Contacting it connects groups that started independently.
     ///
     /// The attempts back off, so that many nodes that start at once do not overload each other with
     /// whole views.
@@ -96,8 +96,8 @@
     /// known member.
     ///
     /// After a partition each side considers the other one dead, and a node that restarts during a
-    /// platform outage knows no member. Without probes they would never exchange messages again.
-    /// Only the nodes that would be neighbours of the member probe it, so it receives a few
+    /// platform outage starts with an empty view. Without probes they would never exchange messages
+    /// again. Only the nodes that would be neighbours of the member probe it, so it receives a few
     /// messages after the partition heals instead of one from every node.
     pub(super) fn probe(&mut self, now_ms: u64) -> Option<Exchange> {
         if now_ms < self.next_probe_ms {
@@ -189,8 +189,8 @@
 
 impl ProbeTarget {
     /// Whether the member belongs to this group and its pause since the last probe is over. The
-    /// pause equals the time from the member's death or departure to that probe, so it doubles with
-    /// each probe.
+    /// pause equals the time from the member's failure or departure to that probe, so it doubles
+    /// with each probe.
     fn is_due(self, now_ms: u64, entry: &Entry, probe_interval_ms: u64) -> bool {
         let gone_for_ms = now_ms.saturating_sub(entry.changed_ms);
         let is_probed = match (self, entry.member.liveness) {
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -17,8 +17,8 @@
 /// endpoints in use for minutes.
 const SILENT_PEERS_THRESHOLD: usize = 3;
 
-/// Peers that must acknowledge a version before the node enforces it. With two, the enforced
-/// version is still known if the node and one of these peers fail together; see
+/// Peers that must acknowledge a version before the node enforces it. With two, a record of the
+/// enforced version remains if the node and one of these peers fail together; see
 /// docs/design/floor.md.
 const ACKS_REQUIRED: usize = 2;
 
--- a/src/membership/gossip.rs
+++ b/src/membership/gossip.rs
@@ -17,8 +17,8 @@
     /// Version that the sender enforces or is about to enforce. The receiver stores it, so that the
     /// sender does not enforce an older version after a restart.
     pub version: Version,
-    /// Newest stamp (version and digest) that the sender knows, if the receiver may not know it
-    /// yet. The sender has its content if it is not newer than [`Self::version`].
+    /// Newest stamp (version and digest) that the sender has received, if the receiver may not have
+    /// it yet. The sender has its content if it is not newer than [`Self::version`].
     pub announce: Option<Stamp>,
     /// Member records that may be new to the receiver.
     pub updates: Vec<Member>,
--- a/src/membership/link.rs
+++ b/src/membership/link.rs
@@ -47,7 +47,7 @@
     pub pending_summaries: BTreeSet<String>,
     /// Version that it enforces or is about to enforce, as it reported.
     pub peer_version: Version,
-    /// Newest version that it is known to know, from its own messages or from what was sent to it.
+    /// Newest version that was received from it or announced to it.
     pub peer_head: Version,
     /// Highest own version whose receipt it has acknowledged.
     pub acked_version: Version,
@@ -71,7 +71,7 @@
 pub struct Announcement {
     /// Version that this node holds and that neighbours can fetch from it.
     pub held: Version,
-    /// Newest version that this node knows.
+    /// Newest version that this node has received an announcement of.
     pub head: Version,
 }
 
@@ -228,8 +228,8 @@
         }
     }
 
-    /// Updates the versions that the neighbour is known to enforce and to know. `announced` is
-    /// `None` if the neighbour expects this node to know its newest version already.
+    /// Stores the versions that a message of the neighbour contained. `announced` is `None` if the
+    /// neighbour assumes that this node already has its newest stamp.
     pub fn record_peer_versions(&mut self, version: Version, announced: Option<Version>) {
         let peer_lost_state = version < self.peer_version;
         if peer_lost_state {
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -68,9 +68,9 @@
     /// Refutes a claim about this node that outranks its own record, by raising the own sequence
     /// number above it.
     ///
-    /// A replaced VM whose clock is behind starts with a lower incarnation than the one that the
-    /// mesh remembers for its address. The claim contains that incarnation; the node then takes one
-    /// above it, which supersedes the records of the earlier process.
+    /// A replaced VM whose clock is behind starts with a lower incarnation than the one that other
+    /// nodes have stored for its address. The claim contains that incarnation; the node then takes
+    /// one above it, which supersedes the records of the earlier process.
     fn refute(&mut self, claim: &Member) {
         if claim.precedence() <= self.me.precedence() {
             return;
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -137,7 +137,7 @@
         &self.me
     }
 
-    /// All known members, including the own node.
+    /// All members in the view, including the own node.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         std::iter::once(&self.me).chain(self.roster.members())
     }
@@ -223,8 +223,8 @@
     }
 
     /// Highest own version that two peers have acknowledged, or all where there are fewer. Peers of
-    /// the data centre count, or others if there are none. Up to this version, peers still know
-    /// what the node enforced if it fails now.
+    /// the data centre count, or others if there are none. If the node fails now, these peers still
+    /// have its versions up to this one on record.
     pub fn acknowledged_version(&self) -> Version {
         self.acknowledged_version
     }
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -188,7 +188,7 @@
         Ok(FollowAnswer { offer, state })
     }
 
-    /// Tells the peer that `head` was accepted. Returns the stamp that the peer enforces.
+    /// Informs the peer that `head` was accepted. Returns the stamp that the peer enforces.
     pub async fn hint(&mut self, head: Stamp) -> Result<Stamp> {
         let request = wire::HintRequest {
             head: Some(convert::stamp_to_wire(head)),
@@ -204,8 +204,8 @@
             .map_err(|error| self.protocol_error(&error))
     }
 
-    /// Requests the highest version that the peer knows `node` to have reported, and the stamp that
-    /// the peer itself enforces.
+    /// Requests the highest version that the peer has on record for `node`, and the stamp that the
+    /// peer itself enforces.
     pub async fn floor(&mut self, node: NodeId) -> Result<(Version, Stamp)> {
         let request = wire::FloorRequest {
             node: node.to_string(),
--- a/tests/testsuite/simulation.rs
+++ b/tests/testsuite/simulation.rs
@@ -394,7 +394,7 @@
 
     fn reaches_gate(&mut self, number: usize, attempt: u32, server: usize) {
         if self.policy == Policy::Baseline {
-            // The baseline gate is not told that an attempt was abandoned.
+            // The baseline gate keeps attempts that were abandoned.
             self.gates[server]
                 .baseline_queue
                 .push_back((number, attempt));
--- a/tests/testsuite/spread_decisions.rs
+++ b/tests/testsuite/spread_decisions.rs
@@ -142,8 +142,8 @@
 }
 
 /// Guards against content that crosses the link between regions more than once. All nodes of a
-/// region know that a peer of the other region holds a version; only the gateway fetches it there,
-/// and the others fetch it from the gateway.
+/// region have received the announcement of a version that a peer of the other region holds; only
+/// the gateway fetches it there, and the others fetch it from the gateway.
 #[test]
 fn only_the_gateway_fetches_across_the_link() {
     let remote = peer(9, Distance::Mesh);
@@ -271,9 +271,9 @@
     assert!(holder.enforce().is_some());
 }
 
-/// Guards against a floor that is settled by peers that cannot know it. A restarted node cannot
-/// reach the store. Peers that restarted at the same time know nothing, and peers of other data
-/// centres did not have to acknowledge what the node enforced.
+/// Guards against a floor that is settled by peers without a record of the node. A restarted node
+/// cannot reach the store. Peers that restarted at the same time have no records, and peers of
+/// other data centres did not have to acknowledge what the node enforced.
 #[test]
 fn floor_does_not_count_peers_without_a_record() {
     let mut floor = Floor::new(0, VersionSource::Acknowledged);
@@ -289,8 +289,8 @@
 
 /// Guards against a floor below the version enforced last. A node enforced version 5 after one
 /// neighbour acknowledged it, and died before the others received it. The store is down, and the
-/// others, which know only version 4, answer first. The restarted node must wait for the remaining
-/// neighbour as long as it may still answer.
+/// others, whose newest record is version 4, answer first. The restarted node must wait for the
+/// remaining neighbour as long as it may still answer.
 #[test]
 fn floor_waits_for_every_asked_peer() {
     let mut floor = Floor::new(0, VersionSource::Acknowledged);
--- a/tests/testsuite/spread_failures.rs
+++ b/tests/testsuite/spread_failures.rs
@@ -187,9 +187,9 @@
 }
 
 /// Guards against a restart with an older version. A node enforced version 2 and died. The store is
-/// down, the only peer that knows this is frozen, and the reachable nodes were partitioned off and
-/// still enforce version 1. The node must not serve under version 1; when the peer resumes, it
-/// serves under version 2.
+/// down, the only peer with a record of this is frozen, and the reachable nodes were partitioned
+/// off and still enforce version 1. The node must not serve under version 1; when the peer resumes,
+/// it serves under version 2.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_node_never_enforces_an_older_version() {
     let mut mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
--- a/tests/testsuite/spread_membership.rs
+++ b/tests/testsuite/spread_membership.rs
@@ -169,8 +169,8 @@
     let before = network.cross_region_records;
     network.run_until("the regions merge", 120_000, TestNetwork::has_converged);
     network.run_for(20_000);
-    // Each of the 48 nodes refutes its death once. Whole views cross the link a few times, not once
-    // per node.
+    // Each of the 48 nodes refutes once that it is dead. Whole views cross the link a few times,
+    // not once per node.
     let crossed = network.cross_region_records - before;
     assert!(crossed < 48 * 12, "{crossed} records crossed");
 }
@@ -296,8 +296,8 @@
 }
 
 /// Guards against a version that is enforced after a single acknowledgement: if the node and the
-/// acknowledging peer died, no peer would know the version. One of the two neighbours in the data
-/// centre is slow; the node must wait for it, or until it is suspected.
+/// acknowledging peer died, no peer would have a record of the version. One of the two neighbours
+/// in the data centre is slow; the node must wait for it, or until it is suspected.
 #[test]
 fn version_needs_two_acknowledgements() {
     let mut network = converged_network(4);
