--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -15,7 +15,7 @@
 /// members are marked as suspect. One may be dead and the next one busy; three without any answer
 /// mean that the link or the data centre is down. Marking one member at a time would keep 87 dead
 /// endpoints in use for minutes.
-const SILENT_PEERS_THRESHOLD: usize = 3;
+const UNRESPONSIVE_PEERS_THRESHOLD: usize = 3;
 
 /// Peers that must acknowledge a version before the node enforces it. With two, a record of the
 /// enforced version remains if the node and one of these peers fail together; see
@@ -106,7 +106,7 @@
             self.suspect(now_ms, member.clone());
         }
         if member.liveness < Liveness::Dead && member.place != self.me.place {
-            self.record_silent_peer(now_ms, &member);
+            self.record_unresponsive_peer(now_ms, &member);
         }
     }
 
@@ -118,23 +118,23 @@
         self.merge_member(now_ms, suspect, None);
     }
 
-    /// Counts members of another data centre that did not answer. When [`SILENT_PEERS_THRESHOLD`]
+    /// Counts members of another data centre that did not answer. When [`UNRESPONSIVE_PEERS_THRESHOLD`]
     /// of them failed to answer, one after the other, marks all members of that data centre as
     /// suspect. Each of them refutes this if any path to it is left.
-    fn record_silent_peer(&mut self, now_ms: u64, member: &Member) {
+    fn record_unresponsive_peer(&mut self, now_ms: u64, member: &Member) {
         let key = place_key(&member.place);
-        let silent_peers = self.silent_peers.entry(key.clone()).or_default();
-        silent_peers.insert(member.node);
+        let unresponsive_peers = self.unresponsive_peers.entry(key.clone()).or_default();
+        unresponsive_peers.insert(member.node);
         let present: Vec<Member> = self
             .roster
             .members()
             .filter(|other| other.place == member.place && other.liveness < Liveness::Dead)
             .cloned()
             .collect();
-        if silent_peers.len() < SILENT_PEERS_THRESHOLD.min(present.len()) {
+        if unresponsive_peers.len() < UNRESPONSIVE_PEERS_THRESHOLD.min(present.len()) {
             return;
         }
-        self.silent_peers.remove(&key);
+        self.unresponsive_peers.remove(&key);
         for other in present {
             if other.liveness == Liveness::Alive {
                 self.suspect(now_ms, other);
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -24,7 +24,7 @@
         }
         if let Some(sender) = self.roster.get(gossip.from) {
             let key = place_key(&sender.place);
-            self.silent_peers.remove(&key);
+            self.unresponsive_peers.remove(&key);
         }
         for report in &gossip.reports {
             self.merge_report(*report, from);
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -86,7 +86,7 @@
     pub(super) refutations_due: BTreeSet<NodeId>,
     /// Bridge peers that did not answer, by data centre, since the last message from that data
     /// centre.
-    pub(super) silent_peers: BTreeMap<String, BTreeSet<NodeId>>,
+    pub(super) unresponsive_peers: BTreeMap<String, BTreeSet<NodeId>>,
     pub(super) join_attempts: u32,
     pub(super) next_join_ms: u64,
     pub(super) next_probe_ms: u64,
@@ -116,7 +116,7 @@
             enforced: Version::NONE,
             next_expiry_ms: 0,
             refutations_due: BTreeSet::new(),
-            silent_peers: BTreeMap::new(),
+            unresponsive_peers: BTreeMap::new(),
             join_attempts: 0,
             next_join_ms: 0,
             next_probe_ms: 0,
@@ -370,13 +370,13 @@
         self.watcher_rank = own_rank(neighbours::watchers(&self.me, self.members()));
         self.links
             .retain(|node, link| chosen.get(node) == Some(&link.kind));
-        let ring_size = chosen
+        let ring_neighbours = chosen
             .values()
             .filter(|kind| **kind == NeighbourKind::Ring)
             .count();
         for (node, kind) in chosen {
             let interval_ms = match kind {
-                NeighbourKind::Ring => self.timing.heartbeat_ms * ring_size as u64,
+                NeighbourKind::Ring => self.timing.heartbeat_ms * ring_neighbours as u64,
                 NeighbourKind::Bridge => self.timing.bridge_heartbeat_ms,
                 NeighbourKind::Gateway => self.timing.gateway_heartbeat_ms,
                 NeighbourKind::Standby => 2 * self.timing.gateway_heartbeat_ms,
--- a/tests/testsuite/spread_membership.rs
+++ b/tests/testsuite/spread_membership.rs
@@ -104,11 +104,11 @@
         let complete = |row: &dragonflywall::core::status::DataCentreSummary| {
             row.nodes == 8 && row.versions == [(Version(4), 8)].into()
         };
-        let knows = |node: &Membership| {
+        let has_all_counts = |node: &Membership| {
             let rows = node.summaries();
             rows.len() == 6 && rows.iter().all(complete)
         };
-        network.running().all(knows)
+        network.running().all(has_all_counts)
     });
     assert_eq!(network.cross_region_records, crossed_before);
 }
@@ -313,13 +313,19 @@
     network.set_filter(move |from, to, _| from.node != me || to.node != slow);
     network.node(0).set_held(stamp(5));
     network.run_for(TICK_MS + 50);
-    let knows = |n: &Membership| n.highest_reported(me) == Version(5);
-    assert!(network.running().any(knows));
+    let has_version_on_record = |n: &Membership| n.highest_reported(me) == Version(5);
+    assert!(network.running().any(has_version_on_record));
     assert_eq!(network.node(0).acknowledged_version(), Version::NONE);
     network.set_filter(|_, _, _| true);
     network.run_until("version 5 is acknowledged", 10_000, |network| {
         let node = network.running().next().expect("the node runs");
         node.acknowledged_version() == Version(5)
     });
-    assert!(network.running().filter(|n| knows(n)).count() >= 2);
+    assert!(
+        network
+            .running()
+            .filter(|n| has_version_on_record(n))
+            .count()
+            >= 2
+    );
 }
