--- a/src/distribution/fetch.rs
+++ b/src/distribution/fetch.rs
@@ -1,8 +1,8 @@
 //! What to fetch, from where, and when to retry.
 //!
 //! Content is passed on between neighbours, so that a publication does not cause every node of a
-//! region to read from the store or across the billed link between regions. Only a region's
-//! gateways use these, one at a time:
+//! region to read from the store or across the billed link between regions. At first only a
+//! region's gateways use these, one after the other:
 //!
 //! | source | used by | from when |
 //! |---|---|---|
@@ -16,9 +16,10 @@
 //! the other region, which is still waiting, then fetches it from that peer, so the content crosses
 //! the link once.
 //!
-//! If versions are [followed](Fetcher::for_follower), peers are only a fallback for when the lead
-//! or the own read of the store is late: the times count from then on, and the store is not one of
-//! the sources.
+//! If operators write whole configurations into the store and nodes [follow](Fetcher::for_follower)
+//! them, a node gets versions from a lead or its own read of the store. Peers are then only a
+//! fallback for when that is late: the times count from then on, and the store is not one of the
+//! sources.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/tests/testsuite/spread_decisions.rs
+++ b/tests/testsuite/spread_decisions.rs
@@ -27,7 +27,7 @@
 }
 
 /// Time of the first fetch, with the fetcher polled every 10 ms; `None` if there is none within 20
-/// s.
+/// seconds.
 fn first_fetch_ms(fetcher: &mut Fetcher) -> Option<u64> {
     (0..20_000)
         .step_by(10)
@@ -232,17 +232,17 @@
     let first = Content::Snapshot(versions[36].to_snapshot());
     ahead
         .apply(versions[36].stamp(), &first)
-        .expect("a snapshot");
+        .expect("the snapshot applies");
     let mut behind = Holder::default();
     behind
         .apply(versions[36].stamp(), &first)
-        .expect("a snapshot");
+        .expect("the snapshot applies");
     for pair in versions[36..].windows(2) {
         let (stamp, content) = delta(&pair[0], &pair[1]);
-        ahead.apply(stamp, &content).expect("a delta");
+        ahead.apply(stamp, &content).expect("the delta applies");
     }
     let offered = ahead.content_for(behind.held().version);
-    let (stamp, content) = offered.expect("newer content");
+    let (stamp, content) = offered.expect("a newer version is offered");
     assert!(matches!(&content, Content::Chain(steps) if steps.len() == 3));
     assert!(behind.apply(versions[38].stamp(), &content).is_err());
     assert_eq!(behind.held().version, Version(37));
@@ -315,8 +315,8 @@
     assert!(!floor.is_settled(900), "the asked peer may still answer");
     assert!(floor.is_settled(1_000));
     assert_eq!(floor.version(), Version(4));
-    let mut alone = Floor::new(0, VersionSource::Followed);
-    assert!(!alone.is_settled(600_000), "no peer has answered");
+    let mut unanswered = Floor::new(0, VersionSource::Followed);
+    assert!(!unanswered.is_settled(600_000), "no peer has answered");
 }
 
 /// The head is at least as new as any version that a node has enforced, so reading it settles the
