--- a/tests/testsuite/simulation.rs
+++ b/tests/testsuite/simulation.rs
@@ -1,6 +1,7 @@
-//! A deterministic simulation of callers, entries and gates in virtual time, driving the product's
-//! decisions or the plain policy that they replace: random placement, one queue without bound or
-//! deadline, an attempt's share of the deadline, and always another attempt.
+//! A deterministic simulation, in virtual time, of callers, entry nodes and the gates in front of
+//! backend servers. It runs either the product's decisions or a simple baseline policy: random
+//! placement, an unbounded queue without deadlines, a fixed share of the deadline per attempt, and
+//! a retry after every failed attempt.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -29,16 +30,16 @@
     Baseline,
 }
 
-/// One backend server and how it misbehaves.
+/// One backend server and its faults.
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
-    /// Work takes so many times as long.
+    /// Factor by which work takes longer.
     pub(crate) work_factor: u64,
-    /// Until then it is cold, and work takes five times as long.
+    /// The server is cold until this time, and work takes five times as long.
     pub(crate) cold_until_us: u64,
-    /// It answers 500 at once, whatever its health endpoint says.
+    /// Answers every request with status 500 at once, while its health checks succeed.
     pub(crate) always_fails: bool,
-    /// It stands in the other data centre of the region; all callers are in the first.
+    /// Whether it is in the other data centre of the region. All callers are in the first one.
     pub(crate) is_remote: bool,
 }
 
@@ -53,18 +54,18 @@
     }
 }
 
-/// Requests of one kind.
+/// A stream of requests of one kind.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stream {
     pub(crate) class: Class,
     pub(crate) requests_per_s: u64,
     pub(crate) work_us: u64,
     pub(crate) timeout_us: u64,
-    /// An answer after this is late.
+    /// Latency above which an answer counts as late.
     pub(crate) target_us: u64,
     /// Longest wait for a slot.
     pub(crate) patience_us: u64,
-    /// Between these times.
+    /// Start of the stream; it ends at `until_us`.
     pub(crate) from_us: u64,
     pub(crate) until_us: u64,
 }
@@ -75,23 +76,23 @@
     pub(crate) queue_len: u32,
     pub(crate) servers: Vec<Server>,
     pub(crate) streams: Vec<Stream>,
-    /// Nodes at which requests arrive.
+    /// Number of nodes at which requests arrive.
     pub(crate) entries: usize,
-    /// Whether requests look for a free slot before they wait.
+    /// Whether requests look for a free slot before they wait in a queue.
     pub(crate) checks_free_slots: bool,
 }
 
-/// What callers of one class saw.
+/// Results of the calls of one class, as callers see them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcomes {
     pub(crate) calls: u64,
     pub(crate) succeeded: u64,
-    /// Good ones within the target.
+    /// Successful calls within the target latency.
     pub(crate) on_time: u64,
     pub(crate) refused: u64,
     pub(crate) timed_out: u64,
     pub(crate) errors: u64,
-    /// Good ones from the other data centre.
+    /// Successful calls served by the other data centre.
     pub(crate) served_remotely: u64,
     pub(crate) attempts: u64,
     latencies_us: Vec<u64>,
@@ -148,14 +149,14 @@
     attempts: Attempts,
     tried: Vec<NodeId>,
     search: Search,
-    /// The attempt under way is a look.
+    /// The current attempt only checks for a free slot, and does not wait.
     checking_slot: bool,
-    at: Option<(usize, AttemptState)>,
+    current_attempt: Option<(usize, AttemptState)>,
     ended: bool,
 }
 
 impl Stream {
-    /// What a request that began at `began_us` asks of a gate.
+    /// What a request that began at `began_us` requires of a gate.
     fn ask(&self, began_us: u64) -> Ask {
         Ask {
             due_us: began_us + self.target_us,
@@ -191,7 +192,7 @@
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     sequence: u64,
     rng: StdRng,
-    /// Of its own, so that both policies get the same requests.
+    /// Separate generator for arrivals, so that both policies get the same requests.
     arrival_rng: StdRng,
     calls: Vec<Call>,
     gates: Vec<Gate>,
@@ -199,12 +200,12 @@
     outcomes: BTreeMap<Class, Outcomes>,
 }
 
-/// Runs a scenario to its end under a policy.
+/// Runs a scenario to its end under a policy. Returns the results by class.
 pub(crate) fn run(scenario: &Scenario, policy: Policy) -> BTreeMap<Class, Outcomes> {
     let mut simulation = Simulation::new(scenario.clone(), policy);
     for stream in 0..scenario.streams.len() {
         let from_us = scenario.streams[stream].from_us;
-        simulation.at(from_us, Event::Arrive { stream });
+        simulation.schedule(from_us, Event::Arrive { stream });
     }
     while let Some(Reverse((time_us, _, event))) = simulation.events.pop() {
         simulation.now_us = time_us;
@@ -259,7 +260,7 @@
         }
     }
 
-    fn at(&mut self, time_us: u64, event: Event) {
+    fn schedule(&mut self, time_us: u64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((time_us, self.sequence, event)));
     }
@@ -321,7 +322,7 @@
             tried: Vec::new(),
             search: Search::default(),
             checking_slot: false,
-            at: None,
+            current_attempt: None,
             ended: false,
         });
         self.outcomes.entry(stream.class).or_default().calls += 1;
@@ -332,7 +333,7 @@
         let gap_us = (-uniform.ln() * SECOND as f64 / stream.requests_per_s as f64) as u64;
         let next_us = self.now_us + gap_us;
         if next_us < stream.until_us {
-            self.at(next_us, Event::Arrive { stream: number });
+            self.schedule(next_us, Event::Arrive { stream: number });
         }
     }
 
@@ -359,7 +360,7 @@
                 let chosen = entry
                     .balancer
                     .choose(self.now_us, &entry.ranked, &need, &mut self.rng)
-                    .expect("there are endpoints");
+                    .expect("there is an endpoint");
                 entry.balancer.begun(self.now_us, &chosen);
                 call.checking_slot =
                     self.scenario.checks_free_slots && !call.search.waits_at(chosen.node);
@@ -371,7 +372,7 @@
                 (server, deadline_us.min(self.now_us + share_us))
             }
         };
-        call.at = Some((server, AttemptState::UnderWay));
+        call.current_attempt = Some((server, AttemptState::UnderWay));
         let class = call.stream.class;
         let hop_us = self.hop_us(server);
         let outcomes = self.outcomes.entry(class).or_default();
@@ -381,8 +382,8 @@
             attempt,
             server,
         };
-        self.at(self.now_us + hop_us, reaches_gate);
-        self.at(
+        self.schedule(self.now_us + hop_us, reaches_gate);
+        self.schedule(
             timeout_us,
             Event::Timeout {
                 call: number,
@@ -393,7 +394,7 @@
 
     fn reaches_gate(&mut self, number: usize, attempt: u32, server: usize) {
         if self.policy == Policy::Baseline {
-            // Nobody tells it that the attempt has been given up.
+            // The baseline gate keeps attempts that were abandoned.
             self.gates[server]
                 .baseline_queue
                 .push_back((number, attempt));
@@ -414,7 +415,7 @@
         match admitted {
             Admitted::Slot => self.start(number, attempt, server),
             Admitted::Queued(ticket) => {
-                self.calls[number].at = Some((server, AttemptState::Waiting(ticket)));
+                self.calls[number].current_attempt = Some((server, AttemptState::Waiting(ticket)));
             }
             Admitted::Refused(_) => self.reply(number, attempt, server, Answer::Refused),
         }
@@ -434,14 +435,14 @@
         };
         if self.is_current(call, attempt) {
             let since_us = self.now_us;
-            self.calls[call].at = Some((server, AttemptState::Running { since_us }));
+            self.calls[call].current_attempt = Some((server, AttemptState::Running { since_us }));
         }
         let done = Event::Done {
             call,
             attempt,
             server,
         };
-        self.at(self.now_us + work_us, done);
+        self.schedule(self.now_us + work_us, done);
     }
 
     fn done(&mut self, call: usize, attempt: u32, server: usize) {
@@ -460,14 +461,14 @@
         self.start_queued(server);
     }
 
-    /// Gives back whatever a call holds at its gate.
+    /// Releases the slot or queue position that a call holds at its gate.
     fn release(&mut self, number: usize, answered: bool) {
         let call = &mut self.calls[number];
-        let Some((server, place)) = call.at.take() else {
+        let Some((server, attempt_state)) = call.current_attempt.take() else {
             return;
         };
         let gate = &mut self.gates[server].product_admission;
-        match place {
+        match attempt_state {
             AttemptState::UnderWay => (),
             AttemptState::Waiting(ticket) => {
                 gate.cancel(ticket);
@@ -491,7 +492,7 @@
             server,
             answer,
         };
-        self.at(self.now_us + self.hop_us(server), event);
+        self.schedule(self.now_us + self.hop_us(server), event);
     }
 
     fn hop_us(&self, server: usize) -> u64 {
@@ -510,7 +511,7 @@
                     match turn {
                         Turn::Slot => self.start(call, attempt, server),
                         Turn::Refused(_) => {
-                            self.calls[call].at = None;
+                            self.calls[call].current_attempt = None;
                             self.reply(call, attempt, server, Answer::Refused);
                         }
                     }
@@ -562,10 +563,10 @@
     }
 
     fn timeout(&mut self, number: usize) {
-        let at = self.calls[number].at;
+        let attempt = self.calls[number].current_attempt;
         if self.policy == Policy::Product {
             self.release(number, false);
-            if let Some((server, _)) = at {
+            if let Some((server, _)) = attempt {
                 self.start_queued(server);
                 self.observe(number, server, Observed::Lost);
             }
@@ -589,7 +590,7 @@
         let ask = self.calls[call].stream.ask(self.now_us);
         let gate = &self.gates[server].product_admission;
         let resource = resource(ask.class);
-        // A price list.
+        // Body size of a small answer, in bytes.
         entry.balancer.answered(&resource, 5_000);
         let load = gate.load(self.now_us, &ask, &resource);
         entry.balancer.reported(self.now_us, node, &resource, load);
@@ -597,7 +598,7 @@
 
     fn failed(&mut self, number: usize, server: usize, failed: Failed) {
         let call = &mut self.calls[number];
-        call.at = None;
+        call.current_attempt = None;
         if call.checking_slot {
             call.search.busy(node(server as u16 + 1));
             return self.attempt(number);
@@ -618,7 +619,7 @@
     ServiceName::new("tablon")
 }
 
-/// Requests of the two classes ask for different things.
+/// Each class requests a resource of its own.
 fn resource(class: Class) -> ResourceName {
     ResourceName::new(match class {
         Class::Interactive => "prices",
