--- a/src/decide.rs
+++ b/src/decide.rs
@@ -2,12 +2,12 @@
 
 pub mod admission;
 pub mod announcements;
+pub mod backoff;
 pub mod connections;
-pub mod held;
-pub mod intake;
-pub mod pacing;
-pub mod patience;
-pub mod placement;
+pub mod load_balancing;
+pub mod max_wait;
 pub mod retry;
+pub mod service_times;
 pub mod split;
 pub mod transit;
+pub mod uploads;
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -6,15 +6,15 @@
 //! became of waiting requests and wakes them; between two changes nothing can have happened, so
 //! no one polls.
 
-mod lane;
+mod class_queue;
 
 use std::collections::VecDeque;
 
 use slotmap::{SlotMap, new_key_type};
 
-use self::lane::{Lane, Place, Queued};
-use super::held::HeldTimes;
-use super::placement::LoadReport;
+use self::class_queue::{Lane, Place, Queued};
+use super::load_balancing::LoadReport;
+use super::service_times::HeldTimes;
 use crate::core::configuration::{Class, PRIORITY_DEFAULT};
 use crate::core::mechanism::{Mechanism, Without};
 use crate::core::names::ResourceName;
--- a/src/decide/admission/lane.rs
+++ b/src/decide/admission/class_queue.rs
@@ -4,7 +4,7 @@
 use std::ops::Bound;
 
 use super::{Ticket, Urgency};
-use crate::decide::held::Mean;
+use crate::decide::service_times::Mean;
 
 /// Requests of more urgent ranks let in before a waiting one of a lower rank has its turn, so that it is not
 /// starved.
--- a/src/decide/placement.rs
+++ b/src/decide/load_balancing.rs
@@ -11,20 +11,20 @@
 use rand::{Rng, RngExt};
 
 use self::cost::Choice;
-use self::observation::{EJECTED_MOST_US, Seen};
-use super::intake::SMALL_BYTES;
+use self::endpoint_stats::{EJECTED_MOST_US, Seen};
+use super::uploads::SMALL_BYTES;
 use crate::core::configuration::Spill;
 use crate::core::mechanism::{Mechanism, Without};
 use crate::core::member::{Distance, Member, NodeId, Place};
 use crate::core::names::ResourceName;
 
 mod cost;
-mod observation;
-mod search;
+mod endpoint_stats;
+mod free_slot_search;
 
 pub use self::cost::Limits;
-pub use self::observation::{LoadReport, Observed};
-pub use self::search::Search;
+pub use self::endpoint_stats::{LoadReport, Observed};
+pub use self::free_slot_search::Search;
 
 /// Endpoints of one service and distance that an entry uses at a time: each connection costs memory at both
 /// ends, and a choice among few spreads load nearly as well as one among all.
--- a/src/decide/intake.rs
+++ b/src/decide/uploads.rs
@@ -5,7 +5,7 @@
 //! node lets little of each body come before it asks for the rest, asks for few at a time, and takes a
 //! slot of the backend server only once the body is there.
 
-use super::held::Mean;
+use super::service_times::Mean;
 
 /// Bodies up to this length come at once with the head of their request.
 pub const SMALL_BYTES: u64 = 8 << 10;
--- a/src/distribution/fetch.rs
+++ b/src/distribution/fetch.rs
@@ -23,7 +23,7 @@
 use super::sightings::Sightings;
 use crate::core::member::{Distance, NodeId};
 use crate::core::version::{Stamp, Version};
-use crate::decide::pacing::{Backoff, jittered_ms};
+use crate::decide::backoff::{Backoff, jittered_ms};
 use crate::membership::neighbours::weight;
 
 /// A standby gateway steps in after this: several round trips between regions.
--- a/src/distribution/lead_choice.rs
+++ b/src/distribution/lead_choice.rs
@@ -11,7 +11,7 @@
 use super::fetch::Peer;
 use crate::core::member::NodeId;
 use crate::core::version::Version;
-use crate::decide::pacing::Backoff;
+use crate::decide::backoff::Backoff;
 
 /// A lead that was of no help is left alone for so long.
 const LEFT_ALONE_MS: u64 = 3_000;
--- a/src/membership/discovery.rs
+++ b/src/membership/discovery.rs
@@ -9,7 +9,7 @@
 use super::view::Membership;
 use crate::core::member::{Liveness, NodeId};
 use crate::core::version::Version;
-use crate::decide::pacing::Backoff;
+use crate::decide::backoff::Backoff;
 
 /// Longest pause between two probes of one dead member. Their number is bounded by who is asked
 /// to probe, so this bounds only the time to find each other again after a long cut.
--- a/src/membership/link.rs
+++ b/src/membership/link.rs
@@ -5,7 +5,7 @@
 use super::neighbours::Kind;
 use crate::core::member::NodeId;
 use crate::core::version::Version;
-use crate::decide::pacing::Backoff;
+use crate::decide::backoff::Backoff;
 
 /// How long reports and summaries are gathered before they cause an exchange of their own. They
 /// inform operators; half a second is no delay to a person, and a publication's 87 reports then
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -12,7 +12,7 @@
 use crate::core::names::ServiceName;
 use crate::core::status::DataCentreSummary;
 use crate::core::version::{Stamp, Version};
-use crate::decide::pacing::jittered_ms;
+use crate::decide::backoff::jittered_ms;
 
 /// Intervals of the protocol, in milliseconds.
 #[derive(Clone, Copy, Debug)]
--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -21,7 +21,7 @@
 use super::configuration::ConfigurationMsg;
 use super::state::NodeState;
 use crate::core::mechanism::Mechanism;
-use crate::decide::pacing::jittered_ms;
+use crate::decide::backoff::jittered_ms;
 use crate::distribution::fetch::Peer;
 use crate::distribution::lead_choice::{Ask, LeadChoice, Leads, StoreFailure};
 use crate::store::{Error, Feed, Position, Told};
--- a/src/node/registration.rs
+++ b/src/node/registration.rs
@@ -19,7 +19,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::core::member::Member;
-use crate::decide::pacing::{self, Backoff};
+use crate::decide::backoff::{self, Backoff};
 use crate::membership::neighbours;
 use crate::node::membership::MembershipMsg;
 use crate::node::state::NodeState;
@@ -203,7 +203,7 @@
 /// Half to whole of the pause, so that nodes that started together drift apart.
 async fn sleep_about(pause: Duration) {
     let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
-    let jittered_ms = pacing::jittered_ms(pause_ms, rand::random());
+    let jittered_ms = backoff::jittered_ms(pause_ms, rand::random());
     tokio::time::sleep(Duration::from_millis(jittered_ms)).await;
 }
 
--- a/src/proxy/entry/call.rs
+++ b/src/proxy/entry/call.rs
@@ -14,10 +14,12 @@
 use crate::core::names::ServiceName;
 use crate::core::routing::Branch;
 use crate::core::verdict::Verdict;
-use crate::decide::intake::SMALL_BYTES;
-use crate::decide::patience;
-use crate::decide::placement::{Believed, Endpoint, Limits, LoadReport, Need, Observed, Search};
+use crate::decide::load_balancing::{
+    Believed, Endpoint, Limits, LoadReport, Need, Observed, Search,
+};
+use crate::decide::max_wait;
 use crate::decide::retry::Attempts;
+use crate::decide::uploads::SMALL_BYTES;
 use crate::proxy::answer::{Failure, Reason};
 use crate::proxy::body::{self, Body, Guarded};
 use crate::proxy::decisions::{self, Weight};
@@ -212,8 +214,8 @@
     fn hop(&self, retries: u32, waits: bool) -> Hop {
         let treatment = &self.branch.treatment;
         let patience = match waits {
-            true if self.is_call() => patience::of_call(treatment),
-            true => patience::of_caller(treatment, self.node.without()),
+            true if self.is_call() => max_wait::of_call(treatment),
+            true => max_wait::of_caller(treatment, self.node.without()),
             false => Duration::ZERO,
         };
         let now = Instant::now();
--- a/src/proxy/headers.rs
+++ b/src/proxy/headers.rs
@@ -4,7 +4,7 @@
 
 use crate::core::names::ResourceName;
 use crate::core::token::TOKEN_HEADER;
-use crate::decide::placement::LoadReport;
+use crate::decide::load_balancing::LoadReport;
 
 /// Prefix of every header that nodes exchange. Callers' headers with it are dropped: a caller
 /// must not be able to set its own class, deadline or verdict.
--- a/src/proxy/intake.rs
+++ b/src/proxy/intake.rs
@@ -1,4 +1,4 @@
-//! Takes in the large bodies that come to a gate; see [`crate::decide::intake`].
+//! Takes in the large bodies that come to a gate; see [`crate::decide::uploads`].
 //!
 //! An entry asks for a turn before it sends any byte of a large body to another node ([`reserve`]); the
 //! body then comes with the turn that it was given ([`take`]).
@@ -21,7 +21,7 @@
 use super::hop::Hop;
 use super::replay;
 use crate::core::mechanism::Mechanism;
-use crate::decide::intake::SMALL_BYTES;
+use crate::decide::uploads::SMALL_BYTES;
 use crate::proxy::state::ProxyState;
 
 use self::turns::Turn;
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -5,7 +5,7 @@
 use crate::core::member::{Liveness, Member, NodeId, Place};
 use crate::core::names::ServiceName;
 use crate::core::status::DataCentreSummary;
-use crate::decide::placement::Ranked;
+use crate::decide::load_balancing::Ranked;
 
 /// The members as requests and operators see them.
 #[derive(Debug, Default)]
--- a/src/store/patient.rs
+++ b/src/store/patient.rs
@@ -5,7 +5,7 @@
 
 use super::{Error, ObjectStore, Outcome, Result, Row, Table, Transaction};
 use crate::core::version::Digest;
-use crate::decide::pacing::{Backoff, jittered_ms};
+use crate::decide::backoff::{Backoff, jittered_ms};
 
 /// Tries in all. With the waits below they span about 3 s: a herd of 520 restarting nodes, each
 /// with a handful of reads, is through the table's 2,000 reads a second by then. An operator who
--- a/tests/testsuite/decide_pacing.rs
+++ b/tests/testsuite/decide_backoff.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dragonflywall::decide::pacing::{Backoff, jittered_ms};
+use dragonflywall::decide::backoff::{Backoff, jittered_ms};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
--- a/tests/testsuite/decide_placement.rs
+++ b/tests/testsuite/decide_load_balancing.rs
@@ -7,7 +7,7 @@
 use dragonflywall::core::member::{BackendState, Liveness, Member, NodeId, Place};
 use dragonflywall::core::names::{DataCentreName, RegionName, ResourceName, ServiceName};
 use dragonflywall::core::version::Version;
-use dragonflywall::decide::placement::{Balancer, Limits, LoadReport, Need, Observed, Ranked};
+use dragonflywall::decide::load_balancing::{Balancer, Limits, LoadReport, Need, Observed, Ranked};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
--- a/tests/testsuite/decide_held.rs
+++ b/tests/testsuite/decide_service_times.rs
@@ -3,7 +3,7 @@
 use dragonflywall::core::configuration::Class;
 use dragonflywall::core::names::ResourceName;
 use dragonflywall::decide::admission::{Admission, Ask, Limits, Released};
-use dragonflywall::decide::held::HeldTimes;
+use dragonflywall::decide::service_times::HeldTimes;
 
 const SECOND: u64 = 1_000_000;
 
--- a/tests/testsuite/decide_intake.rs
+++ b/tests/testsuite/decide_uploads.rs
@@ -1,6 +1,6 @@
 //! How large bodies are let in.
 
-use dragonflywall::decide::intake::{Intake, LinkShare};
+use dragonflywall::decide::uploads::{Intake, LinkShare};
 
 #[test]
 fn a_slow_link_is_kept_busy_for_forty_milliseconds_at_most() {
--- a/tests/testsuite/mechanisms.rs
+++ b/tests/testsuite/mechanisms.rs
@@ -4,11 +4,11 @@
 use dragonflywall::core::mechanism::{Mechanism, Without};
 use dragonflywall::core::names::ServiceName;
 use dragonflywall::decide::admission::{Admission, Admitted, Ask, Limits, Urgency};
-use dragonflywall::decide::placement::Search;
+use dragonflywall::decide::load_balancing::Search;
 use dragonflywall::decide::retry::{Attempts, Failed, RetryPolicy, ServiceTokens};
 use dragonflywall::node;
 
-use crate::decide_placement::node;
+use crate::decide_load_balancing::node;
 use crate::decide_retry::treatment;
 use crate::documentation::page;
 
--- a/tests/testsuite/simulation.rs
+++ b/tests/testsuite/simulation.rs
@@ -9,14 +9,14 @@
 use dragonflywall::core::member::{Member, NodeId};
 use dragonflywall::core::names::{ResourceName, ServiceName};
 use dragonflywall::decide::admission::{self, Admission, Admitted, Ask, Released, Ticket, Turn};
-use dragonflywall::decide::placement::{
+use dragonflywall::decide::load_balancing::{
     Balancer, Endpoint, Limits, Need, Observed, Ranked, Search,
 };
 use dragonflywall::decide::retry::{Attempts, Failed, RETRIES_PER_TREE, ServiceTokens};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::decide_placement::{member, node, place};
+use crate::decide_load_balancing::{member, node, place};
 
 pub(crate) const MS: u64 = 1_000;
 pub(crate) const SECOND: u64 = 1_000 * MS;
