--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -4,14 +4,14 @@
 //! it to the backend server. Every leg is a connection that can be lost at any moment; any of the
 //! three processes can die; answers come late. An outcome carries a verdict, as in the product:
 //! "not run" is said only of what was refused before the backend server saw a byte. Whether to try
-//! again is asked of the product's own [`Attempts::again`].
+//! again is asked of the product's own [`Attempts::take_retry`].
 //!
 //! Abstracted: time (any timeout may strike at any moment at which one is running), load (the gate
 //! may refuse at any moment), bodies, and placement (the gates are tried in any order).
 
 use dragonflywall::core::configuration::{Class, PRIORITY_DEFAULT, Spill, Treatment};
 use dragonflywall::core::verdict::Verdict;
-use dragonflywall::decide::retry::{Attempts, Failed, RETRIES_PER_TREE, RetryTokens};
+use dragonflywall::decide::retry::{AttemptFailure, Attempts, RETRIES_PER_TREE, RetryTokens};
 
 use crate::checker::Specification;
 
@@ -165,10 +165,10 @@
         let mut attempts = Attempts::new(&treatment, RETRIES_PER_TREE);
         let mut tokens = RetryTokens::default();
         let failures = proved_not_run.iter().map(|proved| match proved {
-            true => Failed::NotRun,
-            false => Failed::MayHaveRun,
+            true => AttemptFailure::NotRun,
+            false => AttemptFailure::MayHaveRun,
         });
-        let again = failures.map(|failed| attempts.again(failed, &mut tokens));
+        let again = failures.map(|failed| attempts.take_retry(failed, &mut tokens));
         again.last().unwrap_or(true)
     }
 
--- a/src/decide/announcements.rs
+++ b/src/decide/announcements.rs
@@ -12,17 +12,17 @@
 
 /// Instances that have left and are remembered: a few that follow each other at one address, for as
 /// long as their late announcements may be under way.
-const LEFT_REMEMBERED: usize = 16;
+const DEPARTED_STARTS_MAX: usize = 16;
 
 /// What becomes of an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum AnnouncementOutcome {
     /// It holds from now on.
-    Taken,
+    Accepted,
     /// It may be from before this process: the backend server is to be asked before it holds.
     Unconfirmed,
     /// It says nothing new of the backend server that holds.
-    Repeated,
+    Duplicate,
     /// A later announcement, or a later start, is known.
     Outdated,
 }
@@ -30,18 +30,18 @@
 /// Announcements of one start, each later than the one before, after which it is believed that it takes
 /// work although it says otherwise when it is asked. One that leaves says so, or nothing any more, and of
 /// what was held up on its way hardly ever so many come.
-const LATER_ENOUGH: u32 = 3;
+const CONFIRMING_ANNOUNCEMENTS: u32 = 3;
 
 /// One start of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Start {
+struct BackendStart {
     instance: InstanceName,
     started_ms: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Current {
-    start: Start,
+    start: BackendStart,
     sequence: u64,
     announcement: Announcement,
 }
@@ -50,11 +50,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Announcements {
     current: Option<Current>,
-    left: VecDeque<Start>,
+    departed: VecDeque<BackendStart>,
     /// The first "ready" of this process needs an answer of the backend server itself.
-    doubtful: bool,
+    unconfirmed: bool,
     /// Announcements since, each later than the one before.
-    later: u32,
+    later_announcements: u32,
 }
 
 impl Announcements {
@@ -62,9 +62,9 @@
     ///
     /// A "ready" from before, held up on its way, may reach a process whose predecessor has acknowledged that the
     /// backend server left. So the first one is believed only once the backend server confirms it.
-    pub fn doubtful() -> Self {
+    pub fn requiring_confirmation() -> Self {
         Self {
-            doubtful: true,
+            unconfirmed: true,
             ..Self::default()
         }
     }
@@ -76,7 +76,7 @@
         if current.start.instance != *instance {
             return None;
         }
-        self.doubtful = false;
+        self.unconfirmed = false;
         self.serving()
     }
 
@@ -85,115 +85,126 @@
     /// One that is older than what is known is refused: it may be of a backend server that has left since, or of
     /// one that had the address before. Those that have left are remembered longer than an announcement is
     /// under way.
-    pub fn hear(&mut self, announcement: &Announcement) -> Heard {
+    pub fn apply(&mut self, announcement: &Announcement) -> AnnouncementOutcome {
         let Some(instance) = &announcement.instance else {
             // Without a name there is nothing to order by: the last word holds.
             self.current = None;
-            return Heard::Taken;
+            return AnnouncementOutcome::Accepted;
         };
-        let start = Start {
+        let start = BackendStart {
             instance: instance.clone(),
             started_ms: announcement.started_ms.unwrap_or(0),
         };
         let sequence = announcement.sequence.unwrap_or(0);
         if announcement.state == BackendState::Gone {
-            return self.leave(start);
+            return self.apply_departure(start);
         }
-        if self.left.contains(&start) {
-            return Heard::Outdated;
+        if self.departed.contains(&start) {
+            return AnnouncementOutcome::Outdated;
         }
-        let heard = match &self.current {
-            None => Heard::Taken,
-            Some(current) => current.compare(&start, sequence, announcement),
+        let outcome = match &self.current {
+            None => AnnouncementOutcome::Accepted,
+            Some(current) => current.classify(&start, sequence, announcement),
         };
-        if heard == Heard::Outdated {
-            return heard;
+        if outcome == AnnouncementOutcome::Outdated {
+            return outcome;
         }
-        let before = self.current.replace(Current {
+        let previous = self.current.replace(Current {
             start,
             sequence,
             announcement: announcement.clone(),
         });
-        match self.doubtful && announcement.state == BackendState::Serving {
-            true => self.doubt(before.as_ref(), sequence),
-            false => heard,
+        match self.unconfirmed && announcement.state == BackendState::Serving {
+            true => self.apply_unconfirmed(previous.as_ref(), sequence),
+            false => outcome,
         }
     }
 
-    /// What becomes of a "ready" that nobody has confirmed yet, and that came after `before`.
-    fn doubt(&mut self, before: Option<&Current>, sequence: u64) -> Heard {
+    /// What becomes of a "ready" that nobody has confirmed yet, and that came after `previous`.
+    fn apply_unconfirmed(
+        &mut self,
+        previous: Option<&Current>,
+        sequence: u64,
+    ) -> AnnouncementOutcome {
         let current = self.current.as_ref();
-        let same = before.filter(|before| current.is_some_and(|now| now.start == before.start));
-        self.later = match same {
-            Some(before) => self.later + u32::from(sequence > before.sequence),
+        let same_start =
+            previous.filter(|previous| current.is_some_and(|now| now.start == previous.start));
+        self.later_announcements = match same_start {
+            Some(previous) => self.later_announcements + u32::from(sequence > previous.sequence),
             None => 1,
         };
-        self.doubtful = self.later < LATER_ENOUGH;
-        match self.doubtful {
-            true => Heard::Unconfirmed,
-            false => Heard::Taken,
+        self.unconfirmed = self.later_announcements < CONFIRMING_ANNOUNCEMENTS;
+        match self.unconfirmed {
+            true => AnnouncementOutcome::Unconfirmed,
+            false => AnnouncementOutcome::Accepted,
         }
     }
 
     /// Whether nothing has been heard yet.
-    pub fn is_silent(&self) -> bool {
-        self.current.is_none() && self.left.is_empty()
+    pub fn is_empty(&self) -> bool {
+        self.current.is_none() && self.departed.is_empty()
     }
 
     /// What the backend server said last, if it takes work.
     pub fn serving(&self) -> Option<&Announcement> {
-        let current = self.current.as_ref().filter(|_| !self.doubtful);
+        let current = self.current.as_ref().filter(|_| !self.unconfirmed);
         let announcement = current.map(|current| &current.announcement);
         announcement.filter(|announcement| announcement.state == BackendState::Serving)
     }
 
-    fn leave(&mut self, start: Start) -> Heard {
+    fn apply_departure(&mut self, start: BackendStart) -> AnnouncementOutcome {
         let current = self.current.as_ref();
         // One that leaves need not say when it started.
-        let holds = current.filter(|current| current.start.instance == start.instance);
-        let left = holds.map_or(start, |current| current.start.clone());
-        let heard = match (holds, current) {
-            (Some(_), _) | (None, None) => Heard::Taken,
-            (None, Some(_)) => Heard::Outdated,
+        let matching = current.filter(|current| current.start.instance == start.instance);
+        let departed_start = matching.map_or(start, |current| current.start.clone());
+        let outcome = match (matching, current) {
+            (Some(_), _) | (None, None) => AnnouncementOutcome::Accepted,
+            (None, Some(_)) => AnnouncementOutcome::Outdated,
         };
-        let unknown = left.started_ms == 0;
-        let is_same = |known: &Start| {
-            known.instance == left.instance && (unknown || known.started_ms == left.started_ms)
+        let start_unknown = departed_start.started_ms == 0;
+        let is_same = |known: &BackendStart| {
+            known.instance == departed_start.instance
+                && (start_unknown || known.started_ms == departed_start.started_ms)
         };
-        if holds.is_none() && self.left.iter().any(is_same) {
-            return Heard::Repeated;
+        if matching.is_none() && self.departed.iter().any(is_same) {
+            return AnnouncementOutcome::Duplicate;
         }
-        if heard == Heard::Taken {
+        if outcome == AnnouncementOutcome::Accepted {
             self.current = None;
         }
-        self.left.push_back(left);
-        if self.left.len() > LEFT_REMEMBERED {
-            self.left.pop_front();
+        self.departed.push_back(departed_start);
+        if self.departed.len() > DEPARTED_STARTS_MAX {
+            self.departed.pop_front();
         }
-        heard
+        outcome
     }
 }
 
 impl Current {
-    fn compare(&self, start: &Start, sequence: u64, announcement: &Announcement) -> Heard {
+    fn classify(
+        &self,
+        start: &BackendStart,
+        sequence: u64,
+        announcement: &Announcement,
+    ) -> AnnouncementOutcome {
         if start.started_ms < self.start.started_ms {
-            return Heard::Outdated;
+            return AnnouncementOutcome::Outdated;
         }
         if *start != self.start {
-            return Heard::Taken;
+            return AnnouncementOutcome::Accepted;
         }
         if sequence < self.sequence {
-            return Heard::Outdated;
+            return AnnouncementOutcome::Outdated;
         }
-        let same = Announcement {
+        let without_sequence_change = Announcement {
             sequence: self.announcement.sequence,
             cold_ms: self.announcement.cold_ms,
             ..announcement.clone()
         };
-        if same == self.announcement {
-            Heard::Repeated
+        if without_sequence_change == self.announcement {
+            AnnouncementOutcome::Duplicate
         } else {
-            Heard::Taken
+            AnnouncementOutcome::Accepted
         }
     }
 }
--- a/src/decide/backoff.rs
+++ b/src/decide/backoff.rs
@@ -7,29 +7,26 @@
 /// come back to a storm of retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Backoff {
-    first_ms: u64,
-    longest_ms: u64,
+    initial_ms: u64,
+    max_ms: u64,
 }
 
 impl Backoff {
-    /// Pauses from `first_ms` up to `longest_ms`, in milliseconds.
-    pub const fn new(first_ms: u64, longest_ms: u64) -> Self {
-        Self {
-            first_ms,
-            longest_ms,
-        }
+    /// Pauses from `initial_ms` up to `max_ms`, in milliseconds.
+    pub const fn new(initial_ms: u64, max_ms: u64) -> Self {
+        Self { initial_ms, max_ms }
     }
 
     /// The pause after the failure that `failures` others in a row came before, in milliseconds.
-    pub fn pause_ms(self, failures: u32) -> u64 {
+    pub fn delay_ms(self, failures: u32) -> u64 {
         let factor = 1 << failures.min(DOUBLINGS_MAX);
-        self.first_ms.saturating_mul(factor).min(self.longest_ms)
+        self.initial_ms.saturating_mul(factor).min(self.max_ms)
     }
 }
 
 /// Half to whole of a pause, as `random` says, so that those who failed at one moment do not come back at one
 /// moment.
-pub fn jittered_ms(pause_ms: u64, random: u64) -> u64 {
-    let half_ms = pause_ms / 2;
-    half_ms + random % (pause_ms - half_ms + 1)
+pub fn jittered_ms(delay_ms: u64, random: u64) -> u64 {
+    let half_ms = delay_ms / 2;
+    half_ms + random % (delay_ms - half_ms + 1)
 }
--- a/src/decide/load_balancing/free_slot_search.rs
+++ b/src/decide/load_balancing/free_slot_search.rs
@@ -4,38 +4,38 @@
 use crate::core::member::NodeId;
 
 /// Endpoints that a request asks for a slot that is free at once, before it waits at one.
-const LOOKS_MAX: usize = 3;
+const FREE_SLOT_PROBES_MAX: usize = 3;
 
 /// The endpoints that one request has looked at.
 ///
 /// An entry hears of an endpoint's load only with answers, which may be seldom. A gate says at once whether it
 /// has a slot, so whoever has looked at some of them waits where the queue is known to be short.
 #[derive(Clone, Debug, Default)]
-pub struct Search {
+pub struct FreeSlotSearch {
     without: Without,
-    busy: Vec<NodeId>,
+    busy_endpoints: Vec<NodeId>,
 }
 
-impl Search {
+impl FreeSlotSearch {
     /// None looked at yet.
     pub fn new(without: Without) -> Self {
         Self {
             without,
-            busy: Vec::new(),
+            busy_endpoints: Vec::new(),
         }
     }
 
     /// Whether the request, which is placed at `node`, waits there if no slot is free.
-    pub fn waits_at(&self, node: NodeId) -> bool {
-        let most = match self.without.has(Mechanism::FreeSlotLooks) {
-            true => LOOKS_MAX,
+    pub fn queues_at(&self, node: NodeId) -> bool {
+        let probes_max = match self.without.has(Mechanism::FreeSlotLooks) {
+            true => FREE_SLOT_PROBES_MAX,
             false => 0,
         };
-        self.busy.len() >= most || self.busy.contains(&node)
+        self.busy_endpoints.len() >= probes_max || self.busy_endpoints.contains(&node)
     }
 
     /// `node` had no free slot.
-    pub fn busy(&mut self, node: NodeId) {
-        self.busy.push(node);
+    pub fn record_busy(&mut self, node: NodeId) {
+        self.busy_endpoints.push(node);
     }
 }
--- a/src/decide/max_wait.rs
+++ b/src/decide/max_wait.rs
@@ -7,24 +7,24 @@
 
 /// Part of its target latency that a request waits for a slot at most. With a longer queue every answer would be
 /// late and no more would be given.
-const PATIENCE_DIVISOR: u32 = 3;
+const MAX_WAIT_DIVISOR: u32 = 3;
 
 /// How long a caller's request of this treatment waits for a slot, where the team has said how soon it
 /// wants the answer; without that, as long as the deadline allows.
-pub fn of_caller(treatment: &Treatment, without: Without) -> Duration {
+pub fn for_caller_request(treatment: &Treatment, without: Without) -> Duration {
     let target_ms = treatment.target_latency_ms;
     match target_ms.filter(|_| without.has(Mechanism::PatienceCut)) {
-        None => whole(treatment),
-        Some(target_ms) => Duration::from_millis(u64::from(target_ms)) / PATIENCE_DIVISOR,
+        None => timeout(treatment),
+        Some(target_ms) => Duration::from_millis(u64::from(target_ms)) / MAX_WAIT_DIVISOR,
     }
 }
 
 /// How long a call of a running request waits: up to its deadline, as a refusal would waste what the request
 /// behind it has done so far.
-pub fn of_call(treatment: &Treatment) -> Duration {
-    whole(treatment)
+pub fn for_nested_call(treatment: &Treatment) -> Duration {
+    timeout(treatment)
 }
 
-fn whole(treatment: &Treatment) -> Duration {
+fn timeout(treatment: &Treatment) -> Duration {
     Duration::from_millis(u64::from(treatment.timeout_ms))
 }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -20,11 +20,11 @@
 
 /// Endpoints that a request may find draining without using up an attempt. A planned stop is not
 /// a failure, and no more than a few endpoints of a subset stop at one time.
-const DRAINING_MAX: u32 = 4;
+const DRAINING_ENDPOINTS_MAX: u32 = 4;
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failed {
+pub enum AttemptFailure {
     /// The endpoint no longer takes work; proved not run.
     Draining,
     /// Proved not run.
@@ -33,7 +33,7 @@
     MayHaveRun,
 }
 
-impl Failed {
+impl AttemptFailure {
     /// What it says of the request.
     pub fn verdict(self) -> Verdict {
         match self {
@@ -46,10 +46,10 @@
 /// The attempts of one request at its entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
-    most: u32,
+    max_attempts: u32,
     idempotent: bool,
-    made: u32,
-    draining: u32,
+    attempts_made: u32,
+    draining_endpoints: u32,
     budget: u32,
 }
 
@@ -57,43 +57,44 @@
     /// For a request of `treatment` with `budget` retries of its tree left.
     pub fn new(treatment: &Treatment, budget: u32) -> Self {
         Self {
-            most: treatment.attempts,
+            max_attempts: treatment.attempts,
             idempotent: treatment.idempotent,
-            made: 0,
-            draining: 0,
+            attempts_made: 0,
+            draining_endpoints: 0,
             budget,
         }
     }
 
     /// Retries that the attempt about to be made may spend further down.
-    pub fn passed_down(&self) -> u32 {
+    pub fn downstream_budget(&self) -> u32 {
         self.budget.saturating_sub(1)
     }
 
     /// Retries left, when an answer came that reports `unspent` of those passed down.
-    pub fn after_answer(&self, unspent: u32) -> u32 {
-        self.budget.min(1) + unspent.min(self.passed_down())
+    pub fn budget_after_response(&self, unspent: u32) -> u32 {
+        self.budget.min(1) + unspent.min(self.downstream_budget())
     }
 
     /// Retries left after a failure.
-    pub fn after_failure(&self) -> u32 {
+    pub fn budget_after_failure(&self) -> u32 {
         self.budget
     }
 
     /// Whether an attempt that failed is to be made again: within the team's `attempts`, the budget of the tree and
     /// the tokens of the service, and for a non-idempotent request only with proof that it did not run.
-    pub fn again(&mut self, failed: Failed, tokens: &mut RetryTokens) -> bool {
-        if failed == Failed::Draining {
-            self.draining += 1;
-            return self.draining <= DRAINING_MAX;
+    pub fn take_retry(&mut self, failure: AttemptFailure, tokens: &mut RetryTokens) -> bool {
+        if failure == AttemptFailure::Draining {
+            self.draining_endpoints += 1;
+            return self.draining_endpoints <= DRAINING_ENDPOINTS_MAX;
         }
-        self.made += 1;
-        if failed == Failed::MayHaveRun {
+        self.attempts_made += 1;
+        if failure == AttemptFailure::MayHaveRun {
             // What was passed down may have been spent there.
             self.budget = self.budget.min(1);
         }
-        let allowed = failed.verdict() == Verdict::NotRun || self.idempotent;
-        if !allowed || self.made >= self.most || self.budget == 0 || !tokens.take() {
+        let allowed = failure.verdict() == Verdict::NotRun || self.idempotent;
+        if !allowed || self.attempts_made >= self.max_attempts || self.budget == 0 || !tokens.take()
+        {
             return false;
         }
         self.budget -= 1;
@@ -124,40 +125,40 @@
     fn default() -> Self {
         Self {
             percent: 10,
-            reserve: RESERVE,
+            reserve: RESERVE_DEFAULT,
             unlimited: false,
         }
     }
 }
 
 /// Retries that an entry may save up where its settings do not say it.
-const RESERVE: u32 = 10;
+const RESERVE_DEFAULT: u32 = 10;
 /// An entry that could not save up a whole retry would never make one.
-const RESERVE_LEAST: u32 = 1;
+const RESERVE_MIN: u32 = 1;
 
 /// Part of a bound on all retries of the mesh that its entries use together. The rest is for what no
 /// entry counts: calls that a repeated request makes again, and entries that have restarted with a
 /// full reserve.
-const USED_NUMERATOR: u32 = 3;
-const USED_DENOMINATOR: u32 = 4;
+const ENTRIES_SHARE_NUMERATOR: u32 = 3;
+const ENTRIES_SHARE_DENOMINATOR: u32 = 4;
 
 impl RetryPolicy {
     /// The share of one entry in what the settings allow: `percent` of first attempts, and a reserve that all
     /// `entries` of the mesh have together, if one is set. Entries do not talk before a retry, so each takes only its
     /// part.
-    pub fn of_entry(percent: u32, reserve: Option<u32>, entries: usize) -> Self {
+    pub fn for_entry(percent: u32, reserve: Option<u32>, entries: usize) -> Self {
         let Some(reserve) = reserve else {
             return Self {
                 percent,
-                reserve: RESERVE,
+                reserve: RESERVE_DEFAULT,
                 unlimited: false,
             };
         };
         let entries = u32::try_from(entries).unwrap_or(u32::MAX).max(1);
-        let used = |all: u32| all * USED_NUMERATOR / USED_DENOMINATOR;
+        let entries_share = |all: u32| all * ENTRIES_SHARE_NUMERATOR / ENTRIES_SHARE_DENOMINATOR;
         Self {
-            percent: used(percent),
-            reserve: (used(reserve) / entries).max(RESERVE_LEAST),
+            percent: entries_share(percent),
+            reserve: (entries_share(reserve) / entries).max(RESERVE_MIN),
             unlimited: false,
         }
     }
@@ -167,7 +168,7 @@
         Self {
             reserve: match without.has(Mechanism::RetryReserve) {
                 true => self.reserve,
-                false => RESERVE_LEAST,
+                false => RESERVE_MIN,
             },
             unlimited: !without.has(Mechanism::RetryTokens),
             ..self
@@ -181,26 +182,26 @@
 #[derive(Clone, Debug, Default)]
 pub struct ServiceTokens {
     policy: RetryPolicy,
-    of: HashMap<ServiceName, RetryTokens>,
+    by_service: HashMap<ServiceName, RetryTokens>,
 }
 
 impl ServiceTokens {
     /// Changes how many retries there are.
     pub fn set_policy(&mut self, policy: RetryPolicy) {
         self.policy = policy;
-        for tokens in self.of.values_mut() {
+        for tokens in self.by_service.values_mut() {
             tokens.policy = policy;
         }
     }
 
     /// Tokens of one service.
-    pub fn entry_for(&mut self, service: &ServiceName) -> &mut RetryTokens {
+    pub fn for_service(&mut self, service: &ServiceName) -> &mut RetryTokens {
         // The name is cloned for a service's first request only.
-        if !self.of.contains_key(service) {
+        if !self.by_service.contains_key(service) {
             let tokens = RetryTokens::new(self.policy);
-            self.of.insert(service.clone(), tokens);
+            self.by_service.insert(service.clone(), tokens);
         }
-        self.of.get_mut(service).expect("inserted above")
+        self.by_service.get_mut(service).expect("inserted above")
     }
 }
 
--- a/src/decide/service_times.rs
+++ b/src/decide/service_times.rs
@@ -18,88 +18,93 @@
 
 /// A running mean that starts as the plain mean of the first values.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Mean {
+pub(crate) struct RunningMean {
     value_us: u64,
     samples: u64,
 }
 
-impl Mean {
+impl RunningMean {
     /// The mean in microseconds; 0 before the first value.
-    pub(crate) fn us(self) -> u64 {
+    pub(crate) fn mean_us(self) -> u64 {
         self.value_us
     }
 
     /// Takes in a value.
-    pub(crate) fn learn(&mut self, us: u64) {
+    pub(crate) fn add(&mut self, sample_us: u64) {
         self.samples = (self.samples + 1).min(MEAN_DIVISOR);
-        let known = self.value_us.cast_signed();
-        let step = (us.cast_signed() - known) / self.samples.cast_signed();
+        let mean = self.value_us.cast_signed();
+        let step = (sample_us.cast_signed() - mean) / self.samples.cast_signed();
         self.value_us = self.value_us.saturating_add_signed(step);
     }
 }
 
 /// Mean times in microseconds, 0 before the first.
 #[derive(Clone, Debug, Default)]
-pub struct HeldTimes {
-    any: Mean,
-    of: HashMap<ResourceName, Timed>,
+pub struct ServiceTimes {
+    overall: RunningMean,
+    by_resource: HashMap<ResourceName, ResourceMean>,
 }
 
 /// The mean of one resource, and when it last learnt a value.
 #[derive(Clone, Copy, Debug, Default)]
-struct Timed {
-    mean: Mean,
-    at_us: u64,
+struct ResourceMean {
+    mean: RunningMean,
+    updated_us: u64,
 }
 
-impl HeldTimes {
-    /// A request for `resource` was answered after it had held its slot for `held_us`.
-    pub fn answered(&mut self, now_us: u64, resource: &ResourceName, held_us: u64) {
-        self.any.learn(held_us);
-        if !self.of.contains_key(resource) && self.of.len() < RESOURCES_MAX {
-            self.of.insert(resource.clone(), Timed::default());
+impl ServiceTimes {
+    /// A request for `resource` was answered after it had held its slot for `service_time_us`.
+    pub fn record(&mut self, now_us: u64, resource: &ResourceName, service_time_us: u64) {
+        self.overall.add(service_time_us);
+        if !self.by_resource.contains_key(resource) && self.by_resource.len() < RESOURCES_MAX {
+            self.by_resource
+                .insert(resource.clone(), ResourceMean::default());
         }
-        if let Some(timed) = self.of.get_mut(resource) {
-            timed.mean.learn(held_us);
-            timed.at_us = now_us;
+        if let Some(resource_mean) = self.by_resource.get_mut(resource) {
+            resource_mean.mean.add(service_time_us);
+            resource_mean.updated_us = now_us;
         }
     }
 
     /// A request was given up before its answer: it would have held its slot for longer, which
     /// tells something only if it was long already.
-    pub fn given_up(&mut self, now_us: u64, resource: &ResourceName, held_us: u64) {
-        if held_us > self.of_resource(resource).max(1) {
-            self.answered(now_us, resource, held_us);
+    pub fn record_abandoned(&mut self, now_us: u64, resource: &ResourceName, service_time_us: u64) {
+        if service_time_us > self.resource_us(resource).max(1) {
+            self.record(now_us, resource, service_time_us);
         }
     }
 
-    /// The longest times of up to `most` resources other than `besides` that were learnt since `since_us`, the
+    /// The longest times of up to `max_count` resources other than `excluded` that were learnt since `since_us`, the
     /// longest first.
     pub fn longest(
         &self,
-        most: usize,
-        besides: &ResourceName,
+        max_count: usize,
+        excluded: &ResourceName,
         since_us: u64,
     ) -> Vec<(&ResourceName, u64)> {
-        let others = self.of.iter();
-        let others = others.filter(|(name, timed)| *name != besides && timed.at_us >= since_us);
+        let others = self.by_resource.iter();
+        let others = others.filter(|(name, resource_mean)| {
+            *name != excluded && resource_mean.updated_us >= since_us
+        });
         let mut times: Vec<_> = others
-            .map(|(name, timed)| (name, timed.mean.value_us))
+            .map(|(name, resource_mean)| (name, resource_mean.mean.value_us))
             .collect();
-        times.sort_by_key(|(resource, held_us)| (Reverse(*held_us), *resource));
-        times.truncate(most);
+        times.sort_by_key(|(resource, service_time_us)| (Reverse(*service_time_us), *resource));
+        times.truncate(max_count);
         times
     }
 
     /// Of any request.
-    pub fn of_any(&self) -> u64 {
-        self.any.value_us
+    pub fn overall_us(&self) -> u64 {
+        self.overall.value_us
     }
 
     /// Of requests for `resource`; of any request if none for it was answered yet.
-    pub fn of_resource(&self, resource: &ResourceName) -> u64 {
-        self.of
+    pub fn resource_us(&self, resource: &ResourceName) -> u64 {
+        self.by_resource
             .get(resource)
-            .map_or(self.any.value_us, |timed| timed.mean.value_us)
+            .map_or(self.overall.value_us, |resource_mean| {
+                resource_mean.mean.value_us
+            })
     }
 }
--- a/src/distribution/fetch.rs
+++ b/src/distribution/fetch.rs
@@ -264,7 +264,7 @@
             }
         };
         let random = weight(self.me, &now_ms.to_string());
-        self.not_before_ms = now_ms + jittered_ms(RETRY.pause_ms(self.failures), random);
+        self.not_before_ms = now_ms + jittered_ms(RETRY.delay_ms(self.failures), random);
         self.failures += 1;
     }
 
--- a/src/distribution/lead_choice.rs
+++ b/src/distribution/lead_choice.rs
@@ -183,7 +183,7 @@
     pub fn store_failed(&mut self, failure: StoreFailure, budget: Budget) -> u64 {
         self.asked_store = true;
         let pause_ms = match self.leads.own {
-            true => RETRY.pause_ms(self.failures),
+            true => RETRY.delay_ms(self.failures),
             false => budget.solo_pause_ms(),
         };
         self.failures += 1;
--- a/src/membership/discovery.rs
+++ b/src/membership/discovery.rs
@@ -69,7 +69,7 @@
         if now_ms < self.next_greeting_ms || self.seeds.is_empty() || !self.is_alone() {
             return Vec::new();
         }
-        let pause_ms = GREETING.pause_ms(self.greetings);
+        let pause_ms = GREETING.delay_ms(self.greetings);
         self.next_greeting_ms = now_ms + self.jittered(pause_ms, now_ms);
         let nearest = self.greetings as usize % self.seeds.len();
         self.greetings += 1;
--- a/src/membership/link.rs
+++ b/src/membership/link.rs
@@ -180,7 +180,7 @@
     /// Notes that the exchange was not answered.
     pub fn failed(&mut self, now_ms: u64) {
         self.in_flight = false;
-        self.not_before_ms = now_ms + RETRY.pause_ms(self.failures);
+        self.not_before_ms = now_ms + RETRY.delay_ms(self.failures);
         self.failures += 1;
     }
 
--- a/src/node/local.rs
+++ b/src/node/local.rs
@@ -6,7 +6,7 @@
 use crate::core::member::BackendState;
 use crate::core::names::InstanceName;
 use crate::core::status::Announcement;
-use crate::decide::announcements::Heard;
+use crate::decide::announcements::AnnouncementOutcome;
 use crate::node::membership::MembershipMsg;
 use crate::node::state::NodeState;
 use crate::proxy::health::{self, Health};
@@ -33,25 +33,25 @@
         if serving && self.is_stopping() {
             return Noted::Draining;
         }
-        let heard = self.announcements().hear(announcement);
+        let heard = self.announcements().apply(announcement);
         match heard {
-            Heard::Outdated => {
+            AnnouncementOutcome::Outdated => {
                 log::info!(
                     instance:? = announcement.instance, state:? = announcement.state;
                     "an announcement came too late"
                 );
                 return Noted::Yes;
             }
-            Heard::Unconfirmed => {
+            AnnouncementOutcome::Unconfirmed => {
                 let node = Arc::clone(self);
                 let announcement = announcement.clone();
                 tokio::spawn(async move { node.confirm(&announcement).await });
                 return Noted::Yes;
             }
-            Heard::Repeated if !serving || self.proxy.backend.load().is_some() => {
+            AnnouncementOutcome::Duplicate if !serving || self.proxy.backend.load().is_some() => {
                 return Noted::Yes;
             }
-            Heard::Repeated | Heard::Taken => (),
+            AnnouncementOutcome::Duplicate | AnnouncementOutcome::Accepted => (),
         }
         self.take_backend(announcement);
         Noted::Yes
@@ -90,7 +90,7 @@
         let same = own.is_some_and(|own| {
             own.service == announcement.service && own.address == announcement.address
         });
-        if same && self.announcements().is_silent() {
+        if same && self.announcements().is_empty() {
             log::info!(instance:? = announcement.instance; "took up the backend server known before");
             self.hear(announcement);
         }
--- a/src/node/registration.rs
+++ b/src/node/registration.rs
@@ -123,7 +123,7 @@
                 return;
             }
             page_rows = if alone { LONG_PAGE_ROWS } else { PAGE_ROWS };
-            sleep_about(Duration::from_millis(RETRY.pause_ms(failures))).await;
+            sleep_about(Duration::from_millis(RETRY.delay_ms(failures))).await;
             failures += 1;
         }
     }
@@ -149,7 +149,7 @@
             let mut failures = 0;
             while let Err(error) = self.register().await {
                 log::debug!(error:%; "the own row was not written");
-                sleep_about(Duration::from_millis(RETRY.pause_ms(failures))).await;
+                sleep_about(Duration::from_millis(RETRY.delay_ms(failures))).await;
                 failures += 1;
             }
         }
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -197,7 +197,7 @@
     /// How many connections callers may have.
     pub(crate) fn connection_limits(&self) -> ConnectionLimits {
         let descriptors = self.descriptors_max.unwrap_or_else(descriptors::allowed);
-        ConnectionLimits::of_process(descriptors, self.memory_mb, self.caller_connections_max)
+        ConnectionLimits::for_process(descriptors, self.memory_mb, self.caller_connections_max)
     }
 
     /// How this node dials others.
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -51,7 +51,7 @@
         let vocabulary = vocabulary_of(settings.dialect);
         let proxy = Arc::new(ProxyState::new(settings, vocabulary, me));
         let announcements = match proxy.vocabulary.instance {
-            Some(_) => Announcements::doubtful(),
+            Some(_) => Announcements::requiring_confirmation(),
             None => Announcements::default(),
         };
         Arc::new(Self {
--- a/src/proxy/answer.rs
+++ b/src/proxy/answer.rs
@@ -7,7 +7,7 @@
 use super::headers;
 use super::vocabulary::{self, Vocabulary};
 use crate::core::verdict::Verdict;
-use crate::decide::retry::Failed;
+use crate::decide::retry::AttemptFailure;
 
 /// Wait before asking again where nothing estimates it: several times what an endpoint's gate takes
 /// to learn of a change.
@@ -211,11 +211,11 @@
     }
 
     /// How it counts for a retry.
-    pub(crate) fn failed(&self) -> Failed {
+    pub(crate) fn failed(&self) -> AttemptFailure {
         match (self.verdict, self.reason) {
-            (Verdict::NotRun, Reason::Draining | Reason::NoEndpoint) => Failed::Draining,
-            (Verdict::NotRun, _) => Failed::NotRun,
-            (Verdict::MayHaveRun | Verdict::Answered, _) => Failed::MayHaveRun,
+            (Verdict::NotRun, Reason::Draining | Reason::NoEndpoint) => AttemptFailure::Draining,
+            (Verdict::NotRun, _) => AttemptFailure::NotRun,
+            (Verdict::MayHaveRun | Verdict::Answered, _) => AttemptFailure::MayHaveRun,
         }
     }
 
--- a/src/proxy/callers.rs
+++ b/src/proxy/callers.rs
@@ -6,9 +6,9 @@
 use slotmap::SecondaryMap;
 use tokio::sync::oneshot;
 
-use crate::decide::connections::{ConnectionKey, ConnectionLimits, Connections};
+use crate::decide::connections::{CallerConnections, ConnectionKey, ConnectionLimits};
 
-/// Connections by caller; see [`Connections`].
+/// Connections by caller; see [`CallerConnections`].
 #[derive(Clone, Debug)]
 pub(crate) struct Callers {
     state: Arc<Mutex<State>>,
@@ -16,7 +16,7 @@
 
 #[derive(Debug)]
 struct State {
-    connections: Connections,
+    connections: CallerConnections,
     /// Wakes the idle ones.
     wakes: SecondaryMap<ConnectionKey, oneshot::Sender<()>>,
 }
@@ -24,7 +24,7 @@
 impl Callers {
     pub(crate) fn new(limits: ConnectionLimits) -> Self {
         let state = State {
-            connections: Connections::new(limits),
+            connections: CallerConnections::new(limits),
             wakes: SecondaryMap::new(),
         };
         Self {
@@ -35,7 +35,7 @@
     /// Counts one more connection and closes an idle one for it if need be; none if there is no room.
     pub(crate) fn enter(&self, caller: IpAddr) -> Option<Counted> {
         let mut state = self.lock();
-        let Some(entered) = state.connections.enter(caller) else {
+        let Some(entered) = state.connections.accept(caller) else {
             metrics::counter!("dragonflywall_caller_connections_refused_total").increment(1);
             return None;
         };
@@ -75,7 +75,7 @@
     pub(crate) fn idle(&self) -> Idle<'_> {
         let (wake, needed) = oneshot::channel();
         let mut state = self.callers.lock();
-        state.connections.idle(self.connection);
+        state.connections.mark_idle(self.connection);
         state.wakes.insert(self.connection, wake);
         Idle {
             counted: self,
@@ -87,7 +87,7 @@
 impl Drop for Counted {
     fn drop(&mut self) {
         let mut state = self.callers.lock();
-        state.connections.leave(self.connection);
+        state.connections.remove(self.connection);
         state.wakes.remove(self.connection);
         state.record();
     }
@@ -111,7 +111,7 @@
 impl Drop for Idle<'_> {
     fn drop(&mut self) {
         let mut state = self.counted.callers.lock();
-        state.connections.used(self.counted.connection);
+        state.connections.mark_active(self.counted.connection);
         state.wakes.remove(self.counted.connection);
     }
 }
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -176,12 +176,13 @@
     match ended.await {
         None => Err(Failure::may_have_run(Reason::GivenUp)),
         Some(Err(failure)) => {
-            origin.budget.retries = attempts.after_failure();
+            origin.budget.retries = attempts.budget_after_failure();
             Err(failure)
         }
         Some(Ok(response)) => {
             let unspent = headers::number(response.headers(), &headers::RETRIES).unwrap_or(0);
-            origin.budget.retries = attempts.after_answer(u32::try_from(unspent).unwrap_or(0));
+            origin.budget.retries =
+                attempts.budget_after_response(u32::try_from(unspent).unwrap_or(0));
             Ok(response)
         }
     }
@@ -201,7 +202,7 @@
 
 fn branch_of(route: &Route) -> &Branch {
     let weights = route.branches.iter().map(|branch| branch.weight);
-    &route.branches[split::branch(weights, route.next_turn())]
+    &route.branches[split::choose_branch(weights, route.next_turn())]
 }
 
 /// Refuses a body that says from the start that it is too long; see [`Replay`] for the others.
--- a/src/proxy/entry/call.rs
+++ b/src/proxy/entry/call.rs
@@ -15,11 +15,12 @@
 use crate::core::routing::Branch;
 use crate::core::verdict::Verdict;
 use crate::decide::load_balancing::{
-    Believed, Endpoint, Limits, LoadReport, Need, Observed, Search,
+    AttemptOutcome, Endpoint, EndpointEstimate, FreeSlotSearch, LoadReport, Requirements,
+    TimeLimits,
 };
 use crate::decide::max_wait;
 use crate::decide::retry::Attempts;
-use crate::decide::uploads::SMALL_BYTES;
+use crate::decide::uploads::SMALL_BODY_MAX_BYTES;
 use crate::proxy::answer::{Failure, Reason};
 use crate::proxy::body::{self, Body, Guarded};
 use crate::proxy::decisions::{self, Weight};
@@ -53,9 +54,9 @@
         replay: &Replay,
         attempts: &mut Attempts,
     ) -> Result<Response<Body>, Failure> {
-        self.node.retry_tokens().entry_for(self.service()).earn();
+        self.node.retry_tokens().for_service(self.service()).earn();
         let mut tried: Vec<NodeId> = Vec::new();
-        let mut search = Search::new(self.node.without());
+        let mut search = FreeSlotSearch::new(self.node.without());
         let mut verdict = Verdict::NotRun;
         let mut last = None;
         loop {
@@ -63,14 +64,14 @@
                 let none = Failure::not_run(Reason::NoEndpoint);
                 return Err(last.unwrap_or(none).after(verdict));
             };
-            let waits = self.is_call() || search.waits_at(endpoint.node);
-            let hop = self.hop(attempts.passed_down(), waits);
+            let waits = self.is_call() || search.queues_at(endpoint.node);
+            let hop = self.hop(attempts.downstream_budget(), waits);
             let failure = match self.attempt(endpoint, replay, hop).await {
                 Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
             if !waits && failure.is_for_load() {
-                search.busy(endpoint.node);
+                search.record_busy(endpoint.node);
                 continue;
             }
             // One attempt that may have run taints all that follow: a later refusal proves
@@ -81,7 +82,7 @@
             let failed = failure.failed();
             let again = {
                 let mut tokens = self.node.retry_tokens();
-                attempts.again(failed, tokens.entry_for(self.service()))
+                attempts.take_retry(failed, tokens.for_service(self.service()))
             };
             let again = again && replay.has_next() && Instant::now() < self.deadline;
             self.log_attempt_failed(&endpoint, &failure, again);
@@ -107,13 +108,13 @@
     }
 
     /// Until when an answer is of use, from now.
-    fn limits(&self) -> Limits {
+    fn limits(&self) -> TimeLimits {
         let left_us = |until: Instant| {
             let left = until.saturating_duration_since(Instant::now());
             u64::try_from(left.as_micros()).unwrap_or(u64::MAX)
         };
         let deadline_us = left_us(self.deadline);
-        Limits {
+        TimeLimits {
             target_us: left_us(self.due()).min(deadline_us),
             deadline_us,
         }
@@ -125,9 +126,9 @@
             self.log_not_placed(0, tried.len());
             return None;
         };
-        let need = Need {
+        let need = Requirements {
             spill: self.branch.treatment.spill,
-            slots: self.slots,
+            default_slots: self.slots,
             resource: &self.branch.resource,
             limits: self.limits(),
             body_bytes: self.body_bytes,
@@ -141,10 +142,10 @@
         };
         self.log_placed(
             &endpoint,
-            &balancer.believed(now_us, &endpoint, &need),
+            &balancer.estimate(now_us, &endpoint, &need),
             tried.len(),
         );
-        balancer.begun(now_us, &endpoint);
+        balancer.record_start(now_us, &endpoint);
         Some(endpoint)
     }
 
@@ -158,7 +159,7 @@
         u64::try_from(left.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn log_placed(&self, endpoint: &Endpoint, believed: &Believed, tried: usize) {
+    fn log_placed(&self, endpoint: &Endpoint, believed: &EndpointEstimate, tried: usize) {
         if !self.node.decisions.may_log(Weight::Routine) {
             return;
         }
@@ -168,10 +169,10 @@
             resource:% = self.branch.resource,
             node:% = endpoint.node,
             tried,
-            in_hand = believed.in_hand,
+            in_hand = believed.in_flight,
             slots = believed.slots,
-            held_us:? = believed.held_us,
-            failing = believed.failing,
+            held_us:? = believed.service_time_us,
+            failing = believed.failure_rate,
             report_age_us:? = believed.report_age_us,
             left_ms = self.left_ms();
             "placed the request"
@@ -214,8 +215,8 @@
     fn hop(&self, retries: u32, waits: bool) -> Hop {
         let treatment = &self.branch.treatment;
         let patience = match waits {
-            true if self.is_call() => max_wait::of_call(treatment),
-            true => max_wait::of_caller(treatment, self.node.without()),
+            true if self.is_call() => max_wait::for_nested_call(treatment),
+            true => max_wait::for_caller_request(treatment, self.node.without()),
             false => Duration::ZERO,
         };
         let now = Instant::now();
@@ -258,13 +259,15 @@
         self.observe(&endpoint, &result);
         if let Ok(response) = &result {
             let bytes = response.body().size_hint().lower();
-            self.node.balancer().answered(&self.branch.resource, bytes);
+            self.node
+                .balancer()
+                .record_response_size(&self.branch.resource, bytes);
         }
         result.map(|response| response.map(|inner| body::boxed(Guarded::new(inner, outstanding))))
     }
 
     fn is_large(&self) -> bool {
-        self.body_bytes > SMALL_BYTES && self.node.without().has(Mechanism::UploadTurns)
+        self.body_bytes > SMALL_BODY_MAX_BYTES && self.node.without().has(Mechanism::UploadTurns)
     }
 
     /// Asks for a turn, and sends the request once it has been given.
@@ -321,35 +324,35 @@
         let now_us = clock::since_us(self.node.started);
         let resource = &self.branch.resource;
         let mut balancer = self.node.balancer();
-        balancer.reported(now_us, endpoint.node, resource, load);
+        balancer.record_load(now_us, endpoint.node, resource, load);
     }
 
     fn learn_held(&self, endpoint: &Endpoint, headers: &HeaderMap) {
         let now_us = clock::since_us(self.node.started);
         let mut balancer = self.node.balancer();
         for (resource, held_us) in headers::held(headers) {
-            balancer.learnt_held(now_us, endpoint.node, &resource, held_us);
+            balancer.record_service_time(now_us, endpoint.node, &resource, held_us);
         }
     }
 
     /// Tells the balancer what this attempt has shown of its endpoint.
     fn observe(&self, endpoint: &Endpoint, result: &Result<Response<Body>, Failure>) {
         let observed = match result {
-            Ok(response) => Observed::Answered {
+            Ok(response) => AttemptOutcome::Answered {
                 server_error: response.status().is_server_error(),
             },
             Err(failure) => match failure.reason {
-                Reason::Draining | Reason::NoEndpoint => Observed::Draining,
-                Reason::Unreachable => Observed::Unreachable,
-                Reason::Rejected => Observed::Rejected,
-                Reason::Lost | Reason::Deadline => Observed::Lost,
-                _ => Observed::Refused,
+                Reason::Draining | Reason::NoEndpoint => AttemptOutcome::Draining,
+                Reason::Unreachable => AttemptOutcome::Unreachable,
+                Reason::Rejected => AttemptOutcome::Rejected,
+                Reason::Lost | Reason::Deadline => AttemptOutcome::Lost,
+                _ => AttemptOutcome::Refused,
             },
         };
         let now_us = clock::since_us(self.node.started);
         self.node
             .balancer()
-            .observed(now_us, endpoint.node, observed);
+            .record_outcome(now_us, endpoint.node, observed);
     }
 
     fn request(&self, body: Body) -> Request<Body> {
@@ -394,6 +397,6 @@
 
 impl Drop for Outstanding {
     fn drop(&mut self) {
-        self.node.balancer().ended(self.endpoint);
+        self.node.balancer().record_end(self.endpoint);
     }
 }
--- a/src/proxy/gate.rs
+++ b/src/proxy/gate.rs
@@ -189,8 +189,8 @@
         in_use = load.in_use,
         ahead = load.ahead,
         slots = load.slots,
-        mean_held_us = load.mean_held_us,
-        resource_held_us = load.resource_held_us,
+        mean_held_us = load.mean_service_time_us,
+        resource_held_us = load.resource_service_time_us,
         retry_after_ms = failure.wait_ms();
         "the gate has no answer: {}", failure.reason.as_str()
     );
--- a/src/proxy/headers.rs
+++ b/src/proxy/headers.rs
@@ -102,9 +102,9 @@
         in_use,
         ahead,
         slots,
-        mean_held_us,
-        resource_held_us,
-        intake_us,
+        mean_service_time_us: mean_held_us,
+        resource_service_time_us: resource_held_us,
+        upload_time_us: intake_us,
     } = load;
     value(&format!(
         "{in_use} {ahead} {slots} {mean_held_us} {resource_held_us} {intake_us}"
@@ -119,10 +119,10 @@
         in_use: u32::try_from(next()?).ok()?,
         ahead: u32::try_from(next()?).ok()?,
         slots: u32::try_from(next()?).ok()?,
-        mean_held_us: next()?,
-        resource_held_us: next()?,
+        mean_service_time_us: next()?,
+        resource_service_time_us: next()?,
         // A node of the release before says no sixth.
-        intake_us: next().unwrap_or(0),
+        upload_time_us: next().unwrap_or(0),
     })
 }
 
--- a/src/proxy/hop.rs
+++ b/src/proxy/hop.rs
@@ -7,7 +7,7 @@
 use super::headers;
 use crate::core::configuration::{Class, PRIORITY_DEFAULT};
 use crate::core::names::{ResourceName, ServiceName, is_name};
-use crate::decide::admission::{Ask, Urgency};
+use crate::decide::admission::{Priority, SlotRequest};
 use crate::util::clock;
 
 /// Part of the remaining time, at most [`MARGIN_MAX`], that a request does not spend in the queue:
@@ -98,7 +98,7 @@
     }
 
     /// What another request like it would ask of the gate if it came now.
-    pub(crate) fn ask_anew(&self, started: Instant) -> Ask {
+    pub(crate) fn ask_anew(&self, started: Instant) -> SlotRequest {
         let now = Instant::now();
         Self {
             came: now,
@@ -109,18 +109,18 @@
     }
 
     /// What it asks of the gate, by the microseconds since `started`.
-    pub(crate) fn ask(&self, started: Instant) -> Ask {
+    pub(crate) fn ask(&self, started: Instant) -> SlotRequest {
         let us = |duration: Duration| u64::try_from(duration.as_micros()).unwrap_or(u64::MAX / 2);
-        Ask {
+        SlotRequest {
             class: self.class,
-            urgency: match self.depth {
-                0 => Urgency::Caller { rank: self.rank },
-                _ => Urgency::Call,
+            priority: match self.depth {
+                0 => Priority::CallerRequest { rank: self.rank },
+                _ => Priority::NestedCall,
             },
             due_us: us(self.due().saturating_duration_since(started)),
-            held_us: None,
+            service_time_us: None,
             deadline_us: us(self.queue_deadline().saturating_duration_since(started)),
-            patience_us: us(self.patience),
+            max_wait_us: us(self.patience),
         }
     }
 
--- a/src/proxy/intake.rs
+++ b/src/proxy/intake.rs
@@ -21,7 +21,7 @@
 use super::hop::Hop;
 use super::replay;
 use crate::core::mechanism::Mechanism;
-use crate::decide::uploads::SMALL_BYTES;
+use crate::decide::uploads::SMALL_BODY_MAX_BYTES;
 use crate::proxy::state::ProxyState;
 
 use self::turns::Turn;
@@ -62,7 +62,7 @@
 ) -> Result<Body, Failure> {
     let len = body.size_hint().upper();
     let by_turns = node.without().has(Mechanism::UploadTurns);
-    if !by_turns || len.is_some_and(|len| len <= SMALL_BYTES) {
+    if !by_turns || len.is_some_and(|len| len <= SMALL_BODY_MAX_BYTES) {
         return Ok(body);
     }
     let turn = match from {
--- a/src/proxy/intake/turns.rs
+++ b/src/proxy/intake/turns.rs
@@ -42,7 +42,7 @@
 impl Turn {
     /// Waits for a turn as long as the request is willing to.
     pub(super) async fn wait(node: &Arc<ProxyState>, hop: &Hop) -> Result<Self, Failure> {
-        let wait_us = node.intake().wait_us();
+        let wait_us = node.intake().estimated_wait_us();
         let wait = Duration::from_micros(wait_us);
         if wait > hop.patience || Instant::now() + wait > hop.deadline {
             return Err(Failure::not_run(Reason::Full).retry_after_ms(wait_us / 1_000));
@@ -51,7 +51,7 @@
         if hop.patience.is_zero() {
             let permit = turns.try_acquire_owned();
             let permit = permit.map_err(|_| Failure::not_run(Reason::Full))?;
-            node.intake().waits();
+            node.intake().enqueue();
             return Ok(Self::begin(node, permit));
         }
         let waiting = Waiting::new(node);
@@ -65,7 +65,7 @@
 
     /// One that was counted as waiting has its turn.
     fn begin(node: &Arc<ProxyState>, permit: OwnedSemaphorePermit) -> Self {
-        node.intake().begun();
+        node.intake().start();
         Self {
             node: Arc::clone(node),
             began: Instant::now(),
@@ -76,7 +76,7 @@
 
 impl Drop for Turn {
     fn drop(&mut self) {
-        self.node.intake().ended(clock::since_us(self.began));
+        self.node.intake().finish(clock::since_us(self.began));
     }
 }
 
@@ -88,7 +88,7 @@
 
 impl<'a> Waiting<'a> {
     fn new(node: &'a ProxyState) -> Self {
-        node.intake().waits();
+        node.intake().enqueue();
         Self { node, over: false }
     }
 
@@ -100,7 +100,7 @@
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
         if !self.over {
-            self.node.intake().left();
+            self.node.intake().leave_queue();
         }
     }
 }
--- a/src/proxy/listener/peers.rs
+++ b/src/proxy/listener/peers.rs
@@ -16,7 +16,7 @@
 use super::{REQUEST_WINDOW_BYTES, SEND_BUFFER_MAX_BYTES};
 use super::{accept, infallible, may_speak, run, unauthorized};
 use crate::core::mechanism::Mechanism;
-use crate::decide::transit::Transit;
+use crate::decide::transit::DelayEstimator;
 use crate::peer::generated::control_server::{Control, ControlServer};
 use crate::proxy::body::{self, Body};
 use crate::proxy::state::ProxyState;
@@ -48,7 +48,7 @@
     while let Some((stream, _)) = accept(&listener, &polite, &stop).await {
         let node = Arc::clone(&node);
         let control = control.clone();
-        let transit = Arc::new(Mutex::new(Transit::default()));
+        let transit = Arc::new(Mutex::new(DelayEstimator::default()));
         let handle = infallible(move |request| {
             let (node, control) = (Arc::clone(&node), control.clone());
             peer_request(node, control, Arc::clone(&transit), request)
@@ -77,7 +77,7 @@
 async fn peer_request<C: Control>(
     node: Arc<ProxyState>,
     mut control: ControlServer<C>,
-    transit: Arc<Mutex<Transit>>,
+    transit: Arc<Mutex<DelayEstimator>>,
     request: Request<Incoming>,
 ) -> Response<Body> {
     if !may_speak(&node, &request) {
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -12,12 +12,14 @@
 use super::hop::Hop;
 use crate::core::configuration::Class;
 use crate::core::names::ResourceName;
-use crate::decide::admission::{Admission, Admitted, Ask, Cause, Refusal, Released, Ticket, Turn};
+use crate::decide::admission::{
+    Admission, AdmitOutcome, Refusal, RefusalCause, ReleasedSlot, SlotRequest, Ticket, WaitOutcome,
+};
 use crate::proxy::state::ProxyState;
 use crate::util::clock;
 
 /// Wakes a waiting request.
-pub(crate) type Wake = oneshot::Sender<Turn>;
+pub(crate) type Wake = oneshot::Sender<WaitOutcome>;
 
 /// A slot of the backend server, given back when the answer has been passed on or given up.
 pub(crate) struct Slot {
@@ -60,9 +62,9 @@
             admission.admit(now_us, &ask, wake)
         };
         let ticket = match admitted {
-            Admitted::Slot => return Ok(Self::new(node, hop)),
-            Admitted::Refused(refusal) => return Err(refused(refusal)),
-            Admitted::Queued(ticket) => ticket,
+            AdmitOutcome::Slot => return Ok(Self::new(node, hop)),
+            AdmitOutcome::Refused(refusal) => return Err(refused(refusal)),
+            AdmitOutcome::Queued(ticket) => ticket,
         };
         // Another class may have been put out of the queue to make room.
         settle(node);
@@ -74,8 +76,8 @@
         };
         let turn = tokio::time::timeout_at(deadline.into(), &mut waiting.turn).await;
         match turn {
-            Ok(Ok(Turn::Slot)) => Ok(Self::new(node, hop)),
-            Ok(Ok(Turn::Refused(refusal))) => Err(refused(refusal)),
+            Ok(Ok(WaitOutcome::Slot)) => Ok(Self::new(node, hop)),
+            Ok(Ok(WaitOutcome::Refused(refusal))) => Err(refused(refusal)),
             // The drop of `waiting` takes it out of the queue: it will not run.
             Ok(Err(_)) | Err(_) => Err(Failure::not_run(Reason::TooLate)),
         }
@@ -84,10 +86,10 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let released = Released {
+        let released = ReleasedSlot {
             class: self.class,
             resource: &self.resource,
-            held_us: clock::since_us(self.since),
+            service_time_us: clock::since_us(self.since),
             answered: self.answered,
         };
         let now_us = clock::since_us(self.node.started);
@@ -103,7 +105,7 @@
     node: &'a Arc<ProxyState>,
     hop: &'a Hop,
     ticket: Ticket,
-    turn: oneshot::Receiver<Turn>,
+    turn: oneshot::Receiver<WaitOutcome>,
 }
 
 impl Drop for Waiting<'_> {
@@ -112,7 +114,7 @@
             return;
         }
         // Nothing is there if the turn was received; then the slot has its owner.
-        if let Ok(Turn::Slot) = self.turn.try_recv() {
+        if let Ok(WaitOutcome::Slot) = self.turn.try_recv() {
             drop(Slot::new(self.node, self.hop));
         }
     }
@@ -127,9 +129,9 @@
 }
 
 /// What a request asks, with what its gate knows of others like it.
-fn ask(node: &ProxyState, admission: &Admission<Wake>, hop: &Hop) -> Ask {
-    Ask {
-        held_us: admission.held_of(&hop.resource),
+fn ask(node: &ProxyState, admission: &Admission<Wake>, hop: &Hop) -> SlotRequest {
+    SlotRequest {
+        service_time_us: admission.known_service_time_us(&hop.resource),
         ..hop.ask(node.started)
     }
 }
@@ -138,7 +140,7 @@
 pub(crate) fn settle(node: &ProxyState) {
     let now_us = clock::since_us(node.started);
     let mut admission = node.admission();
-    while let Some((wake, turn)) = admission.next(now_us) {
+    while let Some((wake, turn)) = admission.end_next_wait(now_us) {
         // The receiver outlives its place in the queue, see `Waiting`.
         let _ = wake.send(turn);
     }
@@ -146,9 +148,9 @@
 
 fn refused(refusal: Refusal) -> Failure {
     let reason = match refusal.cause {
-        Cause::Full | Cause::TooLong => Reason::Full,
-        Cause::TooLate => Reason::TooLate,
-        Cause::Closed => Reason::Draining,
+        RefusalCause::QueueFull | RefusalCause::WaitTooLong => Reason::Full,
+        RefusalCause::DeadlineTooSoon => Reason::TooLate,
+        RefusalCause::Closed => Reason::Draining,
     };
     Failure::not_run(reason).retry_after_ms(refusal.retry_after_ms)
 }
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -28,7 +28,7 @@
 use crate::decide::admission::{Admission, Limits};
 use crate::decide::load_balancing::{Balancer, LoadReport};
 use crate::decide::retry::{RetryPolicy, ServiceTokens};
-use crate::decide::uploads::{Intake, LinkShare};
+use crate::decide::uploads::{UploadLimits, UploadQueue};
 use crate::distribution::Applied;
 use crate::node::settings::{Settings, Tunable};
 use crate::util::clock;
@@ -52,8 +52,8 @@
     retry_tokens: Mutex<ServiceTokens>,
     admission: Mutex<Admission<Wake>>,
     /// What the link of this VM takes at a time.
-    pub(crate) link_share: LinkShare,
-    intake: Mutex<Intake>,
+    pub(crate) link_share: UploadLimits,
+    intake: Mutex<UploadQueue>,
     /// One for each large body that may come in at a time.
     pub(crate) intake_turns: Arc<Semaphore>,
     /// Large bodies that come in, from other nodes and from callers of this VM.
@@ -111,12 +111,12 @@
         let known = settings.backend_server.as_ref();
         let known = known.filter(|_| !settings.backend_server_announces);
         let backend = known.map(|known| Arc::new(LocalBackend::from(known)));
-        let link_share = LinkShare::of_link(settings.link_kbit_per_s);
+        let link_share = UploadLimits::for_link(settings.link_kbit_per_s);
         let without = settings.without;
         Self {
             link_share,
-            intake: Mutex::new(Intake::new(link_share)),
-            intake_turns: turns::turns(link_share.at_a_time),
+            intake: Mutex::new(UploadQueue::new(link_share)),
+            intake_turns: turns::turns(link_share.concurrent_max),
             bodies_coming: AtomicU32::new(0),
             granted: Granted::default(),
             vocabulary,
@@ -183,7 +183,7 @@
     pub(crate) fn refresh_retries(&self) {
         let tunable = self.tunable.load();
         let (percent, reserve) = (tunable.retry_percent, tunable.retry_reserve);
-        let policy = RetryPolicy::of_entry(percent, reserve, self.view.load().alive());
+        let policy = RetryPolicy::for_entry(percent, reserve, self.view.load().alive());
         self.retry_tokens()
             .set_policy(policy.without(self.without()));
     }
@@ -200,19 +200,22 @@
     pub(crate) fn load(&self, hop: &Hop) -> LoadReport {
         let now_us = clock::since_us(self.started);
         let ask = hop.ask_anew(self.started);
-        let intake_us = self.intake().taken_us();
-        let load = self.admission().load(now_us, &ask, &hop.resource);
-        LoadReport { intake_us, ..load }
+        let intake_us = self.intake().estimated_completion_us();
+        let load = self.admission().load_report(now_us, &ask, &hop.resource);
+        LoadReport {
+            upload_time_us: intake_us,
+            ..load
+        }
     }
 
     /// What this node's gate says, with the answer to `hop`, of how long other requests hold a slot.
     pub(crate) fn other_held(&self, hop: &Hop) -> HeaderValue {
         let admission = self.admission();
         let now_us = clock::since_us(self.started);
-        headers::held_value(&admission.other_held(now_us, &hop.resource))
+        headers::held_value(&admission.other_service_times(now_us, &hop.resource))
     }
 
-    pub(crate) fn intake(&self) -> MutexGuard<'_, Intake> {
+    pub(crate) fn intake(&self) -> MutexGuard<'_, UploadQueue> {
         lock(&self.intake)
     }
 
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -5,19 +5,19 @@
 use crate::core::member::{Liveness, Member, NodeId, Place};
 use crate::core::names::ServiceName;
 use crate::core::status::DataCentreSummary;
-use crate::decide::load_balancing::Ranked;
+use crate::decide::load_balancing::RankedEndpoints;
 
 /// The members as requests and operators see them.
 #[derive(Debug, Default)]
 pub(crate) struct View {
     pub(crate) members: Vec<Member>,
-    pub(crate) endpoints: HashMap<ServiceName, Ranked>,
+    pub(crate) endpoints: HashMap<ServiceName, RankedEndpoints>,
     pub(crate) data_centres: Vec<DataCentreSummary>,
 }
 
 impl View {
     pub(crate) fn new(members: Vec<Member>, me: NodeId, from: &Place) -> Self {
-        let mut endpoints: HashMap<ServiceName, Ranked> = HashMap::new();
+        let mut endpoints: HashMap<ServiceName, RankedEndpoints> = HashMap::new();
         for member in members.iter().filter(|member| member.takes_work()) {
             let service = member.service.clone().expect("takes_work checks it");
             endpoints.entry(service).or_default().add(me, from, member);
--- a/src/store/patient.rs
+++ b/src/store/patient.rs
@@ -45,7 +45,7 @@
     for earlier_tries in 0..TRIES - 1 {
         match call().await {
             Err(Error::Busy) => {
-                let wait_ms = jittered_ms(WAIT.pause_ms(earlier_tries), rand::random());
+                let wait_ms = jittered_ms(WAIT.delay_ms(earlier_tries), rand::random());
                 tokio::time::sleep(Duration::from_millis(wait_ms)).await;
             }
             Err(Error::OutcomeUnknown { .. } | Error::Silent { .. })
--- a/tests/testsuite/decide_announcements.rs
+++ b/tests/testsuite/decide_announcements.rs
@@ -3,7 +3,7 @@
 use dragonflywall::core::member::BackendState;
 use dragonflywall::core::names::{InstanceName, ServiceName};
 use dragonflywall::core::status::Announcement;
-use dragonflywall::decide::announcements::{Announcements, Heard};
+use dragonflywall::decide::announcements::{AnnouncementOutcome, Announcements};
 
 fn announcement(
     instance: &str,
@@ -40,50 +40,92 @@
 /// no work would come.
 #[test]
 fn a_late_ready_does_not_undo_draining() {
-    let mut heard = Announcements::default();
-    assert_eq!(heard.hear(&serving("i-1", 10, 1)), Heard::Taken);
+    let mut announcements = Announcements::default();
+    assert_eq!(
+        announcements.apply(&serving("i-1", 10, 1)),
+        AnnouncementOutcome::Accepted
+    );
     let draining = announcement("i-1", 10, 3, BackendState::Draining);
-    assert_eq!(heard.hear(&draining), Heard::Taken);
-    assert_eq!(heard.hear(&serving("i-1", 10, 2)), Heard::Outdated);
-    assert_eq!(heard.hear(&draining), Heard::Repeated);
+    assert_eq!(
+        announcements.apply(&draining),
+        AnnouncementOutcome::Accepted
+    );
+    assert_eq!(
+        announcements.apply(&serving("i-1", 10, 2)),
+        AnnouncementOutcome::Outdated
+    );
+    assert_eq!(
+        announcements.apply(&draining),
+        AnnouncementOutcome::Duplicate
+    );
 }
 
 /// A backend server leaves without a word of draining, and a message from before comes afterwards.
 #[test]
-fn one_that_left_stays_away() {
-    let mut heard = Announcements::default();
-    heard.hear(&serving("i-1", 10, 4));
-    assert_eq!(heard.hear(&leaving("i-1")), Heard::Taken);
-    assert_eq!(heard.hear(&leaving("i-1")), Heard::Repeated);
-    assert_eq!(heard.hear(&serving("i-1", 10, 5)), Heard::Outdated);
+fn late_ready_after_departure_is_outdated() {
+    let mut announcements = Announcements::default();
+    announcements.apply(&serving("i-1", 10, 4));
+    assert_eq!(
+        announcements.apply(&leaving("i-1")),
+        AnnouncementOutcome::Accepted
+    );
+    assert_eq!(
+        announcements.apply(&leaving("i-1")),
+        AnnouncementOutcome::Duplicate
+    );
+    assert_eq!(
+        announcements.apply(&serving("i-1", 10, 5)),
+        AnnouncementOutcome::Outdated
+    );
 }
 
 /// A backend server crashes and another one starts at its address; the last message of the first
 /// was held up by a partition and comes after the second has announced itself.
 #[test]
 fn an_earlier_start_does_not_replace_a_later_one() {
-    let mut heard = Announcements::default();
-    assert_eq!(heard.hear(&serving("i-1", 10, 7)), Heard::Taken);
-    assert_eq!(heard.hear(&serving("i-2", 20, 1)), Heard::Taken);
-    assert_eq!(heard.hear(&serving("i-1", 10, 8)), Heard::Outdated);
-    assert_eq!(heard.hear(&leaving("i-1")), Heard::Outdated);
-    assert_eq!(heard.hear(&serving("i-2", 20, 2)), Heard::Repeated);
+    let mut announcements = Announcements::default();
+    assert_eq!(
+        announcements.apply(&serving("i-1", 10, 7)),
+        AnnouncementOutcome::Accepted
+    );
+    assert_eq!(
+        announcements.apply(&serving("i-2", 20, 1)),
+        AnnouncementOutcome::Accepted
+    );
+    assert_eq!(
+        announcements.apply(&serving("i-1", 10, 8)),
+        AnnouncementOutcome::Outdated
+    );
+    assert_eq!(
+        announcements.apply(&leaving("i-1")),
+        AnnouncementOutcome::Outdated
+    );
+    assert_eq!(
+        announcements.apply(&serving("i-2", 20, 2)),
+        AnnouncementOutcome::Duplicate
+    );
 }
 
 /// A backend server starts again under its old name; its counts start anew.
 #[test]
-fn a_restart_under_one_name_is_news() {
-    let mut heard = Announcements::default();
-    heard.hear(&serving("i-1", 10, 50));
-    assert_eq!(heard.hear(&serving("i-1", 30, 1)), Heard::Taken);
-    heard.hear(&leaving("i-1"));
-    assert_eq!(heard.hear(&serving("i-1", 40, 1)), Heard::Taken);
+fn restart_under_the_same_name_is_accepted() {
+    let mut announcements = Announcements::default();
+    announcements.apply(&serving("i-1", 10, 50));
+    assert_eq!(
+        announcements.apply(&serving("i-1", 30, 1)),
+        AnnouncementOutcome::Accepted
+    );
+    announcements.apply(&leaving("i-1"));
+    assert_eq!(
+        announcements.apply(&serving("i-1", 40, 1)),
+        AnnouncementOutcome::Accepted
+    );
 }
 
 /// The product's own announcements need no name: the last word holds.
 #[test]
-fn without_a_name_the_last_word_holds() {
-    let mut heard = Announcements::default();
+fn last_announcement_without_a_name_is_accepted() {
+    let mut announcements = Announcements::default();
     let unnamed = |state| Announcement {
         instance: None,
         started_ms: None,
@@ -95,7 +137,10 @@
         BackendState::Draining,
         BackendState::Serving,
     ] {
-        assert_eq!(heard.hear(&unnamed(state)), Heard::Taken);
+        assert_eq!(
+            announcements.apply(&unnamed(state)),
+            AnnouncementOutcome::Accepted
+        );
     }
 }
 
@@ -103,35 +148,62 @@
 /// before, held up on its way, must not open the next process's gate: only the backend server itself
 /// can say whether it still holds.
 #[test]
-fn the_first_ready_of_a_process_waits_for_the_backend_server_itself() {
-    let mut heard = Announcements::doubtful();
-    assert_eq!(heard.hear(&serving("i-1", 10, 4)), Heard::Unconfirmed);
-    assert_eq!(heard.serving(), None);
-    assert_eq!(heard.confirm(&InstanceName::new("i-2")), None);
-    let confirmed = heard.confirm(&InstanceName::new("i-1"));
+fn first_ready_after_a_restart_needs_confirmation() {
+    let mut announcements = Announcements::requiring_confirmation();
+    assert_eq!(
+        announcements.apply(&serving("i-1", 10, 4)),
+        AnnouncementOutcome::Unconfirmed
+    );
+    assert_eq!(announcements.serving(), None);
+    assert_eq!(announcements.confirm(&InstanceName::new("i-2")), None);
+    let confirmed = announcements.confirm(&InstanceName::new("i-1"));
     assert_eq!(confirmed, Some(&serving("i-1", 10, 4)));
-    assert_eq!(heard.hear(&serving("i-1", 10, 5)), Heard::Repeated);
+    assert_eq!(
+        announcements.apply(&serving("i-1", 10, 5)),
+        AnnouncementOutcome::Duplicate
+    );
     // From now on this process knows itself what was said before.
-    assert_eq!(heard.hear(&serving("i-3", 20, 1)), Heard::Taken);
+    assert_eq!(
+        announcements.apply(&serving("i-3", 20, 1)),
+        AnnouncementOutcome::Accepted
+    );
 }
 
 /// The backend server was asked, and before its answer came it said that it leaves.
 #[test]
-fn a_confirmation_does_not_undo_what_was_said_since() {
-    let mut heard = Announcements::doubtful();
-    assert_eq!(heard.hear(&serving("i-1", 10, 4)), Heard::Unconfirmed);
+fn confirmation_does_not_undo_a_later_draining() {
+    let mut announcements = Announcements::requiring_confirmation();
+    assert_eq!(
+        announcements.apply(&serving("i-1", 10, 4)),
+        AnnouncementOutcome::Unconfirmed
+    );
     let draining = announcement("i-1", 10, 5, BackendState::Draining);
-    assert_eq!(heard.hear(&draining), Heard::Taken);
-    assert_eq!(heard.confirm(&InstanceName::new("i-1")), None);
+    assert_eq!(
+        announcements.apply(&draining),
+        AnnouncementOutcome::Accepted
+    );
+    assert_eq!(announcements.confirm(&InstanceName::new("i-1")), None);
 }
 
 /// A backend server's answers about its health are wrong. It goes on announcing itself, which one that
 /// has left does not, so it is believed in the end. The same message again proves nothing.
 #[test]
-fn a_backend_server_that_goes_on_announcing_itself_is_believed() {
-    let mut heard = Announcements::doubtful();
-    assert_eq!(heard.hear(&serving("i-1", 10, 4)), Heard::Unconfirmed);
-    assert_eq!(heard.hear(&serving("i-1", 10, 4)), Heard::Unconfirmed);
-    assert_eq!(heard.hear(&serving("i-1", 10, 5)), Heard::Unconfirmed);
-    assert_eq!(heard.hear(&serving("i-1", 10, 6)), Heard::Taken);
+fn later_announcements_replace_the_confirmation() {
+    let mut announcements = Announcements::requiring_confirmation();
+    assert_eq!(
+        announcements.apply(&serving("i-1", 10, 4)),
+        AnnouncementOutcome::Unconfirmed
+    );
+    assert_eq!(
+        announcements.apply(&serving("i-1", 10, 4)),
+        AnnouncementOutcome::Unconfirmed
+    );
+    assert_eq!(
+        announcements.apply(&serving("i-1", 10, 5)),
+        AnnouncementOutcome::Unconfirmed
+    );
+    assert_eq!(
+        announcements.apply(&serving("i-1", 10, 6)),
+        AnnouncementOutcome::Accepted
+    );
 }
--- a/tests/testsuite/decide_retry.rs
+++ b/tests/testsuite/decide_retry.rs
@@ -3,7 +3,7 @@
 use dragonflywall::core::configuration::{Class, PRIORITY_DEFAULT, Spill, Treatment};
 use dragonflywall::core::names::ServiceName;
 use dragonflywall::decide::retry::{
-    Attempts, DEPTH_MAX, Failed, RETRIES_PER_TREE, RetryPolicy, ServiceTokens,
+    AttemptFailure, Attempts, DEPTH_MAX, RETRIES_PER_TREE, RetryPolicy, ServiceTokens,
 };
 
 pub(crate) fn treatment(idempotent: bool) -> Treatment {
@@ -23,35 +23,35 @@
 #[test]
 fn draining_endpoints_cost_no_attempt() {
     let mut tokens = ServiceTokens::default();
-    let tokens = tokens.entry_for(&ServiceName::new("cobros"));
+    let tokens = tokens.for_service(&ServiceName::new("cobros"));
     let mut attempts = Attempts::new(&treatment(false), RETRIES_PER_TREE);
     for _ in 0..3 {
-        assert!(attempts.again(Failed::Draining, tokens));
+        assert!(attempts.take_retry(AttemptFailure::Draining, tokens));
     }
-    assert!(attempts.again(Failed::NotRun, tokens));
-    assert!(attempts.again(Failed::NotRun, tokens));
-    assert!(!attempts.again(Failed::NotRun, tokens));
+    assert!(attempts.take_retry(AttemptFailure::NotRun, tokens));
+    assert!(attempts.take_retry(AttemptFailure::NotRun, tokens));
+    assert!(!attempts.take_retry(AttemptFailure::NotRun, tokens));
 }
 
 /// A payment may have run: never again. A read may.
 #[test]
-fn only_an_idempotent_request_follows_one_that_may_have_run() {
+fn only_idempotent_requests_are_retried_after_may_have_run() {
     let mut tokens = ServiceTokens::default();
-    let tokens = tokens.entry_for(&ServiceName::new("cobros"));
-    assert!(!Attempts::new(&treatment(false), 8).again(Failed::MayHaveRun, tokens));
-    assert!(Attempts::new(&treatment(true), 8).again(Failed::MayHaveRun, tokens));
+    let tokens = tokens.for_service(&ServiceName::new("cobros"));
+    assert!(!Attempts::new(&treatment(false), 8).take_retry(AttemptFailure::MayHaveRun, tokens));
+    assert!(Attempts::new(&treatment(true), 8).take_retry(AttemptFailure::MayHaveRun, tokens));
 }
 
 /// A service refuses everything. After its reserve the entry retries one in ten.
 #[test]
-fn retries_are_a_tenth_of_the_traffic() {
+fn retries_are_limited_to_a_tenth_of_requests() {
     let mut tokens = ServiceTokens::default();
-    let tokens = tokens.entry_for(&ServiceName::new("tablon"));
+    let tokens = tokens.for_service(&ServiceName::new("tablon"));
     let mut retries = 0;
     for _ in 0..1_000 {
         tokens.earn();
         let mut attempts = Attempts::new(&treatment(true), RETRIES_PER_TREE);
-        while attempts.again(Failed::NotRun, tokens) {
+        while attempts.take_retry(AttemptFailure::NotRun, tokens) {
             retries += 1;
         }
     }
@@ -60,21 +60,21 @@
 
 /// Attempts at the bottom of a chain whose last call always fails in the worst way. Each level
 /// has what the one above passed down to it.
-fn bottom_attempts(depth: u32, budget: u32, tokens: &mut ServiceTokens) -> u32 {
+fn attempts_at_last_service(depth: u32, budget: u32, tokens: &mut ServiceTokens) -> u32 {
     if depth > DEPTH_MAX {
         return 1;
     }
     let mut attempts = Attempts::new(&treatment(true), budget);
     let mut made = 0;
     loop {
-        made += bottom_attempts(depth + 1, attempts.passed_down(), tokens);
+        made += attempts_at_last_service(depth + 1, attempts.downstream_budget(), tokens);
         // A service of its own at each level, so that only the budget bounds it.
         let service = ServiceName::new(format!("level-{depth}"));
-        let tokens = tokens.entry_for(&service);
+        let tokens = tokens.for_service(&service);
         for _ in 0..100 {
             tokens.earn();
         }
-        if !attempts.again(Failed::MayHaveRun, tokens) {
+        if !attempts.take_retry(AttemptFailure::MayHaveRun, tokens) {
             return made;
         }
     }
@@ -83,10 +83,10 @@
 /// The last of a chain of services, seven calls down, has an outage. With three attempts at each
 /// level it would get 6561 requests for each one at the top, which keeps it down.
 #[test]
-fn a_chain_retries_on_one_budget() {
-    let made = bottom_attempts(0, RETRIES_PER_TREE, &mut ServiceTokens::default());
-    let plain = 3_u32.pow(DEPTH_MAX + 1);
-    println!("attempts at the bottom of a chain: {made}, plain policy {plain}");
+fn call_chain_shares_one_retry_budget() {
+    let made = attempts_at_last_service(0, RETRIES_PER_TREE, &mut ServiceTokens::default());
+    let without_budget = 3_u32.pow(DEPTH_MAX + 1);
+    println!("attempts at the bottom of a chain: {made}, plain policy {without_budget}");
     assert!(made <= 1 + RETRIES_PER_TREE, "{made} attempts");
     assert!(made > 1, "nothing was tried again");
 }
@@ -95,18 +95,20 @@
 /// would make 896 retries at once.
 #[test]
 fn entries_share_the_reserve_of_the_mesh() {
-    let policy = RetryPolicy::of_entry(20, Some(56), 16);
+    let policy = RetryPolicy::for_entry(20, Some(56), 16);
     let mut made = 0;
     for _ in 0..16 {
         let mut tokens = ServiceTokens::default();
         tokens.set_policy(policy);
-        let tokens = tokens.entry_for(&ServiceName::new("tablon"));
-        while Attempts::new(&treatment(true), RETRIES_PER_TREE).again(Failed::NotRun, tokens) {
+        let tokens = tokens.for_service(&ServiceName::new("tablon"));
+        while Attempts::new(&treatment(true), RETRIES_PER_TREE)
+            .take_retry(AttemptFailure::NotRun, tokens)
+        {
             made += 1;
         }
     }
     assert!((16..=56).contains(&made), "{made} retries");
     assert!(policy.percent < 20, "{policy:?}");
     // A single retry is left to each of very many entries.
-    assert_eq!(RetryPolicy::of_entry(20, Some(56), 520).reserve, 1);
+    assert_eq!(RetryPolicy::for_entry(20, Some(56), 520).reserve, 1);
 }
--- a/tests/testsuite/decide_service_times.rs
+++ b/tests/testsuite/decide_service_times.rs
@@ -2,78 +2,85 @@
 
 use dragonflywall::core::configuration::Class;
 use dragonflywall::core::names::ResourceName;
-use dragonflywall::decide::admission::{Admission, Ask, Limits, Released};
-use dragonflywall::decide::service_times::HeldTimes;
+use dragonflywall::decide::admission::{Admission, Limits, ReleasedSlot, SlotRequest};
+use dragonflywall::decide::service_times::ServiceTimes;
 
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
-fn name(name: &str) -> ResourceName {
+fn resource(name: &str) -> ResourceName {
     ResourceName::new(name)
 }
 
 /// Short look-ups and long reads share an endpoint. Were their times one mean, an endpoint that gets
 /// more look-ups would seem quicker than an equal one.
 #[test]
-fn resources_are_told_apart() {
-    let mut held = HeldTimes::default();
+fn service_times_are_kept_per_resource() {
+    let mut service_times = ServiceTimes::default();
     for _ in 0..200 {
-        held.answered(0, &name("look-up"), 10_000);
-        held.answered(0, &name("read"), 200_000);
+        service_times.record(0, &resource("look-up"), 10_000);
+        service_times.record(0, &resource("read"), 200_000);
     }
-    assert_eq!(held.of_resource(&name("look-up")), 10_000);
-    assert_eq!(held.of_resource(&name("read")), 200_000);
-    let any_us = held.of_any();
-    assert!((90_000..120_000).contains(&any_us), "{any_us}");
-    assert_eq!(held.of_resource(&name("new")), any_us);
+    assert_eq!(service_times.resource_us(&resource("look-up")), 10_000);
+    assert_eq!(service_times.resource_us(&resource("read")), 200_000);
+    let mean_us = service_times.overall_us();
+    assert!((90_000..120_000).contains(&mean_us), "{mean_us}");
+    assert_eq!(service_times.resource_us(&resource("new")), mean_us);
 }
 
 /// A backend server becomes five times as slow; its callers are told within a few hundred requests.
 #[test]
-fn a_slower_backend_server_is_found_out() {
-    let mut held = HeldTimes::default();
+fn mean_follows_a_slower_backend_server() {
+    let mut service_times = ServiceTimes::default();
     for _ in 0..1_000 {
-        held.answered(0, &name("read"), 20_000);
+        service_times.record(0, &resource("read"), 20_000);
     }
     for _ in 0..200 {
-        held.answered(0, &name("read"), 100_000);
+        service_times.record(0, &resource("read"), 100_000);
     }
-    assert!(held.of_resource(&name("read")) > 90_000);
+    assert!(service_times.resource_us(&resource("read")) > 90_000);
 }
 
 /// Callers give up after a moment. That the requests were short then says nothing of the endpoint;
 /// that they were long says that it is at least so slow.
 #[test]
-fn what_was_given_up_counts_only_if_it_was_long() {
-    let mut held = HeldTimes::default();
+fn abandoned_request_counts_only_if_longer_than_the_mean() {
+    let mut service_times = ServiceTimes::default();
     for _ in 0..100 {
-        held.answered(0, &name("read"), 50_000);
-        held.given_up(0, &name("read"), 1_000);
+        service_times.record(0, &resource("read"), 50_000);
+        service_times.record_abandoned(0, &resource("read"), 1_000);
     }
-    assert_eq!(held.of_resource(&name("read")), 50_000);
+    assert_eq!(service_times.resource_us(&resource("read")), 50_000);
     for _ in 0..100 {
-        held.given_up(0, &name("read"), 500_000);
+        service_times.record_abandoned(0, &resource("read"), 500_000);
     }
-    assert!(held.of_resource(&name("read")) > 200_000);
+    assert!(service_times.resource_us(&resource("read")) > 200_000);
 }
 
 /// Guards against a backend server that was slow for a moment and is never tried again.
 #[test]
-fn times_of_other_work_are_told_while_they_are_news() {
+fn other_service_times_are_reported_while_recent() {
     let (archive, prices) = (ResourceName::new("archive"), ResourceName::new("prices"));
     let mut admission: Admission<()> = Admission::default();
     admission.set_limits(Limits {
         slots: 1,
         queue_len: 1,
     });
-    admission.admit(0, &Ask::new(Class::Interactive, 10 * SECOND), || ());
-    let released = Released {
+    admission.admit(
+        0,
+        &SlotRequest::new(Class::Interactive, 10 * SECOND_US),
+        || (),
+    );
+    let released = ReleasedSlot {
         class: Class::Interactive,
         resource: &archive,
-        held_us: SECOND,
+        service_time_us: SECOND_US,
         answered: true,
     };
-    admission.release(SECOND, &released);
-    assert_eq!(admission.other_held(SECOND, &prices), [(&archive, SECOND)]);
-    assert_eq!(admission.other_held(SECOND, &archive), []);
-    assert_eq!(admission.other_held(3 * SECOND, &prices), []);
+    admission.release(SECOND_US, &released);
+    assert_eq!(
+        admission.other_service_times(SECOND_US, &prices),
+        [(&archive, SECOND_US)]
+    );
+    assert_eq!(admission.other_service_times(SECOND_US, &archive), []);
+    assert_eq!(admission.other_service_times(3 * SECOND_US, &prices), []);
 }
--- a/tests/testsuite/decide_simulation.rs
+++ b/tests/testsuite/decide_simulation.rs
@@ -9,17 +9,17 @@
 /// Slots and queue of the two deployments.
 const DEPLOYMENTS: [(&str, u32, u32); 2] = [("chatarras", 20, 40), ("marinhas", 6, 12)];
 
-const WORK_US: u64 = 20 * MS;
+const SERVICE_TIME_US: u64 = 20 * MS;
 
 fn capacity_per_s(slots: u32, servers: usize) -> u64 {
-    u64::from(slots) * servers as u64 * SECOND / WORK_US
+    u64::from(slots) * servers as u64 * SECOND / SERVICE_TIME_US
 }
 
 fn reads(per_s: u64, from_us: u64, until_us: u64) -> Stream {
     Stream {
         class: Class::Interactive,
         per_s,
-        work_us: WORK_US,
+        work_us: SERVICE_TIME_US,
         timeout_us: 400 * MS,
         target_us: 400 * MS,
         patience_us: 400 * MS,
@@ -134,7 +134,7 @@
 
 /// Half a second of six times the capacity hits a mesh that is half busy. It is over soon after.
 #[test]
-fn a_burst_is_over_when_it_is_over() {
+fn burst_costs_less_than_with_the_plain_policy() {
     for (name, slots, queue_len) in DEPLOYMENTS {
         let capacity = capacity_per_s(slots, 4);
         let streams = vec![
@@ -171,7 +171,7 @@
 /// Uploads of half a second come for more slots than there are, beside short reads. The reads
 /// stay short and the uploads finish.
 #[test]
-fn short_work_stays_short_beside_long_work() {
+fn interactive_requests_stay_fast_beside_uploads() {
     for (name, slots, queue_len) in DEPLOYMENTS {
         let capacity = capacity_per_s(slots, 4);
         let uploads_per_s = u64::from(slots) * 4 * 2;
@@ -196,7 +196,7 @@
 
 /// Three of four backend servers have just been replaced and are cold for two seconds.
 #[test]
-fn a_cold_herd_is_warmed_slowly() {
+fn cold_backend_servers_are_no_worse_than_with_the_plain_policy() {
     for (name, slots, queue_len) in DEPLOYMENTS {
         let stream = reads(capacity_per_s(slots, 4) / 4, 0, 4 * SECOND);
         let mut scenario = scenario(slots, queue_len, 4, vec![stream]);
@@ -213,7 +213,7 @@
 /// One of four backend servers answers 500 at once and says that it is well. It looks idle, so
 /// least load alone would send it most requests.
 #[test]
-fn a_lying_backend_server_attracts_nothing() {
+fn backend_server_that_fails_fast_attracts_few_requests() {
     for (name, slots, queue_len) in DEPLOYMENTS {
         let stream = reads(capacity_per_s(slots, 4) / 2, 0, 4 * SECOND);
         let mut scenario = scenario(slots, queue_len, 4, vec![stream]);
@@ -268,7 +268,7 @@
 /// Placed by that alone, requests wait and are refused beside free slots; looking for a free one first,
 /// none is refused.
 #[test]
-fn requests_find_free_slots_that_their_entries_do_not_know() {
+fn probes_find_free_slots_despite_stale_load_reports() {
     const SERVERS: usize = 24;
     const LONG_US: u64 = 160 * MS;
     let per_s = SERVERS as u64 * 6 * SECOND / LONG_US * 9 / 10;
--- a/tests/testsuite/decide_split.rs
+++ b/tests/testsuite/decide_split.rs
@@ -1,6 +1,6 @@
 //! How the requests of a split route are divided.
 
-use dragonflywall::decide::split::branch;
+use dragonflywall::decide::split::choose_branch;
 
 /// An operator gives a tenth of a route's requests to a new service. Random choices would give it
 /// 5 % or 15 % of 300 requests now and then; here no window of 100 strays by more than two.
@@ -8,23 +8,26 @@
 fn every_window_of_requests_is_divided_by_the_weights() {
     let weights = [90, 10];
     for first in [0, 7, u32::MAX - 150, 123_456_789] {
-        let turns = (0..100).map(|n| first.wrapping_add(n));
-        let new = turns
-            .filter(|turn| branch(weights.into_iter(), *turn) == 1)
+        let request_numbers = (0..100).map(|n| first.wrapping_add(n));
+        let new_service = request_numbers
+            .filter(|request_number| choose_branch(weights.into_iter(), *request_number) == 1)
             .count();
-        assert!((8..=12).contains(&new), "{new} of 100 from turn {first} on");
+        assert!(
+            (8..=12).contains(&new_service),
+            "{new_service} of 100 from turn {first} on"
+        );
     }
 }
 
 /// Three parts, one of them of no weight: it gets nothing.
 #[test]
-fn a_part_without_weight_gets_nothing() {
+fn branch_without_weight_gets_no_requests() {
     let weights = [2, 0, 1];
-    let mut parts = [0; 3];
-    for turn in 0..300 {
-        parts[branch(weights.into_iter(), turn)] += 1;
+    let mut counts = [0; 3];
+    for request_number in 0..300 {
+        counts[choose_branch(weights.into_iter(), request_number)] += 1;
     }
-    assert_eq!(parts[1], 0);
-    assert!((198..=202).contains(&parts[0]), "{parts:?}");
-    assert_eq!(branch([0, 0].into_iter(), 5), 0);
+    assert_eq!(counts[1], 0);
+    assert!((198..=202).contains(&counts[0]), "{counts:?}");
+    assert_eq!(choose_branch([0, 0].into_iter(), 5), 0);
 }
--- a/tests/testsuite/mechanisms.rs
+++ b/tests/testsuite/mechanisms.rs
@@ -3,58 +3,61 @@
 use dragonflywall::core::configuration::Class;
 use dragonflywall::core::mechanism::{Mechanism, Without};
 use dragonflywall::core::names::ServiceName;
-use dragonflywall::decide::admission::{Admission, Admitted, Ask, Limits, Urgency};
-use dragonflywall::decide::load_balancing::Search;
-use dragonflywall::decide::retry::{Attempts, Failed, RetryPolicy, ServiceTokens};
+use dragonflywall::decide::admission::{Admission, AdmitOutcome, Limits, Priority, SlotRequest};
+use dragonflywall::decide::load_balancing::FreeSlotSearch;
+use dragonflywall::decide::retry::{AttemptFailure, Attempts, RetryPolicy, ServiceTokens};
 use dragonflywall::node;
 
 use crate::decide_load_balancing::node;
 use crate::decide_retry::treatment;
 use crate::documentation::page;
 
-const LATE_US: u64 = u64::MAX / 4;
+const FAR_DEADLINE_US: u64 = u64::MAX / 4;
 
 /// The order in which four requests that wait for one slot get it: (rank, due) of each, in order of arrival.
-fn order(without: Without, waiting: [(Urgency, u64); 4]) -> Vec<usize> {
+fn grant_order(without: Without, waiting: [(Priority, u64); 4]) -> Vec<usize> {
     let mut admission: Admission<usize> = Admission::new(without);
     admission.set_limits(Limits {
         slots: 1,
         queue_len: 10,
     });
-    let ask = |urgency, due_us| Ask {
-        urgency,
+    let request = |urgency, due_us| SlotRequest {
+        priority: urgency,
         due_us,
-        ..Ask::new(Class::Interactive, LATE_US)
+        ..SlotRequest::new(Class::Interactive, FAR_DEADLINE_US)
     };
-    let first = ask(Urgency::Caller { rank: 0 }, 0);
-    assert_eq!(admission.admit(0, &first, || 9), Admitted::Slot);
+    let first = request(Priority::CallerRequest { rank: 0 }, 0);
+    assert_eq!(admission.admit(0, &first, || 9), AdmitOutcome::Slot);
     for (number, (urgency, due_us)) in waiting.into_iter().enumerate() {
-        admission.admit(1, &ask(urgency, due_us), || number);
+        admission.admit(1, &request(urgency, due_us), || number);
     }
     let mut order = Vec::new();
     for _ in waiting {
         crate::decide_admission::release(&mut admission, Class::Interactive, 10);
-        order.extend(admission.next(10).map(|(number, _)| number));
+        order.extend(admission.end_next_wait(10).map(|(number, _)| number));
     }
     order
 }
 
 #[test]
-fn a_gate_orders_without_calls_first_ranks_or_due_times() {
-    let rank = |rank| Urgency::Caller { rank };
+fn queue_order_follows_the_enabled_mechanisms() {
+    let rank = |rank| Priority::CallerRequest { rank };
     let waiting = [
         (rank(2), 30),
         (rank(1), 20),
         (rank(1), 10),
-        (Urgency::Call, 40),
+        (Priority::NestedCall, 40),
     ];
-    assert_eq!(order(Without::default(), waiting), [3, 2, 1, 0]);
+    assert_eq!(grant_order(Without::default(), waiting), [3, 2, 1, 0]);
     let without = |names: &str| names.parse().expect("they are known");
-    assert_eq!(order(without("due-order"), waiting), [3, 1, 2, 0]);
-    assert_eq!(order(without("calls-first"), waiting), [2, 1, 3, 0]);
-    assert_eq!(order(without("ranks,calls-first"), waiting), [2, 1, 0, 3]);
+    assert_eq!(grant_order(without("due-order"), waiting), [3, 1, 2, 0]);
+    assert_eq!(grant_order(without("calls-first"), waiting), [2, 1, 3, 0]);
     assert_eq!(
-        order(without("ranks,calls-first,due-order"), waiting),
+        grant_order(without("ranks,calls-first"), waiting),
+        [2, 1, 0, 3]
+    );
+    assert_eq!(
+        grant_order(without("ranks,calls-first,due-order"), waiting),
         [0, 1, 2, 3]
     );
 }
@@ -67,12 +70,12 @@
             slots: 8,
             queue_len: 8,
         });
-        let interactive = Ask::new(Class::Interactive, LATE_US);
+        let interactive = SlotRequest::new(Class::Interactive, FAR_DEADLINE_US);
         admission.admit(0, &interactive, || ());
         crate::decide_admission::release(&mut admission, Class::Interactive, 1);
-        let bulk = Ask::new(Class::Bulk, LATE_US);
+        let bulk = SlotRequest::new(Class::Bulk, FAR_DEADLINE_US);
         (0..8)
-            .filter(|_| admission.admit(2, &bulk, || ()) == Admitted::Slot)
+            .filter(|_| admission.admit(2, &bulk, || ()) == AdmitOutcome::Slot)
             .count()
     };
     assert_eq!(bulk_slots(Without::default()), 6);
@@ -80,8 +83,8 @@
 }
 
 #[test]
-fn a_request_waits_at_its_first_endpoint_without_looks() {
-    let waits = |without| Search::new(without).waits_at(node(1));
+fn request_queues_at_its_first_endpoint_without_probes() {
+    let waits = |without| FreeSlotSearch::new(without).queues_at(node(1));
     assert!(!waits(Without::default()));
     assert!(waits(Without::only(Mechanism::FreeSlotLooks)));
 }
@@ -91,8 +94,10 @@
     let retries = |without| {
         let mut tokens = ServiceTokens::default();
         tokens.set_policy(RetryPolicy::default().without(without));
-        let of_service = tokens.entry_for(&ServiceName::new("tablon"));
-        let again = |_: &i32| Attempts::new(&treatment(true), 8).again(Failed::NotRun, of_service);
+        let of_service = tokens.for_service(&ServiceName::new("tablon"));
+        let again = |_: &i32| {
+            Attempts::new(&treatment(true), 8).take_retry(AttemptFailure::NotRun, of_service)
+        };
         (0..100).filter(again).count()
     };
     assert_eq!(retries(Without::default()), 10);
@@ -101,7 +106,7 @@
 }
 
 #[test]
-fn an_unknown_mechanism_is_refused_with_the_known_ones() {
+fn unknown_mechanism_error_lists_the_known_ones() {
     let arguments = ["--without", "ranks,haste"].map(Into::into);
     let error = node::settings::parse(arguments, |_| None).expect_err("it is unknown");
     let problem = error
@@ -116,7 +121,7 @@
 }
 
 #[test]
-fn the_page_of_mechanisms_has_every_name() {
+fn mechanisms_page_lists_every_name() {
     let page = page("docs/reference/mechanisms.md");
     for name in Mechanism::names() {
         assert!(
--- a/tests/testsuite/simulation.rs
+++ b/tests/testsuite/simulation.rs
@@ -8,11 +8,13 @@
 use dragonflywall::core::configuration::{Class, PRIORITY_DEFAULT, Spill, Treatment};
 use dragonflywall::core::member::{Member, NodeId};
 use dragonflywall::core::names::{ResourceName, ServiceName};
-use dragonflywall::decide::admission::{self, Admission, Admitted, Ask, Released, Ticket, Turn};
+use dragonflywall::decide::admission::{
+    self, Admission, AdmitOutcome, ReleasedSlot, SlotRequest, Ticket, WaitOutcome,
+};
 use dragonflywall::decide::load_balancing::{
-    Balancer, Endpoint, Limits, Need, Observed, Ranked, Search,
+    AttemptOutcome, Balancer, Endpoint, FreeSlotSearch, RankedEndpoints, Requirements, TimeLimits,
 };
-use dragonflywall::decide::retry::{Attempts, Failed, RETRIES_PER_TREE, ServiceTokens};
+use dragonflywall::decide::retry::{AttemptFailure, Attempts, RETRIES_PER_TREE, ServiceTokens};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -147,7 +149,7 @@
     attempt: u32,
     attempts: Attempts,
     tried: Vec<NodeId>,
-    search: Search,
+    search: FreeSlotSearch,
     /// The attempt under way is a look.
     looking: bool,
     at: Option<(usize, Where)>,
@@ -156,11 +158,11 @@
 
 impl Stream {
     /// What a request that began at `began_us` asks of a gate.
-    fn ask(&self, began_us: u64) -> Ask {
-        Ask {
+    fn ask(&self, began_us: u64) -> SlotRequest {
+        SlotRequest {
             due_us: began_us + self.target_us,
-            patience_us: self.patience_us,
-            ..Ask::new(self.class, began_us + self.timeout_us)
+            max_wait_us: self.patience_us,
+            ..SlotRequest::new(self.class, began_us + self.timeout_us)
         }
     }
 }
@@ -181,7 +183,7 @@
 struct Entry {
     balancer: Balancer,
     tokens: ServiceTokens,
-    ranked: Ranked,
+    ranked: RankedEndpoints,
 }
 
 pub(crate) struct Simulation {
@@ -234,7 +236,7 @@
             }
         };
         let entry = |number: usize| {
-            let mut ranked = Ranked::default();
+            let mut ranked = RankedEndpoints::default();
             for member in &members {
                 ranked.add(node(1_000 + number as u16), &here, member);
             }
@@ -319,14 +321,14 @@
             attempt: 0,
             attempts: Attempts::new(&treatment, RETRIES_PER_TREE),
             tried: Vec::new(),
-            search: Search::default(),
+            search: FreeSlotSearch::default(),
             looking: false,
             at: None,
             ended: false,
         });
         self.seen.entry(stream.class).or_default().calls += 1;
         let entry = self.calls[call].entry;
-        self.entries[entry].tokens.entry_for(&service()).earn();
+        self.entries[entry].tokens.for_service(&service()).earn();
         self.attempt(call);
         let uniform: f64 = self.arrivals.random_range(0.000_001..1.0);
         let gap_us = (-uniform.ln() * SECOND as f64 / stream.per_s as f64) as u64;
@@ -345,11 +347,11 @@
             Policy::Ours => {
                 let entry = &mut self.entries[call.entry];
                 let left_us = |until_us: u64| until_us.saturating_sub(self.now_us);
-                let need = Need {
+                let need = Requirements {
                     spill: Spill::Region,
-                    slots: self.scenario.slots,
+                    default_slots: self.scenario.slots,
                     resource: &resource(call.stream.class),
-                    limits: Limits {
+                    limits: TimeLimits {
                         target_us: left_us(call.began_us + call.stream.target_us),
                         deadline_us: left_us(deadline_us),
                     },
@@ -360,8 +362,8 @@
                     .balancer
                     .choose(self.now_us, &entry.ranked, &need, &mut self.rng)
                     .expect("there are endpoints");
-                entry.balancer.begun(self.now_us, &chosen);
-                call.looking = self.scenario.looks && !call.search.waits_at(chosen.node);
+                entry.balancer.record_start(self.now_us, &chosen);
+                call.looking = self.scenario.looks && !call.search.queues_at(chosen.node);
                 (server_of(&chosen), deadline_us)
             }
             Policy::Plain => {
@@ -402,16 +404,16 @@
         let call = &self.calls[number];
         let mut ask = call.stream.ask(call.began_us);
         if call.looking {
-            ask.patience_us = 0;
+            ask.max_wait_us = 0;
         }
         let wake = || (number, attempt);
         let admitted = self.gates[server].ours.admit(self.now_us, &ask, wake);
         match admitted {
-            Admitted::Slot => self.start(number, attempt, server),
-            Admitted::Queued(ticket) => {
+            AdmitOutcome::Slot => self.start(number, attempt, server),
+            AdmitOutcome::Queued(ticket) => {
                 self.calls[number].at = Some((server, Where::Waiting(ticket)));
             }
-            Admitted::Refused(_) => self.reply(number, attempt, server, Answer::Refused),
+            AdmitOutcome::Refused(_) => self.reply(number, attempt, server, Answer::Refused),
         }
         self.settle(server);
     }
@@ -468,10 +470,10 @@
                 gate.cancel(ticket);
             }
             Where::Running { since_us } => {
-                let released = Released {
+                let released = ReleasedSlot {
                     class: call.stream.class,
                     resource: &resource(call.stream.class),
-                    held_us: self.now_us - since_us,
+                    service_time_us: self.now_us - since_us,
                     answered,
                 };
                 gate.release(self.now_us, &released);
@@ -499,11 +501,12 @@
     fn settle(&mut self, server: usize) {
         match self.policy {
             Policy::Ours => {
-                while let Some(((call, attempt), turn)) = self.gates[server].ours.next(self.now_us)
+                while let Some(((call, attempt), turn)) =
+                    self.gates[server].ours.end_next_wait(self.now_us)
                 {
                     match turn {
-                        Turn::Slot => self.start(call, attempt, server),
-                        Turn::Refused(_) => {
+                        WaitOutcome::Slot => self.start(call, attempt, server),
+                        WaitOutcome::Refused(_) => {
                             self.calls[call].at = None;
                             self.reply(call, attempt, server, Answer::Refused);
                         }
@@ -526,8 +529,8 @@
         let call = &self.calls[number];
         let latency_us = self.now_us - call.began_us;
         let observed = match answer {
-            Answer::Refused => Observed::Refused,
-            Answer::Good | Answer::Error => Observed::Answered {
+            Answer::Refused => AttemptOutcome::Refused,
+            Answer::Good | Answer::Error => AttemptOutcome::Answered {
                 server_error: answer == Answer::Error,
             },
         };
@@ -550,7 +553,7 @@
                 seen.errors += 1;
                 self.calls[number].ended = true;
             }
-            Answer::Refused => self.failed(number, server, Failed::NotRun),
+            Answer::Refused => self.failed(number, server, AttemptFailure::NotRun),
         }
     }
 
@@ -560,7 +563,7 @@
             self.release(number, false);
             if let Some((server, _)) = at {
                 self.settle(server);
-                self.observe(number, server, Observed::Lost);
+                self.observe(number, server, AttemptOutcome::Lost);
             }
         }
         let call = &mut self.calls[number];
@@ -574,30 +577,32 @@
         }
     }
 
-    fn observe(&mut self, call: usize, server: usize, observed: Observed) {
+    fn observe(&mut self, call: usize, server: usize, observed: AttemptOutcome) {
         let entry = &mut self.entries[self.calls[call].entry];
         let node = node(server as u16 + 1);
-        entry.balancer.observed(self.now_us, node, observed);
-        entry.balancer.ended(node);
+        entry.balancer.record_outcome(self.now_us, node, observed);
+        entry.balancer.record_end(node);
         let ask = self.calls[call].stream.ask(self.now_us);
         let gate = &self.gates[server].ours;
         let resource = resource(ask.class);
         // A price list.
-        entry.balancer.answered(&resource, 5_000);
-        let load = gate.load(self.now_us, &ask, &resource);
-        entry.balancer.reported(self.now_us, node, &resource, load);
+        entry.balancer.record_response_size(&resource, 5_000);
+        let load = gate.load_report(self.now_us, &ask, &resource);
+        entry
+            .balancer
+            .record_load(self.now_us, node, &resource, load);
     }
 
-    fn failed(&mut self, number: usize, server: usize, failed: Failed) {
+    fn failed(&mut self, number: usize, server: usize, failed: AttemptFailure) {
         let call = &mut self.calls[number];
         call.at = None;
         if call.looking {
-            call.search.busy(node(server as u16 + 1));
+            call.search.record_busy(node(server as u16 + 1));
             return self.attempt(number);
         }
         call.tried.push(node(server as u16 + 1));
-        let tokens = self.entries[call.entry].tokens.entry_for(&service());
-        if call.attempts.again(failed, tokens) {
+        let tokens = self.entries[call.entry].tokens.for_service(&service());
+        if call.attempts.take_retry(failed, tokens) {
             self.attempt(number);
         } else {
             call.ended = true;
