--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -16,7 +16,7 @@
 use super::load_balancing::LoadReport;
 use super::service_times::ServiceTimes;
 use crate::core::configuration::{Class, PRIORITY_DEFAULT};
-use crate::core::mechanism::{Mechanism, Without};
+use crate::core::mechanism::{Mechanism, MechanismSwitches};
 use crate::core::names::ResourceName;
 
 new_key_type! {
@@ -80,17 +80,19 @@
         }
     }
 
-    fn queue_key(&self, without: Without) -> QueueKey {
+    fn queue_key(&self, without: MechanismSwitches) -> QueueKey {
         let priority = match self.priority {
-            Priority::NestedCall if without.has(Mechanism::CallsFirst) => Priority::NestedCall,
-            Priority::CallerRequest { rank } if without.has(Mechanism::Ranks) => {
+            Priority::NestedCall if without.is_enabled(Mechanism::NestedCallsFirst) => {
+                Priority::NestedCall
+            }
+            Priority::CallerRequest { rank } if without.is_enabled(Mechanism::PriorityOrder) => {
                 Priority::CallerRequest { rank }
             }
             _ => Priority::CallerRequest {
                 rank: PRIORITY_DEFAULT,
             },
         };
-        let due_us = match without.has(Mechanism::DueOrder) {
+        let due_us = match without.is_enabled(Mechanism::DeadlineOrder) {
             true => self.due_us,
             false => 0,
         };
@@ -163,7 +165,7 @@
 /// microseconds of any steady clock.
 #[derive(Debug)]
 pub struct Admission<W> {
-    without: Without,
+    without: MechanismSwitches,
     limits: Limits,
     closed: bool,
     waiting: SlotMap<Ticket, WaitingRequest<W>>,
@@ -207,13 +209,13 @@
 
 impl<W> Default for Admission<W> {
     fn default() -> Self {
-        Self::new(Without::default())
+        Self::new(MechanismSwitches::default())
     }
 }
 
 impl<W> Admission<W> {
     /// No slots yet.
-    pub fn new(without: Without) -> Self {
+    pub fn new(without: MechanismSwitches) -> Self {
         Self {
             without,
             limits: Limits::default(),
@@ -522,7 +524,7 @@
         let slots = self.limits.slots;
         let requested_recently =
             |request_us| now_us.saturating_sub(request_us) < BULK_RESERVE_TIMEOUT_US;
-        let reserve_enabled = self.without.has(Mechanism::BulkReserve);
+        let reserve_enabled = self.without.is_enabled(Mechanism::BulkReserve);
         if reserve_enabled
             && self
                 .interactive
--- a/src/decide/load_balancing.rs
+++ b/src/decide/load_balancing.rs
@@ -14,7 +14,7 @@
 use self::endpoint_stats::{EJECTION_MAX_US, EndpointStats};
 use super::uploads::SMALL_BODY_MAX_BYTES;
 use crate::core::configuration::Spill;
-use crate::core::mechanism::{Mechanism, Without};
+use crate::core::mechanism::{Mechanism, MechanismSwitches};
 use crate::core::member::{Distance, Member, NodeId, Place};
 use crate::core::names::ResourceName;
 
@@ -136,7 +136,7 @@
 /// What one entry has seen of endpoints. Times are microseconds of any steady clock.
 #[derive(Debug, Default)]
 pub struct Balancer {
-    without: Without,
+    without: MechanismSwitches,
     stats_by_node: HashMap<NodeId, EndpointStats>,
     /// Mean length of answers, by resource.
     response_bytes: HashMap<ResourceName, f64>,
@@ -144,7 +144,7 @@
 
 impl Balancer {
     /// Nothing seen yet.
-    pub fn new(without: Without) -> Self {
+    pub fn new(without: MechanismSwitches) -> Self {
         Self {
             without,
             ..Self::default()
@@ -409,11 +409,11 @@
         endpoints: &'a [Endpoint],
         filter: EndpointFilter<'_>,
     ) -> Vec<&'a Endpoint> {
-        let max_count = match self.without.has(Mechanism::Subset) {
+        let max_count = match self.without.is_enabled(Mechanism::Subset) {
             true => SUBSET_SIZE,
             false => endpoints.len(),
         };
-        let ejection_enabled = self.without.has(Mechanism::Ejection);
+        let ejection_enabled = self.without.is_enabled(Mechanism::Ejection);
         let mut eligible = Vec::with_capacity(max_count.min(endpoints.len()));
         let mut matching = Vec::with_capacity(max_count.min(endpoints.len()));
         for endpoint in endpoints {
--- a/src/decide/load_balancing/cost.rs
+++ b/src/decide/load_balancing/cost.rs
@@ -2,7 +2,7 @@
 //!
 //! Costs are compared with each other and mean little alone: 1 is a request that is not answered.
 
-use crate::core::mechanism::{Mechanism, Without};
+use crate::core::mechanism::{Mechanism, MechanismSwitches};
 use crate::core::member::Distance;
 
 /// A late answer is worth about a third of one in time to the users, who weigh it so themselves.
@@ -72,7 +72,11 @@
 ///
 /// How long work takes scatters like an exponential, so the part that comes too late is taken from one with
 /// the endpoint's mean. The nearest endpoint does not go first by itself: a fast one elsewhere may answer sooner.
-pub(super) fn of_candidate(candidate: &Candidate, limits: TimeLimits, without: Without) -> f64 {
+pub(super) fn of_candidate(
+    candidate: &Candidate,
+    limits: TimeLimits,
+    without: MechanismSwitches,
+) -> f64 {
     let slots = candidate.slots.max(1.0);
     let queued = (candidate.in_flight + 1.0 - slots).max(0.0);
     let queue_rounds = queued / slots;
@@ -88,19 +92,21 @@
     let queue_rounds = queue_rounds + candidate.upload_time_us / candidate.service_time_us.max(1.0);
     let transfer = transfer_cost_per_kb(candidate.distance) * candidate.size_kb.max(MIN_SIZE_KB);
     let terms = [
-        (Mechanism::CostWait, WAIT_COST * queue_rounds),
-        (Mechanism::CostBusy, BUSY_COST * utilisation.powi(3)),
+        (Mechanism::CostQueued, WAIT_COST * queue_rounds),
+        (Mechanism::CostSlotsInUse, BUSY_COST * utilisation.powi(3)),
         (
-            Mechanism::CostFailing,
+            Mechanism::CostFailures,
             FAILURE_COST * candidate.failure_rate,
         ),
         (
-            Mechanism::CostAsked,
+            Mechanism::CostOutstanding,
             UNMEASURED_COST * candidate.unmeasured_outstanding,
         ),
-        (Mechanism::CostCrossing, transfer),
+        (Mechanism::CostCrossZone, transfer),
     ];
-    let enabled = terms.into_iter().filter(|(term, _)| without.has(*term));
+    let enabled = terms
+        .into_iter()
+        .filter(|(term, _)| without.is_enabled(*term));
     let enabled: f64 = enabled.map(|(_, cost)| cost).sum();
     LATE_COST * probability_after(limits.target_us)
         + LOST_COST * probability_after(limits.deadline_us)
--- a/tests/testsuite/mechanisms.rs
+++ b/tests/testsuite/mechanisms.rs
@@ -1,7 +1,7 @@
 //! Mechanisms that an operator switches off: their names, and that each decision goes without.
 
 use dragonflywall::core::configuration::Class;
-use dragonflywall::core::mechanism::{Mechanism, Without};
+use dragonflywall::core::mechanism::{Mechanism, MechanismSwitches};
 use dragonflywall::core::names::ServiceName;
 use dragonflywall::decide::admission::{Admission, AdmitOutcome, Limits, Priority, SlotRequest};
 use dragonflywall::decide::load_balancing::FreeSlotSearch;
@@ -15,7 +15,7 @@
 const FAR_DEADLINE_US: u64 = u64::MAX / 4;
 
 /// The order in which four requests that wait for one slot get it: (rank, due) of each, in order of arrival.
-fn grant_order(without: Without, waiting: [(Priority, u64); 4]) -> Vec<usize> {
+fn grant_order(without: MechanismSwitches, waiting: [(Priority, u64); 4]) -> Vec<usize> {
     let mut admission: Admission<usize> = Admission::new(without);
     admission.set_limits(Limits {
         slots: 1,
@@ -48,7 +48,10 @@
         (rank(1), 10),
         (Priority::NestedCall, 40),
     ];
-    assert_eq!(grant_order(Without::default(), waiting), [3, 2, 1, 0]);
+    assert_eq!(
+        grant_order(MechanismSwitches::default(), waiting),
+        [3, 2, 1, 0]
+    );
     let without = |names: &str| names.parse().expect("they are known");
     assert_eq!(grant_order(without("due-order"), waiting), [3, 1, 2, 0]);
     assert_eq!(grant_order(without("calls-first"), waiting), [2, 1, 3, 0]);
@@ -78,15 +81,20 @@
             .filter(|_| admission.admit(2, &bulk, || ()) == AdmitOutcome::Slot)
             .count()
     };
-    assert_eq!(bulk_slots(Without::default()), 6);
-    assert_eq!(bulk_slots(Without::only(Mechanism::BulkReserve)), 8);
+    assert_eq!(bulk_slots(MechanismSwitches::default()), 6);
+    assert_eq!(
+        bulk_slots(MechanismSwitches::disabling(Mechanism::BulkReserve)),
+        8
+    );
 }
 
 #[test]
 fn request_queues_at_its_first_endpoint_without_probes() {
     let waits = |without| FreeSlotSearch::new(without).queues_at(node(1));
-    assert!(!waits(Without::default()));
-    assert!(waits(Without::only(Mechanism::FreeSlotLooks)));
+    assert!(!waits(MechanismSwitches::default()));
+    assert!(waits(MechanismSwitches::disabling(
+        Mechanism::FreeSlotProbes
+    )));
 }
 
 #[test]
@@ -100,9 +108,15 @@
         };
         (0..100).filter(again).count()
     };
-    assert_eq!(retries(Without::default()), 10);
-    assert_eq!(retries(Without::only(Mechanism::RetryReserve)), 1);
-    assert_eq!(retries(Without::only(Mechanism::RetryTokens)), 100);
+    assert_eq!(retries(MechanismSwitches::default()), 10);
+    assert_eq!(
+        retries(MechanismSwitches::disabling(Mechanism::RetryBurst)),
+        1
+    );
+    assert_eq!(
+        retries(MechanismSwitches::disabling(Mechanism::RetryBudget)),
+        100
+    );
 }
 
 #[test]
