--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -80,19 +80,19 @@
         }
     }
 
-    fn queue_key(&self, without: MechanismSwitches) -> QueueKey {
+    fn queue_key(&self, switches: MechanismSwitches) -> QueueKey {
         let priority = match self.priority {
-            Priority::NestedCall if without.is_enabled(Mechanism::NestedCallsFirst) => {
+            Priority::NestedCall if switches.is_enabled(Mechanism::NestedCallsFirst) => {
                 Priority::NestedCall
             }
-            Priority::CallerRequest { rank } if without.is_enabled(Mechanism::PriorityOrder) => {
+            Priority::CallerRequest { rank } if switches.is_enabled(Mechanism::PriorityOrder) => {
                 Priority::CallerRequest { rank }
             }
             _ => Priority::CallerRequest {
                 rank: PRIORITY_DEFAULT,
             },
         };
-        let due_us = match without.is_enabled(Mechanism::DeadlineOrder) {
+        let due_us = match switches.is_enabled(Mechanism::DeadlineOrder) {
             true => self.due_us,
             false => 0,
         };
@@ -165,7 +165,7 @@
 /// microseconds of any steady clock.
 #[derive(Debug)]
 pub struct Admission<W> {
-    without: MechanismSwitches,
+    switches: MechanismSwitches,
     limits: Limits,
     closed: bool,
     waiting: SlotMap<Ticket, WaitingRequest<W>>,
@@ -215,9 +215,9 @@
 
 impl<W> Admission<W> {
     /// No slots yet.
-    pub fn new(without: MechanismSwitches) -> Self {
+    pub fn new(switches: MechanismSwitches) -> Self {
         Self {
-            without,
+            switches,
             limits: Limits::default(),
             closed: false,
             waiting: SlotMap::with_key(),
@@ -476,7 +476,7 @@
     }
 
     fn queue_key(&self, request: &SlotRequest) -> QueueKey {
-        request.queue_key(self.without)
+        request.queue_key(self.switches)
     }
 
     fn refusal(&self, cause: RefusalCause, request: &SlotRequest) -> Refusal {
@@ -524,7 +524,7 @@
         let slots = self.limits.slots;
         let requested_recently =
             |request_us| now_us.saturating_sub(request_us) < BULK_RESERVE_TIMEOUT_US;
-        let reserve_enabled = self.without.is_enabled(Mechanism::BulkReserve);
+        let reserve_enabled = self.switches.is_enabled(Mechanism::BulkReserve);
         if reserve_enabled
             && self
                 .interactive
--- a/src/decide/connections.rs
+++ b/src/decide/connections.rs
@@ -66,7 +66,7 @@
 /// a request that crosses the close was not read, so it may be sent again. An address that opens connection
 /// after connection loses its own first.
 #[derive(Debug)]
-pub struct CallerConnections {
+pub struct ConnectionTable {
     limits: ConnectionLimits,
     open: SlotMap<ConnectionKey, OpenConnection>,
     count_by_address: HashMap<IpAddr, u32>,
@@ -75,7 +75,7 @@
     last_idle_sequence: u64,
 }
 
-impl CallerConnections {
+impl ConnectionTable {
     /// None yet.
     pub fn new(limits: ConnectionLimits) -> Self {
         Self {
--- a/src/decide/load_balancing.rs
+++ b/src/decide/load_balancing.rs
@@ -136,7 +136,7 @@
 /// What one entry has seen of endpoints. Times are microseconds of any steady clock.
 #[derive(Debug, Default)]
 pub struct Balancer {
-    without: MechanismSwitches,
+    switches: MechanismSwitches,
     stats_by_node: HashMap<NodeId, EndpointStats>,
     /// Mean length of answers, by resource.
     response_bytes: HashMap<ResourceName, f64>,
@@ -144,9 +144,9 @@
 
 impl Balancer {
     /// Nothing seen yet.
-    pub fn new(without: MechanismSwitches) -> Self {
+    pub fn new(switches: MechanismSwitches) -> Self {
         Self {
-            without,
+            switches,
             ..Self::default()
         }
     }
@@ -216,7 +216,7 @@
                     size_kb,
                     ..candidate
                 };
-                let cost = cost::of_candidate(&candidate, requirements.limits, self.without)
+                let cost = cost::of_candidate(&candidate, requirements.limits, self.switches)
                     + rng.random_range(0.0..TIE_BREAK_NOISE);
                 if cost < lowest_cost {
                     lowest_cost = cost;
@@ -409,11 +409,11 @@
         endpoints: &'a [Endpoint],
         filter: EndpointFilter<'_>,
     ) -> Vec<&'a Endpoint> {
-        let max_count = match self.without.is_enabled(Mechanism::Subset) {
+        let max_count = match self.switches.is_enabled(Mechanism::Subset) {
             true => SUBSET_SIZE,
             false => endpoints.len(),
         };
-        let ejection_enabled = self.without.is_enabled(Mechanism::Ejection);
+        let ejection_enabled = self.switches.is_enabled(Mechanism::Ejection);
         let mut eligible = Vec::with_capacity(max_count.min(endpoints.len()));
         let mut matching = Vec::with_capacity(max_count.min(endpoints.len()));
         for endpoint in endpoints {
--- a/src/decide/load_balancing/cost.rs
+++ b/src/decide/load_balancing/cost.rs
@@ -75,7 +75,7 @@
 pub(super) fn of_candidate(
     candidate: &Candidate,
     limits: TimeLimits,
-    without: MechanismSwitches,
+    switches: MechanismSwitches,
 ) -> f64 {
     let slots = candidate.slots.max(1.0);
     let queued = (candidate.in_flight + 1.0 - slots).max(0.0);
@@ -106,7 +106,7 @@
     ];
     let enabled = terms
         .into_iter()
-        .filter(|(term, _)| without.is_enabled(*term));
+        .filter(|(term, _)| switches.is_enabled(*term));
     let enabled: f64 = enabled.map(|(_, cost)| cost).sum();
     LATE_COST * probability_after(limits.target_us)
         + LOST_COST * probability_after(limits.deadline_us)
--- a/src/decide/load_balancing/free_slot_search.rs
+++ b/src/decide/load_balancing/free_slot_search.rs
@@ -12,22 +12,22 @@
 /// has a slot, so whoever has looked at some of them waits where the queue is known to be short.
 #[derive(Clone, Debug, Default)]
 pub struct FreeSlotSearch {
-    without: MechanismSwitches,
+    switches: MechanismSwitches,
     busy_endpoints: Vec<NodeId>,
 }
 
 impl FreeSlotSearch {
     /// None looked at yet.
-    pub fn new(without: MechanismSwitches) -> Self {
+    pub fn new(switches: MechanismSwitches) -> Self {
         Self {
-            without,
+            switches,
             busy_endpoints: Vec::new(),
         }
     }
 
     /// Whether the request, which is placed at `node`, waits there if no slot is free.
     pub fn queues_at(&self, node: NodeId) -> bool {
-        let probes_max = match self.without.is_enabled(Mechanism::FreeSlotProbes) {
+        let probes_max = match self.switches.is_enabled(Mechanism::FreeSlotProbes) {
             true => FREE_SLOT_PROBES_MAX,
             false => 0,
         };
--- a/src/decide/max_wait.rs
+++ b/src/decide/max_wait.rs
@@ -11,9 +11,9 @@
 
 /// How long a caller's request of this treatment waits for a slot, where the team has said how soon it
 /// wants the answer; without that, as long as the deadline allows.
-pub fn for_caller_request(treatment: &Treatment, without: MechanismSwitches) -> Duration {
+pub fn for_caller_request(treatment: &Treatment, switches: MechanismSwitches) -> Duration {
     let target_ms = treatment.target_latency_ms;
-    match target_ms.filter(|_| without.is_enabled(Mechanism::QueueWaitLimit)) {
+    match target_ms.filter(|_| switches.is_enabled(Mechanism::QueueWaitLimit)) {
         None => timeout(treatment),
         Some(target_ms) => Duration::from_millis(u64::from(target_ms)) / MAX_WAIT_DIVISOR,
     }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -164,13 +164,13 @@
     }
 
     /// The same with some mechanisms switched off.
-    pub fn without(self, without: MechanismSwitches) -> Self {
+    pub fn with_switches(self, switches: MechanismSwitches) -> Self {
         Self {
-            reserve: match without.is_enabled(Mechanism::RetryBurst) {
+            reserve: match switches.is_enabled(Mechanism::RetryBurst) {
                 true => self.reserve,
                 false => RESERVE_MIN,
             },
-            unlimited: !without.is_enabled(Mechanism::RetryBudget),
+            unlimited: !switches.is_enabled(Mechanism::RetryBudget),
             ..self
         }
     }
--- a/src/proxy/caller_connections.rs
+++ b/src/proxy/caller_connections.rs
@@ -6,9 +6,9 @@
 use slotmap::SecondaryMap;
 use tokio::sync::oneshot;
 
-use crate::decide::connections::{CallerConnections, ConnectionKey, ConnectionLimits};
+use crate::decide::connections::{ConnectionKey, ConnectionLimits, ConnectionTable};
 
-/// Connections by caller; see [`CallerConnections`].
+/// Connections by caller; see [`ConnectionTable`].
 #[derive(Clone, Debug)]
 pub(crate) struct CallerConnections {
     state: Arc<Mutex<State>>,
@@ -16,7 +16,7 @@
 
 #[derive(Debug)]
 struct State {
-    connections: CallerConnections,
+    connections: ConnectionTable,
     /// Wakes the idle ones.
     close_senders: SecondaryMap<ConnectionKey, oneshot::Sender<()>>,
 }
@@ -24,7 +24,7 @@
 impl CallerConnections {
     pub(crate) fn new(limits: ConnectionLimits) -> Self {
         let state = State {
-            connections: CallerConnections::new(limits),
+            connections: ConnectionTable::new(limits),
             close_senders: SecondaryMap::new(),
         };
         Self {
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -189,7 +189,7 @@
         let (percent, reserve) = (tunable.retry_percent, tunable.retry_reserve);
         let policy = RetryPolicy::for_entry(percent, reserve, self.view.load().alive_count());
         self.retry_tokens()
-            .set_policy(policy.without(self.without()));
+            .set_policy(policy.with_switches(self.without()));
     }
 
     pub(crate) fn retry_tokens(&self) -> MutexGuard<'_, ServiceTokens> {
--- a/tests/testsuite/decide_connections.rs
+++ b/tests/testsuite/decide_connections.rs
@@ -2,14 +2,14 @@
 
 use std::net::IpAddr;
 
-use dragonflywall::decide::connections::{CallerConnections, ConnectionLimits};
+use dragonflywall::decide::connections::{ConnectionLimits, ConnectionTable};
 
 fn address(last: u8) -> IpAddr {
     IpAddr::from([10, 0, 0, last])
 }
 
-fn connections(max_total: u32, max_per_address: u32) -> CallerConnections {
-    CallerConnections::new(ConnectionLimits {
+fn connections(max_total: u32, max_per_address: u32) -> ConnectionTable {
+    ConnectionTable::new(ConnectionLimits {
         max_total,
         max_per_address,
     })
--- a/tests/testsuite/mechanisms.rs
+++ b/tests/testsuite/mechanisms.rs
@@ -15,8 +15,8 @@
 const FAR_DEADLINE_US: u64 = u64::MAX / 4;
 
 /// The order in which four requests that wait for one slot get it: (rank, due) of each, in order of arrival.
-fn grant_order(without: MechanismSwitches, waiting: [(Priority, u64); 4]) -> Vec<usize> {
-    let mut admission: Admission<usize> = Admission::new(without);
+fn grant_order(switches: MechanismSwitches, waiting: [(Priority, u64); 4]) -> Vec<usize> {
+    let mut admission: Admission<usize> = Admission::new(switches);
     admission.set_limits(Limits {
         slots: 1,
         queue_len: 10,
@@ -52,23 +52,23 @@
         grant_order(MechanismSwitches::default(), waiting),
         [3, 2, 1, 0]
     );
-    let without = |names: &str| names.parse().expect("they are known");
-    assert_eq!(grant_order(without("due-order"), waiting), [3, 1, 2, 0]);
-    assert_eq!(grant_order(without("calls-first"), waiting), [2, 1, 3, 0]);
+    let disabling = |names: &str| names.parse().expect("they are known");
+    assert_eq!(grant_order(disabling("due-order"), waiting), [3, 1, 2, 0]);
+    assert_eq!(grant_order(disabling("calls-first"), waiting), [2, 1, 3, 0]);
     assert_eq!(
-        grant_order(without("ranks,calls-first"), waiting),
+        grant_order(disabling("ranks,calls-first"), waiting),
         [2, 1, 0, 3]
     );
     assert_eq!(
-        grant_order(without("ranks,calls-first,due-order"), waiting),
+        grant_order(disabling("ranks,calls-first,due-order"), waiting),
         [0, 1, 2, 3]
     );
 }
 
 #[test]
 fn bulk_work_takes_every_slot_without_the_reserve() {
-    let bulk_slots = |without| {
-        let mut admission: Admission<()> = Admission::new(without);
+    let bulk_slots = |switches| {
+        let mut admission: Admission<()> = Admission::new(switches);
         admission.set_limits(Limits {
             slots: 8,
             queue_len: 8,
@@ -90,7 +90,7 @@
 
 #[test]
 fn request_queues_at_its_first_endpoint_without_probes() {
-    let waits = |without| FreeSlotSearch::new(without).queues_at(node(1));
+    let waits = |switches| FreeSlotSearch::new(switches).queues_at(node(1));
     assert!(!waits(MechanismSwitches::default()));
     assert!(waits(MechanismSwitches::disabling(
         Mechanism::FreeSlotProbes
@@ -99,9 +99,9 @@
 
 #[test]
 fn retries_are_limited_by_tokens_and_their_reserve() {
-    let retries = |without| {
+    let retries = |switches| {
         let mut tokens = ServiceTokens::default();
-        tokens.set_policy(RetryPolicy::default().without(without));
+        tokens.set_policy(RetryPolicy::default().with_switches(switches));
         let of_service = tokens.for_service(&ServiceName::new("tablon"));
         let again = |_: &i32| {
             Attempts::new(&treatment(true), 8).take_retry(AttemptFailure::NotRun, of_service)
