--- a/src/distribution/fetch.rs
+++ b/src/distribution/fetch.rs
@@ -27,7 +27,7 @@
 use super::first_seen::FirstSeen;
 use crate::core::member::{Distance, NodeId};
 use crate::core::version::{Stamp, Version};
-use crate::decide::pacing::{Backoff, jittered_ms};
+use crate::decide::backoff::{Backoff, jittered_ms};
 use crate::membership::neighbours::node_hash;
 
 /// Delay between the gateways of a region: several round trips between regions.
@@ -275,7 +275,7 @@
             }
         };
         let random = node_hash(self.me, &now_ms.to_string());
-        self.not_before_ms = now_ms + jittered_ms(RETRY_BACKOFF.pause_ms(self.failures), random);
+        self.not_before_ms = now_ms + jittered_ms(RETRY_BACKOFF.delay_ms(self.failures), random);
         self.failures += 1;
     }
 
--- a/src/distribution/lead_choice.rs
+++ b/src/distribution/lead_choice.rs
@@ -13,7 +13,7 @@
 use super::fetch::Peer;
 use crate::core::member::NodeId;
 use crate::core::version::Version;
-use crate::decide::pacing::Backoff;
+use crate::decide::backoff::Backoff;
 
 /// How long a lead is not asked after it failed to answer or could not read the store.
 const LEAD_SKIP_MS: u64 = 3_000;
@@ -197,7 +197,7 @@
     pub fn store_failed(&mut self, failure: StoreFailure, budget: ApplyBudget) -> u64 {
         self.store_tried = true;
         let pause_ms = match self.leads.is_lead {
-            true => RETRY_BACKOFF.pause_ms(self.failures),
+            true => RETRY_BACKOFF.delay_ms(self.failures),
             false => budget.non_lead_store_pause_ms(),
         };
         self.failures += 1;
--- a/src/membership/discovery.rs
+++ b/src/membership/discovery.rs
@@ -10,7 +10,7 @@
 use super::view::Membership;
 use crate::core::member::{Liveness, NodeId};
 use crate::core::version::Version;
-use crate::decide::pacing::Backoff;
+use crate::decide::backoff::Backoff;
 
 /// Longest pause between two probes of one dead member. Few nodes probe a member, so this limit is
 /// not needed to bound the traffic; it bounds how long two sides of a healed partition take to find
@@ -74,7 +74,7 @@
         if now_ms < self.next_join_ms || self.seeds.is_empty() || !self.is_alone() {
             return Vec::new();
         }
-        let pause_ms = JOIN_BACKOFF.pause_ms(self.join_attempts);
+        let pause_ms = JOIN_BACKOFF.delay_ms(self.join_attempts);
         self.next_join_ms = now_ms + self.jittered(pause_ms, now_ms);
         let nearest = self.join_attempts as usize % self.seeds.len();
         self.join_attempts += 1;
--- a/src/membership/link.rs
+++ b/src/membership/link.rs
@@ -6,7 +6,7 @@
 use super::neighbours::NeighbourKind;
 use crate::core::member::NodeId;
 use crate::core::version::Version;
-use crate::decide::pacing::Backoff;
+use crate::decide::backoff::Backoff;
 
 /// How long reports and summaries are batched before they start an exchange. They only inform
 /// operators, for whom half a second is no delay, and the 87 reports after a publication then
@@ -187,7 +187,7 @@
     /// Records that the exchange failed, and sets the pause before the next one.
     pub fn exchange_failed(&mut self, now_ms: u64) {
         self.in_flight = false;
-        self.not_before_ms = now_ms + RETRY_BACKOFF.pause_ms(self.failures);
+        self.not_before_ms = now_ms + RETRY_BACKOFF.delay_ms(self.failures);
         self.failures += 1;
     }
 
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -201,7 +201,7 @@
     /// Returns the limits for callers' connections, from the limits for descriptors, memory and one caller address.
     pub(crate) fn connection_limits(&self) -> ConnectionLimits {
         let descriptors = self.descriptors_max.unwrap_or_else(descriptors::allowed);
-        ConnectionLimits::of_process(descriptors, self.memory_mb, self.caller_connections_max)
+        ConnectionLimits::for_process(descriptors, self.memory_mb, self.caller_connections_max)
     }
 
     /// Returns the options for connections to other nodes.
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -52,7 +52,7 @@
         let vocabulary = vocabulary_of(settings.dialect);
         let proxy = Arc::new(ProxyState::new(settings, vocabulary, local_node));
         let announcements = match proxy.header_profile.instance {
-            Some(_) => Announcements::doubtful(),
+            Some(_) => Announcements::requiring_confirmation(),
             None => Announcements::default(),
         };
         Arc::new(Self {
--- a/src/proxy/uploads.rs
+++ b/src/proxy/uploads.rs
@@ -1,4 +1,4 @@
-//! Takes in the large bodies that come to a gate; see [`crate::decide::intake`].
+//! Takes in the large bodies that come to a gate; see [`crate::decide::uploads`].
 //!
 //! An entry asks for a turn before it sends any byte of a large body to another node ([`reserve`]); the
 //! body then comes with the turn that it was given ([`receive`]).
@@ -21,7 +21,7 @@
 use super::hop::Hop;
 use super::replay;
 use crate::core::mechanism::Mechanism;
-use crate::decide::intake::SMALL_BYTES;
+use crate::decide::uploads::SMALL_BODY_MAX_BYTES;
 use crate::proxy::state::ProxyState;
 
 use self::permits::UploadPermit;
@@ -65,7 +65,7 @@
 ) -> Result<Body, Failure> {
     let len_bytes = body.size_hint().upper();
     let uses_permits = node.without().is_enabled(Mechanism::UploadScheduling);
-    if !uses_permits || len_bytes.is_some_and(|len_bytes| len_bytes <= SMALL_BYTES) {
+    if !uses_permits || len_bytes.is_some_and(|len_bytes| len_bytes <= SMALL_BODY_MAX_BYTES) {
         return Ok(body);
     }
     let permit = match source {
--- a/src/store/patient.rs
+++ b/src/store/patient.rs
@@ -5,7 +5,7 @@
 
 use super::{Error, ObjectStore, Outcome, Result, Row, Table, Transaction};
 use crate::core::version::Digest;
-use crate::decide::pacing::{Backoff, jittered_ms};
+use crate::decide::backoff::{Backoff, jittered_ms};
 
 /// Tries in all. With the waits below they span about 3 s: a herd of 520 restarting nodes, each
 /// with a handful of reads, is through the table's 2,000 reads a second by then. An operator who
@@ -45,7 +45,7 @@
     for earlier_tries in 0..TRIES - 1 {
         match call().await {
             Err(Error::Busy) => {
-                let wait_ms = jittered_ms(WAIT.pause_ms(earlier_tries), rand::random());
+                let wait_ms = jittered_ms(WAIT.delay_ms(earlier_tries), rand::random());
                 tokio::time::sleep(Duration::from_millis(wait_ms)).await;
             }
             Err(Error::OutcomeUnknown { .. } | Error::Silent { .. })
--- a/tests/testsuite/simulation.rs
+++ b/tests/testsuite/simulation.rs
@@ -9,15 +9,17 @@
 use dragonflywall::core::configuration::{Class, PRIORITY_DEFAULT, Spill, Treatment};
 use dragonflywall::core::member::{Member, NodeId};
 use dragonflywall::core::names::{ResourceName, ServiceName};
-use dragonflywall::decide::admission::{self, Admission, Admitted, Ask, Released, Ticket, Turn};
-use dragonflywall::decide::placement::{
-    Balancer, Endpoint, Limits, Need, Observed, Ranked, Search,
+use dragonflywall::decide::admission::{
+    self, Admission, AdmitOutcome, ReleasedSlot, SlotRequest, Ticket, WaitOutcome,
 };
-use dragonflywall::decide::retry::{Attempts, Failed, RETRIES_PER_TREE, ServiceTokens};
+use dragonflywall::decide::load_balancing::{
+    AttemptOutcome, Balancer, Endpoint, FreeSlotSearch, RankedEndpoints, Requirements, TimeLimits,
+};
+use dragonflywall::decide::retry::{AttemptFailure, Attempts, RETRIES_PER_TREE, ServiceTokens};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::decide_placement::{member, node, place};
+use crate::decide_load_balancing::{member, node, place};
 
 pub(crate) const MS: u64 = 1_000;
 pub(crate) const SECOND: u64 = 1_000 * MS;
@@ -148,7 +150,7 @@
     attempt: u32,
     attempts: Attempts,
     tried: Vec<NodeId>,
-    search: Search,
+    search: FreeSlotSearch,
     /// The current attempt only checks for a free slot, and does not wait.
     checking_slot: bool,
     current_attempt: Option<(usize, AttemptState)>,
@@ -157,11 +159,11 @@
 
 impl Stream {
     /// What a request that began at `began_us` requires of a gate.
-    fn ask(&self, began_us: u64) -> Ask {
-        Ask {
+    fn ask(&self, began_us: u64) -> SlotRequest {
+        SlotRequest {
             due_us: began_us + self.target_us,
-            patience_us: self.patience_us,
-            ..Ask::new(self.class, began_us + self.timeout_us)
+            max_wait_us: self.patience_us,
+            ..SlotRequest::new(self.class, began_us + self.timeout_us)
         }
     }
 }
@@ -182,7 +184,7 @@
 struct Entry {
     balancer: Balancer,
     tokens: ServiceTokens,
-    ranked: Ranked,
+    ranked: RankedEndpoints,
 }
 
 pub(crate) struct Simulation {
@@ -235,7 +237,7 @@
             }
         };
         let entry = |number: usize| {
-            let mut ranked = Ranked::default();
+            let mut ranked = RankedEndpoints::default();
             for member in &members {
                 ranked.add(node(1_000 + number as u16), &here, member);
             }
@@ -320,14 +322,14 @@
             attempt: 0,
             attempts: Attempts::new(&treatment, RETRIES_PER_TREE),
             tried: Vec::new(),
-            search: Search::default(),
+            search: FreeSlotSearch::default(),
             checking_slot: false,
             current_attempt: None,
             ended: false,
         });
         self.outcomes.entry(stream.class).or_default().calls += 1;
         let entry = self.calls[call].entry;
-        self.entries[entry].tokens.entry_for(&service()).earn();
+        self.entries[entry].tokens.for_service(&service()).earn();
         self.attempt(call);
         let uniform: f64 = self.arrival_rng.random_range(0.000_001..1.0);
         let gap_us = (-uniform.ln() * SECOND as f64 / stream.requests_per_s as f64) as u64;
@@ -346,11 +348,11 @@
             Policy::Product => {
                 let entry = &mut self.entries[call.entry];
                 let left_us = |until_us: u64| until_us.saturating_sub(self.now_us);
-                let need = Need {
+                let need = Requirements {
                     spill: Spill::Region,
-                    slots: self.scenario.slots,
+                    default_slots: self.scenario.slots,
                     resource: &resource(call.stream.class),
-                    limits: Limits {
+                    limits: TimeLimits {
                         target_us: left_us(call.began_us + call.stream.target_us),
                         deadline_us: left_us(deadline_us),
                     },
@@ -361,9 +363,9 @@
                     .balancer
                     .choose(self.now_us, &entry.ranked, &need, &mut self.rng)
                     .expect("there is an endpoint");
-                entry.balancer.begun(self.now_us, &chosen);
+                entry.balancer.record_start(self.now_us, &chosen);
                 call.checking_slot =
-                    self.scenario.checks_free_slots && !call.search.waits_at(chosen.node);
+                    self.scenario.checks_free_slots && !call.search.queues_at(chosen.node);
                 (server_of(&chosen), deadline_us)
             }
             Policy::Baseline => {
@@ -406,18 +408,18 @@
         let call = &self.calls[number];
         let mut ask = call.stream.ask(call.began_us);
         if call.checking_slot {
-            ask.patience_us = 0;
+            ask.max_wait_us = 0;
         }
         let wake = || (number, attempt);
         let admitted = self.gates[server]
             .product_admission
             .admit(self.now_us, &ask, wake);
         match admitted {
-            Admitted::Slot => self.start(number, attempt, server),
-            Admitted::Queued(ticket) => {
+            AdmitOutcome::Slot => self.start(number, attempt, server),
+            AdmitOutcome::Queued(ticket) => {
                 self.calls[number].current_attempt = Some((server, AttemptState::Waiting(ticket)));
             }
-            Admitted::Refused(_) => self.reply(number, attempt, server, Answer::Refused),
+            AdmitOutcome::Refused(_) => self.reply(number, attempt, server, Answer::Refused),
         }
         self.start_queued(server);
     }
@@ -474,10 +476,10 @@
                 gate.cancel(ticket);
             }
             AttemptState::Running { since_us } => {
-                let released = Released {
+                let released = ReleasedSlot {
                     class: call.stream.class,
                     resource: &resource(call.stream.class),
-                    held_us: self.now_us - since_us,
+                    service_time_us: self.now_us - since_us,
                     answered,
                 };
                 gate.release(self.now_us, &released);
@@ -505,12 +507,13 @@
     fn start_queued(&mut self, server: usize) {
         match self.policy {
             Policy::Product => {
-                while let Some(((call, attempt), turn)) =
-                    self.gates[server].product_admission.next(self.now_us)
+                while let Some(((call, attempt), turn)) = self.gates[server]
+                    .product_admission
+                    .end_next_wait(self.now_us)
                 {
                     match turn {
-                        Turn::Slot => self.start(call, attempt, server),
-                        Turn::Refused(_) => {
+                        WaitOutcome::Slot => self.start(call, attempt, server),
+                        WaitOutcome::Refused(_) => {
                             self.calls[call].current_attempt = None;
                             self.reply(call, attempt, server, Answer::Refused);
                         }
@@ -534,8 +537,8 @@
         let call = &self.calls[number];
         let latency_us = self.now_us - call.began_us;
         let observed = match answer {
-            Answer::Refused => Observed::Refused,
-            Answer::Success | Answer::Error => Observed::Answered {
+            Answer::Refused => AttemptOutcome::Refused,
+            Answer::Success | Answer::Error => AttemptOutcome::Answered {
                 server_error: answer == Answer::Error,
             },
         };
@@ -558,7 +561,7 @@
                 outcomes.errors += 1;
                 self.calls[number].ended = true;
             }
-            Answer::Refused => self.failed(number, server, Failed::NotRun),
+            Answer::Refused => self.failed(number, server, AttemptFailure::NotRun),
         }
     }
 
@@ -568,7 +571,7 @@
             self.release(number, false);
             if let Some((server, _)) = attempt {
                 self.start_queued(server);
-                self.observe(number, server, Observed::Lost);
+                self.observe(number, server, AttemptOutcome::Lost);
             }
         }
         let call = &mut self.calls[number];
@@ -582,30 +585,32 @@
         }
     }
 
-    fn observe(&mut self, call: usize, server: usize, observed: Observed) {
+    fn observe(&mut self, call: usize, server: usize, observed: AttemptOutcome) {
         let entry = &mut self.entries[self.calls[call].entry];
         let node = node(server as u16 + 1);
-        entry.balancer.observed(self.now_us, node, observed);
-        entry.balancer.ended(node);
+        entry.balancer.record_outcome(self.now_us, node, observed);
+        entry.balancer.record_end(node);
         let ask = self.calls[call].stream.ask(self.now_us);
         let gate = &self.gates[server].product_admission;
         let resource = resource(ask.class);
         // Body size of a small answer, in bytes.
-        entry.balancer.answered(&resource, 5_000);
-        let load = gate.load(self.now_us, &ask, &resource);
-        entry.balancer.reported(self.now_us, node, &resource, load);
+        entry.balancer.record_response_size(&resource, 5_000);
+        let load = gate.load_report(self.now_us, &ask, &resource);
+        entry
+            .balancer
+            .record_load(self.now_us, node, &resource, load);
     }
 
-    fn failed(&mut self, number: usize, server: usize, failed: Failed) {
+    fn failed(&mut self, number: usize, server: usize, failed: AttemptFailure) {
         let call = &mut self.calls[number];
         call.current_attempt = None;
         if call.checking_slot {
-            call.search.busy(node(server as u16 + 1));
+            call.search.record_busy(node(server as u16 + 1));
             return self.attempt(number);
         }
         call.tried.push(node(server as u16 + 1));
-        let tokens = self.entries[call.entry].tokens.entry_for(&service());
-        if call.attempts.again(failed, tokens) {
+        let tokens = self.entries[call.entry].tokens.for_service(&service());
+        if call.attempts.take_retry(failed, tokens) {
             self.attempt(number);
         } else {
             call.ended = true;
