--- a/src/bin/dragonflywall/options.rs
+++ b/src/bin/dragonflywall/options.rs
@@ -7,7 +7,7 @@
 use dragonflywall::core::version::Version;
 use dragonflywall::ops::operator_client::OperatorEndpoint;
 use dragonflywall::store::http::HttpStore;
-use dragonflywall::store::patient::Patient;
+use dragonflywall::store::retrying::Retrying;
 use lexopt::{Parser, ValueExt};
 use serde::Serialize;
 
@@ -70,13 +70,13 @@
         Ok(())
     }
 
-    pub(crate) fn platform(&self) -> Result<Patient<HttpStore>> {
+    pub(crate) fn platform(&self) -> Result<Retrying<HttpStore>> {
         let url = require("platform", self.platform.as_deref())?;
         if !url.starts_with("http://") {
             let text = format!("--platform `{url}` does not start with http://");
             return Err(Failure::Usage(text));
         }
-        Ok(Patient(HttpStore::new(url, None)))
+        Ok(Retrying(HttpStore::new(url, None)))
     }
 
     pub(crate) fn node(&self) -> Result<OperatorEndpoint> {
--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -24,7 +24,7 @@
 use crate::decide::pacing::jittered_ms;
 use crate::distribution::fetch::Peer;
 use crate::distribution::lead_choice::{LeadChoice, Leads, NextRead, StoreFailure};
-use crate::store::{Error, Feed, Position, Told};
+use crate::store::{Error, Feed, FeedUpdate, Position};
 use crate::util::clock;
 
 /// A position that was reached longer ago is given up for the newest configuration: the store answers with
@@ -181,7 +181,10 @@
                     .lead_choice
                     .store_wait_ms(self.node.proxy.uptime_ms(), budget);
                 let wait = Duration::from_millis(wait_ms);
-                (wait, self.feed.after(position, wait, answer_timeout).await)
+                (
+                    wait,
+                    self.feed.newest_after(position, wait, answer_timeout).await,
+                )
             }
         };
         let took_ms = clock::since_ms(started);
@@ -198,7 +201,7 @@
         }
     }
 
-    fn handle_store_answer(&mut self, answer: Told, last_read_age_ms: u64) {
+    fn handle_store_answer(&mut self, answer: FeedUpdate, last_read_age_ms: u64) {
         self.lead_choice.store_answered();
         self.position = Some((answer.position, Instant::now()));
         self.node.proxy.record_store_read(0);
@@ -210,7 +213,7 @@
 
     async fn handle_store_failure(&mut self, error: &Error, took_ms: u64) {
         let failure = match error {
-            Error::Silent { .. } => StoreFailure::TimedOut,
+            Error::TimedOut { .. } => StoreFailure::TimedOut,
             _ => StoreFailure::Refused,
         };
         let pause_ms = self.lead_choice.store_failed(failure, self.node.budget());
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -25,7 +25,7 @@
 use crate::node::backend_announcements::AnnouncementReply;
 use crate::node::membership::MembershipMsg;
 use crate::node::state::NodeState;
-use crate::platform::listeners;
+use crate::platform::node_requests;
 
 const ANNOUNCEMENT_MAX_BYTES: usize = 4 << 10;
 
@@ -125,7 +125,7 @@
         &self,
         request: Request<Incoming>,
     ) -> Response<Full<Bytes>> {
-        if listeners::asks_readiness(request.method(), request.uri().path()) {
+        if node_requests::is_readiness_probe(request.method(), request.uri().path()) {
             return self.ready();
         }
         let Some(local) = &self.node.proxy.settings.backend_server else {
@@ -136,7 +136,7 @@
             return text(StatusCode::BAD_REQUEST, "the announcement is too long\n");
         };
         let path = parts.uri.path();
-        match listeners::announcement(&parts.method, path, &body.to_bytes(), local) {
+        match node_requests::parse_announcement(&parts.method, path, &body.to_bytes(), local) {
             Ok(announcement) => {
                 // Whether or not its "ready" is taken, it has been heard.
                 self.node.handle_announcement(&announcement);
--- a/src/node/registration.rs
+++ b/src/node/registration.rs
@@ -176,7 +176,7 @@
             node: self.local_member.node,
             external: self.local_member.external,
             place: self.local_member.place.clone(),
-            renewed_ms: clock::wall_ms(),
+            renewed_ms: clock::unix_time_ms(),
             backend: self.node.announcements().serving().cloned(),
         };
         let value = serde_json::to_string(&row).expect("rows always encode");
@@ -215,7 +215,7 @@
 
 /// Addresses to greet, nearest first: an answer with the whole view need not cross the link.
 fn seeds(rows: &BTreeMap<String, Row>, local_member: &Member) -> Vec<SocketAddr> {
-    let now_ms = clock::wall_ms();
+    let now_ms = clock::unix_time_ms();
     let mut seed_rows: Vec<NodeRow> = rows
         .values()
         .filter_map(|row| serde_json::from_str::<NodeRow>(&row.value).ok())
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -22,7 +22,7 @@
 use crate::node::state::NodeState;
 use crate::node::{follower, freeze, recorder, reload};
 use crate::peer::server::ControlService;
-use crate::platform::store::Client;
+use crate::platform::store::PlatformStore;
 use crate::store::NodeStore;
 use crate::store::http::HttpStore;
 use crate::util::clock;
@@ -116,7 +116,7 @@
     let shutdown = ShutdownTokens::default();
     let tasks = TaskTracker::new();
     if let ConfigurationOrigin::Feed(resync) = origin {
-        let feed = Client::new(
+        let feed = PlatformStore::new(
             &node.proxy.settings.platform_url,
             node.proxy.settings.dial_from,
         );
@@ -174,8 +174,8 @@
 fn node_store(settings: &Settings) -> NodeStore {
     let url = &settings.platform_url;
     match settings.dialect {
-        Dialect::Native => NodeStore::Own(HttpStore::new(url, settings.dial_from)),
-        Dialect::Platform => NodeStore::Platform(Client::new(url, settings.dial_from)),
+        Dialect::Native => NodeStore::Native(HttpStore::new(url, settings.dial_from)),
+        Dialect::Platform => NodeStore::Platform(PlatformStore::new(url, settings.dial_from)),
     }
 }
 
@@ -297,7 +297,7 @@
         node: NodeId(node),
         external: settings.peer_external.unwrap_or(node),
         place: settings.place.clone(),
-        incarnation_us: u64::try_from(clock::wall().as_micros()).unwrap_or(u64::MAX),
+        incarnation_us: u64::try_from(clock::unix_time().as_micros()).unwrap_or(u64::MAX),
         sequence: 1,
         liveness: Liveness::Alive,
         service,
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -25,7 +25,7 @@
 use crate::core::token::MeshToken;
 use crate::decide::connections::ConnectionLimits;
 use crate::peer::client::DialOptions;
-use crate::util::descriptors;
+use crate::util::file_descriptors;
 
 /// Result of this module.
 pub type Result<T, E = SettingsError> = std::result::Result<T, E>;
@@ -196,7 +196,9 @@
 
     /// How many connections callers may have.
     pub(crate) fn connection_limits(&self) -> ConnectionLimits {
-        let descriptors = self.descriptors_max.unwrap_or_else(descriptors::allowed);
+        let descriptors = self
+            .descriptors_max
+            .unwrap_or_else(file_descriptors::soft_limit);
         ConnectionLimits::of_process(descriptors, self.memory_mb, self.caller_connections_max)
     }
 
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -106,6 +106,6 @@
 fn vocabulary_of(dialect: Dialect) -> &'static HeaderProfile {
     match dialect {
         Dialect::Native => &header_profile::DEFAULT,
-        Dialect::Platform => &platform::headers::VOCABULARY,
+        Dialect::Platform => &platform::headers::PROFILE,
     }
 }
--- a/src/ops/command/publish/attempts.rs
+++ b/src/ops/command/publish/attempts.rs
@@ -130,7 +130,7 @@
                 changes,
             }),
             Ok(Outcome::ConditionFailed) => self.after_failed_condition(head).await,
-            Err(source @ (store::Error::OutcomeUnknown { .. } | store::Error::Silent { .. })) => {
+            Err(source @ (store::Error::OutcomeUnknown { .. } | store::Error::TimedOut { .. })) => {
                 Ok(AttemptOutcome::AnswerLost {
                     sent_at_revision: head.revision,
                     source,
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -4,7 +4,7 @@
 //! `docs/design/platform.md`.
 //!
 //! - [`settings`]: the settings file.
-//! - [`listeners`]: readiness and announcements, as they are asked for and made.
+//! - [`node_requests`]: readiness and announcements, as they are asked for and made.
 //! - [`configuration`]: what its operators write into the store.
 //! - [`store`]: the calls of its store.
 //! - [`headers`]: header names of requests and answers.
@@ -12,7 +12,7 @@
 pub(crate) mod configuration;
 pub(crate) mod duration;
 pub(crate) mod headers;
-pub(crate) mod listeners;
+pub(crate) mod node_requests;
 pub(crate) mod settings;
 pub mod store;
 
--- a/src/platform/duration.rs
+++ b/src/platform/duration.rs
@@ -9,6 +9,6 @@
     let number: f64 = number.parse().ok()?;
     let ms = (number * unit_ms).round();
     // Far above any time on the platform, far below where the number loses whole milliseconds.
-    let is_time = (0.0..1e12).contains(&ms);
-    is_time.then_some(ms as u64)
+    let in_range = (0.0..1e12).contains(&ms);
+    in_range.then_some(ms as u64)
 }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -5,7 +5,7 @@
 use crate::proxy::header_profile::HeaderProfile;
 
 /// With callers and backend servers.
-pub(crate) static VOCABULARY: HeaderProfile = HeaderProfile {
+pub(crate) static PROFILE: HeaderProfile = HeaderProfile {
     // An attempt of a caller: what a node sends once more keeps its id.
     request_id: HeaderName::from_static("x-dfw-attempt-id"),
     deadline_ms: HeaderName::from_static("x-dfw-deadline-ms"),
--- a/src/platform/listeners.rs
+++ b/src/platform/node_requests.rs
@@ -29,14 +29,14 @@
 #[derive(Debug, Snafu)]
 pub(crate) enum Error {
     #[snafu(display("{method} {path} is not a call of the platform"))]
-    Call { method: Method, path: String },
+    UnknownRequest { method: Method, path: String },
     #[snafu(display("the announcement of `{instance}` cannot be read"))]
-    Json {
+    InvalidJson {
         instance: String,
         source: serde_json::Error,
     },
     #[snafu(display("the announcement of `{instance}` has no usable `{field}`"))]
-    Field {
+    InvalidField {
         instance: String,
         field: &'static str,
     },
@@ -44,7 +44,7 @@
 
 /// Body of `PUT /-/instances/NAME`.
 #[derive(Debug, Deserialize)]
-struct Beat {
+struct AnnouncementBody {
     service: String,
     /// Where it listens.
     address: String,
@@ -62,13 +62,13 @@
 }
 
 /// Whether a request asks for readiness.
-pub(crate) fn asks_readiness(method: &Method, path: &str) -> bool {
+pub(crate) fn is_readiness_probe(method: &Method, path: &str) -> bool {
     *method == Method::GET && path == READY_PATH
 }
 
 /// The announcement that a request at the `control` address makes. `local` is the backend server
 /// of this VM as the settings name it.
-pub(crate) fn announcement(
+pub(crate) fn parse_announcement(
     method: &Method,
     path: &str,
     body: &[u8],
@@ -77,9 +77,9 @@
     let instance = path.strip_prefix(INSTANCES_PATH);
     let instance = instance.filter(|name| !name.is_empty() && !name.contains('/'));
     match (method, instance) {
-        (&Method::PUT, Some(instance)) => beat(instance, body),
-        (&Method::DELETE, Some(instance)) => Ok(departure(instance, body, local)),
-        _ => CallSnafu {
+        (&Method::PUT, Some(instance)) => instance_announcement(instance, body),
+        (&Method::DELETE, Some(instance)) => Ok(removal_announcement(instance, body, local)),
+        _ => UnknownRequestSnafu {
             method: method.clone(),
             path,
         }
@@ -87,46 +87,47 @@
     }
 }
 
-fn beat(instance: &str, body: &[u8]) -> Result<Announcement> {
-    let beat: Beat = serde_json::from_slice(body).context(JsonSnafu { instance })?;
-    let state = match beat.state.as_str() {
+fn instance_announcement(instance: &str, body: &[u8]) -> Result<Announcement> {
+    let fields: AnnouncementBody =
+        serde_json::from_slice(body).context(InvalidJsonSnafu { instance })?;
+    let state = match fields.state.as_str() {
         "ready" => Some(BackendState::Serving),
         "draining" => Some(BackendState::Draining),
         _ => None,
     };
-    let address: Option<SocketAddr> = beat.address.parse().ok();
-    let cold = beat.cold_remaining.as_deref();
+    let address: Option<SocketAddr> = fields.address.parse().ok();
+    let cold_remaining = fields.cold_remaining.as_deref();
     Ok(Announcement {
-        service: ServiceName::new(beat.service),
-        address: address.context(FieldSnafu {
+        service: ServiceName::new(fields.service),
+        address: address.context(InvalidFieldSnafu {
             instance,
             field: "address",
         })?,
-        state: state.context(FieldSnafu {
+        state: state.context(InvalidFieldSnafu {
             instance,
             field: "state",
         })?,
         instance: Some(InstanceName::new(instance)),
-        started_ms: beat.born,
-        sequence: Some(beat.seq),
-        slots: Some(beat.slots),
-        cold_ms: cold.and_then(parse_ms).unwrap_or(0),
+        started_ms: fields.born,
+        sequence: Some(fields.seq),
+        slots: Some(fields.slots),
+        cold_ms: cold_remaining.and_then(parse_ms).unwrap_or(0),
     })
 }
 
 /// One that leaves says little of itself, at times only its name.
-fn departure(instance: &str, body: &[u8], local: &BackendServer) -> Announcement {
+fn removal_announcement(instance: &str, body: &[u8], local: &BackendServer) -> Announcement {
     #[derive(Default, Deserialize)]
-    struct Leave {
+    struct RemovalBody {
         born: Option<u64>,
     }
-    let leave: Leave = serde_json::from_slice(body).unwrap_or_default();
+    let removal: RemovalBody = serde_json::from_slice(body).unwrap_or_default();
     Announcement {
         service: local.service.clone(),
         address: local.address,
         state: BackendState::Gone,
         instance: Some(InstanceName::new(instance)),
-        started_ms: leave.born,
+        started_ms: removal.born,
         sequence: None,
         slots: None,
         cold_ms: 0,
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -33,11 +33,11 @@
 const OPERATOR_PORT: u16 = 9464;
 
 /// Part of the time between the request to stop and the kill that is kept for the way out.
-const STOP_MARGIN_MS: u64 = 500;
+const EXIT_MARGIN_MS: u64 = 500;
 
 /// The platform asks for readiness once a second and needs two refusals, so callers come for up to
 /// two seconds more.
-const STOP_LEAST_MS: u64 = 2_200;
+const MIN_SERVING_MS: u64 = 2_200;
 
 /// Result of this module; otherwise every fault of the file, a line each.
 pub(crate) type Result<T, E = Vec<String>> = std::result::Result<T, E>;
@@ -47,7 +47,7 @@
     let table = text
         .parse::<Table>()
         .map_err(|error| vec![format!("not TOML: {}", error.message())])?;
-    let mut reader = Reader {
+    let mut reader = SettingsReader {
         table: &table,
         problems: Vec::new(),
     };
@@ -58,26 +58,26 @@
     }
 }
 
-struct Reader<'a> {
+struct SettingsReader<'a> {
     table: &'a Table,
     problems: Vec<String>,
 }
 
-impl Reader<'_> {
+impl SettingsReader<'_> {
     fn settings(&mut self) -> Option<Settings> {
         let ip: Option<IpAddr> = self.parsed(&["ip"]);
         let caller_listen: Option<SocketAddr> = self.parsed(&["listen", "outbound"]);
         let peer_listen: Option<SocketAddr> = self.parsed(&["listen", "inbound"]);
         let ready_listen = self.parsed(&["listen", "ready"]);
         let announce_listen = self.parsed(&["listen", "control"]);
-        let region = self.text(&["region"]);
-        let data_centre = self.text(&["zone"]);
-        let store: Option<SocketAddr> = self.parsed(&["platform", "address"]);
-        let service = self.text(&["service"]);
+        let region = self.string(&["region"]);
+        let data_centre = self.string(&["zone"]);
+        let store_address: Option<SocketAddr> = self.parsed(&["platform", "address"]);
+        let service = self.string(&["service"]);
         let backend_server = self.parsed(&["appAddr"]);
         let seeds = self.seeds(peer_listen);
         let bounds = self.bounds();
-        let stop_ms = bounds.ms("grace").unwrap_or(DEFAULT_STOP_MS);
+        let grace_ms = bounds.duration_ms("grace").unwrap_or(DEFAULT_GRACE_MS);
         let settings = Settings::builder()
             .dialect(Dialect::Platform)
             .caller_listen(caller_listen?)
@@ -89,18 +89,18 @@
                 region: RegionName::new(region?),
                 data_centre: DataCentreName::new(data_centre?),
             })
-            .platform_url(format!("http://{}", store?))
+            .platform_url(format!("http://{}", store_address?))
             .peer_seeds(seeds)
             .backend_server(BackendServer {
                 service: ServiceName::new(service?),
                 address: backend_server?,
             })
             .backend_server_announces(true)
-            .drain_timeout_ms(stop_ms.saturating_sub(STOP_MARGIN_MS))
-            .stop_least_ms(STOP_LEAST_MS.min(stop_ms / 2))
-            .maybe_apply_within_ms(bounds.ms("configApply"))
+            .drain_timeout_ms(grace_ms.saturating_sub(EXIT_MARGIN_MS))
+            .stop_least_ms(MIN_SERVING_MS.min(grace_ms / 2))
+            .maybe_apply_within_ms(bounds.duration_ms("configApply"))
             .maybe_retry_percent(bounds.percent("retryBudgetRatio"))
-            .maybe_retry_reserve(bounds.number("budgetExtra"))
+            .maybe_retry_reserve(bounds.integer("budgetExtra"))
             .maybe_link_kbit_per_s(self.link_kbit_per_s())
             // All callers of a VM have its address.
             .caller_connections_max(u32::MAX)
@@ -112,15 +112,15 @@
     }
 
     fn value(&self, path: &[&str]) -> Option<&Value> {
-        let (last, tables) = path.split_last()?;
+        let (key, tables) = path.split_last()?;
         let mut table = self.table;
         for name in tables {
             table = table.get(*name)?.as_table()?;
         }
-        table.get(*last)
+        table.get(*key)
     }
 
-    fn text(&mut self, path: &[&str]) -> Option<String> {
+    fn string(&mut self, path: &[&str]) -> Option<String> {
         let value = self.value(path);
         let text = value.and_then(Value::as_str).map(str::to_owned);
         let problem = match value {
@@ -138,7 +138,7 @@
     where
         T::Err: std::fmt::Display,
     {
-        let text = self.text(path)?;
+        let text = self.string(path)?;
         match text.parse() {
             Ok(value) => Some(value),
             Err(error) => {
@@ -153,8 +153,8 @@
     fn seeds(&mut self, peer_listen: Option<SocketAddr>) -> Vec<SocketAddr> {
         let port = peer_listen.map_or(0, |address| address.port());
         let mut seeds = Vec::new();
-        let listed = self.value(&["seeds"]).and_then(Value::as_array);
-        for seed in listed.into_iter().flatten() {
+        let entries = self.value(&["seeds"]).and_then(Value::as_array);
+        for seed in entries.into_iter().flatten() {
             match seed
                 .as_str()
                 .and_then(|text| text.parse::<SocketAddr>().ok())
@@ -182,8 +182,8 @@
     }
 
     fn bounds(&self) -> Bounds {
-        let listed = self.value(&["bounds"]).and_then(Value::as_array);
-        let texts = listed.into_iter().flatten().filter_map(Value::as_str);
+        let entries = self.value(&["bounds"]).and_then(Value::as_array);
+        let texts = entries.into_iter().flatten().filter_map(Value::as_str);
         let pairs = texts.filter_map(|text| text.split_once('='));
         Bounds(
             pairs
@@ -194,22 +194,22 @@
 }
 
 /// Time from the request to stop to the kill where the file does not tell it.
-const DEFAULT_STOP_MS: u64 = 6_000;
+const DEFAULT_GRACE_MS: u64 = 6_000;
 
 /// The users' figures; one that is missing or unreadable leaves the product's own.
 struct Bounds(Vec<(String, String)>);
 
 impl Bounds {
     fn get(&self, name: &str) -> Option<&str> {
-        let found = self.0.iter().find(|(known, _)| known == name);
+        let found = self.0.iter().find(|(bound_name, _)| bound_name == name);
         found.map(|(_, value)| value.as_str())
     }
 
-    fn ms(&self, name: &str) -> Option<u64> {
+    fn duration_ms(&self, name: &str) -> Option<u64> {
         parse_ms(self.get(name)?)
     }
 
-    fn number(&self, name: &str) -> Option<u32> {
+    fn integer(&self, name: &str) -> Option<u32> {
         self.get(name)?.parse().ok()
     }
 
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -23,8 +23,8 @@
 use crate::core::configuration::Configuration;
 use crate::store::transport::Transport;
 use crate::store::{
-    self, Condition, Error, Feed, Outcome, Position, Result, Row, Table, Told, Transaction, decode,
-    unexpected,
+    self, Condition, Error, Feed, FeedUpdate, Outcome, Position, Result, Row, Table, Transaction,
+    decode_json, unexpected_status,
 };
 
 /// The table that holds the product's own rows.
@@ -36,11 +36,11 @@
 /// Longest wait for an answer that the store gives at once. It takes 4 ms, and up to 60 times as
 /// long when it is slow; a connection that went silent is given up soon enough to ask again while
 /// a configuration is still new.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_500);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// A client of the platform's store.
 #[derive(Clone, Debug)]
-pub struct Client {
+pub struct PlatformStore {
     transport: Transport,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl WireRow {
-    fn own(key: &str) -> Self {
+    fn with_key(key: &str) -> Self {
         Self {
             table: OWN_TABLE.to_owned(),
             part: String::new(),
@@ -112,35 +112,35 @@
     len_bytes: usize,
 }
 
-impl Client {
-    /// A client for the store at `base`, such as `http://10.0.0.9:7000`.
-    pub fn new(base: &str, dial_from: Option<IpAddr>) -> Self {
+impl PlatformStore {
+    /// A client for the store at `base_url`, such as `http://10.0.0.9:7000`.
+    pub fn new(base_url: &str, dial_from: Option<IpAddr>) -> Self {
         Self {
-            transport: Transport::new(base, dial_from),
+            transport: Transport::new(base_url, dial_from),
         }
     }
 
-    async fn get(&self, path: &str, timeout: Duration) -> Result<WireRows> {
+    async fn get_rows(&self, path: &str, timeout: Duration) -> Result<WireRows> {
         let call = self.transport.call(Method::GET, path, Vec::new(), timeout);
         match call.await? {
             (StatusCode::OK, body) => Ok(WireRows {
                 len_bytes: body.len(),
-                ..decode(&body)?
+                ..decode_json(&body)?
             }),
             (StatusCode::GONE, _) => Err(Error::HistoryGone),
-            (status, _) => unexpected(status),
+            (status, _) => unexpected_status(status),
         }
     }
 
-    async fn own_rows(&self, from: &str, to: &str, limit: u32) -> Result<Vec<WireRow>> {
+    async fn read_own_rows(&self, from: &str, to: &str, limit: u32) -> Result<Vec<WireRow>> {
         let path =
             format!("/-/rows-get?tableName={OWN_TABLE}&part=&from={from}&to={to}&limit={limit}");
-        Ok(self.get(&path, ANSWER_TIMEOUT).await?.rows)
+        Ok(self.get_rows(&path, RESPONSE_TIMEOUT).await?.rows)
     }
 }
 
 /// The first key behind all that begin with `prefix`, which is plain ASCII.
-fn behind(prefix: &str) -> String {
+fn prefix_end(prefix: &str) -> String {
     let mut bytes = prefix.as_bytes().to_vec();
     if let Some(last) = bytes.last_mut() {
         *last += 1;
@@ -148,86 +148,95 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-impl Table for Client {
+impl Table for PlatformStore {
     async fn transact(&self, transaction: &Transaction) -> Result<Outcome> {
-        let condition = |condition: &Condition| {
+        let to_wire_condition = |condition: &Condition| {
             let (key, ver) = match condition {
                 Condition::Absent { key } => (key, 0),
                 Condition::Revision { key, revision } => (key, *revision),
             };
             WireRow {
                 ver: Some(ver),
-                ..WireRow::own(key)
+                ..WireRow::with_key(key)
             }
         };
-        let write = |(key, value): (&String, &String)| WireRow {
+        let to_wire_write = |(key, value): (&String, &String)| WireRow {
             value: Some(BASE64.encode(value)),
-            ..WireRow::own(key)
+            ..WireRow::with_key(key)
         };
         let wire = WireTransaction {
-            conditions: transaction.conditions.iter().map(condition).collect(),
-            writes: transaction.puts.iter().map(write).collect(),
+            conditions: transaction
+                .conditions
+                .iter()
+                .map(to_wire_condition)
+                .collect(),
+            writes: transaction.puts.iter().map(to_wire_write).collect(),
             remove: Vec::new(),
         };
         let body = serde_json::to_vec(&wire).expect("a transaction always encodes");
         let call = self
             .transport
-            .call(Method::POST, "/-/rows-tx", body, ANSWER_TIMEOUT);
+            .call(Method::POST, "/-/rows-tx", body, RESPONSE_TIMEOUT);
         match call.await? {
             (StatusCode::OK, _) => Ok(Outcome::Committed),
             (StatusCode::PRECONDITION_FAILED, _) => Ok(Outcome::ConditionFailed),
             (status, _) if status.is_server_error() => Err(Error::OutcomeUnknown {
                 reason: format!("status {status}"),
             }),
-            (status, _) => unexpected(status),
+            (status, _) => unexpected_status(status),
         }
     }
 
     async fn row(&self, key: &str) -> Result<Option<Row>> {
-        let rows = self.own_rows(key, &behind(key), 1).await?;
+        let rows = self.read_own_rows(key, &prefix_end(key), 1).await?;
         let found = rows.into_iter().find(|row| row.key == key);
         found.map(|row| Ok(row.into_row()?.1)).transpose()
     }
 
     async fn rows(&self, prefix: &str, after: &str, limit: u32) -> Result<BTreeMap<String, Row>> {
         let from = after.max(prefix);
-        let rows = self.own_rows(from, &behind(prefix), limit).await?;
-        let behind_after = rows.into_iter().filter(|row| row.key.as_str() > after);
-        behind_after.map(WireRow::into_row).collect()
+        let rows = self.read_own_rows(from, &prefix_end(prefix), limit).await?;
+        let rows_after = rows.into_iter().filter(|row| row.key.as_str() > after);
+        rows_after.map(WireRow::into_row).collect()
     }
 }
 
-impl Feed for Client {
-    async fn newest(&self, answer: Duration) -> Result<Told> {
+impl Feed for PlatformStore {
+    async fn newest(&self, answer_timeout: Duration) -> Result<FeedUpdate> {
         let path = format!(
             "/-/rows-get?tableName={OPERATORS_TABLE}&part=&from={CONFIGURATION_KEY}&limit=1"
         );
-        told(self.get(&path, answer).await?)
+        feed_update(self.get_rows(&path, answer_timeout).await?)
     }
 
-    async fn after(&self, position: Position, wait: Duration, answer: Duration) -> Result<Told> {
+    async fn newest_after(
+        &self,
+        position: Position,
+        max_wait: Duration,
+        answer_timeout: Duration,
+    ) -> Result<FeedUpdate> {
         let path = format!(
             "/-/rows-feed?tableName={OPERATORS_TABLE}&after={}&waitMs={}",
             position.0,
-            wait.as_millis()
+            max_wait.as_millis()
         );
-        told(self.get(&path, wait + answer).await?)
+        feed_update(self.get_rows(&path, max_wait + answer_timeout).await?)
     }
 }
 
-fn told(answer: WireRows) -> store::Result<Told> {
+fn feed_update(response: WireRows) -> store::Result<FeedUpdate> {
     let is_configuration =
         |row: &&WireRow| row.key == CONFIGURATION_KEY && row.part.is_empty() && !row.deleted;
-    let newest = answer.rows.iter().rfind(is_configuration);
-    Ok(Told {
-        position: Position(answer.ver),
-        configuration: newest.and_then(readable),
-        len_bytes: answer.len_bytes,
+    let newest = response.rows.iter().rfind(is_configuration);
+    Ok(FeedUpdate {
+        position: Position(response.ver),
+        configuration: newest.and_then(decode_configuration),
+        len_bytes: response.len_bytes,
     })
 }
 
 /// The configuration in a row, unless it cannot be used: what is in force then stays in force.
-fn readable(row: &WireRow) -> Option<Configuration> {
+fn decode_configuration(row: &WireRow) -> Option<Configuration> {
     let decoded = row.bytes().map_err(|error| error.to_string());
     let decoded =
         decoded.and_then(|bytes| configuration::decode(&bytes).map_err(|error| error.to_string()));
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -4,7 +4,7 @@
 
 use http::Method;
 
-use super::{configuration, duration, listeners, settings};
+use super::{configuration, duration, node_requests, settings};
 use crate::core::configuration::{Configuration, Spill};
 use crate::core::dialect::Dialect;
 use crate::core::member::BackendState;
@@ -36,17 +36,17 @@
 "#;
 
 #[test]
-fn times_are_read_with_their_unit() {
+fn durations_are_parsed_with_their_unit() {
     assert_eq!(duration::parse_ms("1500ms"), Some(1_500));
     assert_eq!(duration::parse_ms("2.5s"), Some(2_500));
     assert_eq!(duration::parse_ms("0ms"), Some(0));
-    for wrong in ["", "5", "s", "ms", "-1s", "NaNs", "1 s", "infs"] {
-        assert_eq!(duration::parse_ms(wrong), None, "`{wrong}`");
+    for invalid in ["", "5", "s", "ms", "-1s", "NaNs", "1 s", "infs"] {
+        assert_eq!(duration::parse_ms(invalid), None, "`{invalid}`");
     }
 }
 
 #[test]
-fn settings_are_told_apart_by_what_they_hold() {
+fn platform_settings_map_to_node_settings() {
     let settings = settings::decode(SETTINGS).expect("the file is right");
     assert_eq!(settings.dialect, Dialect::Platform);
     assert_eq!(settings.caller_listen.to_string(), "10.1.0.8:8304");
@@ -63,12 +63,12 @@
 
 /// A file that was half written, or written by a newer platform: every fault is named at once.
 #[test]
-fn every_fault_of_a_settings_file_is_named() {
-    let broken = SETTINGS
+fn all_problems_of_a_settings_file_are_reported() {
+    let invalid_file = SETTINGS
         .replace("ip = \"10.1.0.8\"", "ip = \"10.1.0\"")
         .replace("service = \"huvo11a\"\n", "")
         .replace("zone = \"gijon\"", "zone = 5");
-    let problems = settings::decode(&broken).expect_err("three faults");
+    let problems = settings::decode(&invalid_file).expect_err("three faults");
     assert_eq!(
         problems,
         [
@@ -77,8 +77,8 @@
             "`service` is missing",
         ]
     );
-    let cut = &SETTINGS[..SETTINGS.len() / 2];
-    assert!(settings::decode(cut).is_err());
+    let truncated = &SETTINGS[..SETTINGS.len() / 2];
+    assert!(settings::decode(truncated).is_err());
 }
 
 const CONFIGURATION: &str = r#"{"version":7,
@@ -94,25 +94,25 @@
 }
 
 #[test]
-fn a_configuration_becomes_routes_by_host() {
+fn configuration_is_decoded_into_routes_by_host() {
     let configuration = decoded(CONFIGURATION);
     assert_eq!(configuration.version, Version(7));
     let limits = configuration.caller_limits().expect("given");
     assert_eq!(limits.idle_timeout_ms, 15_000);
     let table = RouteTable::compile(&configuration).expect("it closes");
-    let payment = table.find("jepu9.example", "POST", "/puka111/2f");
-    let payment = &payment.expect("a route").targets;
-    assert_eq!(payment.len(), 1);
-    assert_eq!(payment[0].service.as_str(), "wuno96b");
-    assert!(!payment[0].treatment.idempotent);
-    assert_eq!(payment[0].treatment.spill, Spill::Mesh);
+    let payment_targets = table.find("jepu9.example", "POST", "/puka111/2f");
+    let payment_targets = &payment_targets.expect("a route").targets;
+    assert_eq!(payment_targets.len(), 1);
+    assert_eq!(payment_targets[0].service.as_str(), "wuno96b");
+    assert!(!payment_targets[0].treatment.idempotent);
+    assert_eq!(payment_targets[0].treatment.spill, Spill::Mesh);
     let read = table.find("hulo84.example", "GET", "/leny950/2f");
     let read = &read.expect("a route").targets;
-    let parts: BTreeMap<_, _> = read
+    let weights: BTreeMap<_, _> = read
         .iter()
-        .map(|b| (b.service.as_str(), b.weight))
+        .map(|target| (target.service.as_str(), target.weight))
         .collect();
-    assert_eq!(parts, BTreeMap::from([("huvo11a", 90), ("lovo22d", 10)]));
+    assert_eq!(weights, BTreeMap::from([("huvo11a", 90), ("lovo22d", 10)]));
     assert_eq!(read[0].treatment.timeout_ms, 1_200);
     assert_eq!(read[0].treatment.target_latency_ms, Some(300));
     assert_eq!(read[0].treatment.attempts, 3);
@@ -123,19 +123,19 @@
 
 /// A row of the store that nobody should have written: nothing of it is used.
 #[test]
-fn an_unusable_configuration_is_refused_whole() {
-    let wrong = [
+fn invalid_configuration_is_rejected_as_a_whole() {
+    let invalid = [
         CONFIGURATION[..200].to_owned(),
         CONFIGURATION.replace("\"wuno96b\",2,null", "\"nobody\",2,null"),
         CONFIGURATION.replace("\"800ms\"", "\"-800ms\""),
         CONFIGURATION.replace("\"maxConnections\"", "\"connections\""),
     ];
-    for text in wrong {
+    for text in invalid {
         assert!(configuration::decode(text.as_bytes()).is_err(), "{text}");
     }
 }
 
-fn local() -> BackendServer {
+fn local_backend_server() -> BackendServer {
     BackendServer {
         service: ServiceName::new("huvo11a"),
         address: ([10, 0, 0, 9], 80).into(),
@@ -143,11 +143,16 @@
 }
 
 #[test]
-fn announcements_are_read_and_forged_ones_refused() {
+fn announcements_are_parsed_and_invalid_ones_rejected() {
     let body = r#"{"service":"huvo11a","address":"10.0.0.9:80","zone":"gijon","version":"v1",
         "slots":18,"state":"draining","coldRemaining":"1.5s","seq":4,"born":1792213106200}"#;
     let read = |body: &str| {
-        listeners::announcement(&Method::PUT, "/-/instances/i-7f", body.as_bytes(), &local())
+        node_requests::parse_announcement(
+            &Method::PUT,
+            "/-/instances/i-7f",
+            body.as_bytes(),
+            &local_backend_server(),
+        )
     };
     let announcement = read(body).expect("it is right");
     assert_eq!(announcement.instance, Some(InstanceName::new("i-7f")));
@@ -155,18 +160,39 @@
     assert_eq!(announcement.slots, Some(18));
     assert_eq!(announcement.cold_ms, 1_500);
     assert_eq!(announcement.started_ms, Some(1_792_213_106_200));
-    let forged = [
+    let invalid_bodies = [
         body.replace("draining", "asleep"),
         body.replace("\"seq\":4", "\"seq\":\"4\""),
         body.replace("\"slots\":18,", ""),
         body.replace("10.0.0.9:80", "nowhere"),
         "\u{1}\u{2}".to_owned(),
     ];
-    for body in forged {
+    for body in invalid_bodies {
         assert!(read(&body).is_err(), "{body}");
     }
-    let leave = listeners::announcement(&Method::DELETE, "/-/instances/i-7f", b"", &local());
-    assert_eq!(leave.expect("it is right").state, BackendState::Gone);
-    assert!(listeners::announcement(&Method::GET, "/-/instances/i-7f", b"", &local()).is_err());
-    assert!(listeners::announcement(&Method::PUT, "/-/instances/", b"{}", &local()).is_err());
+    let removal = node_requests::parse_announcement(
+        &Method::DELETE,
+        "/-/instances/i-7f",
+        b"",
+        &local_backend_server(),
+    );
+    assert_eq!(removal.expect("it is right").state, BackendState::Gone);
+    assert!(
+        node_requests::parse_announcement(
+            &Method::GET,
+            "/-/instances/i-7f",
+            b"",
+            &local_backend_server()
+        )
+        .is_err()
+    );
+    assert!(
+        node_requests::parse_announcement(
+            &Method::PUT,
+            "/-/instances/",
+            b"{}",
+            &local_backend_server()
+        )
+        .is_err()
+    );
 }
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,12 +1,12 @@
 //! The platform's transactional table and object store, behind traits.
 //!
 //! The traits are the edge of a process: [`http::HttpStore`] speaks the product's own protocol,
-//! [`crate::platform::store::Client`] that of the users' platform, and tests put a fake in their
+//! [`crate::platform::store::PlatformStore`] that of the users' platform, and tests put a fake in their
 //! place. A write whose answer was lost is an error of its own, [`Error::OutcomeUnknown`], since it
 //! must be looked up and never simply repeated.
 
 pub mod http;
-pub mod patient;
+pub mod retrying;
 pub mod rows;
 pub(crate) mod transport;
 
@@ -22,7 +22,7 @@
 use self::http::HttpStore;
 use crate::core::configuration::Configuration;
 use crate::core::version::Digest;
-use crate::platform::store::Client;
+use crate::platform::store::PlatformStore;
 
 /// Result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
@@ -38,7 +38,7 @@
     },
     /// It refuses for now because of its rate ceiling; nothing was written.
     #[snafu(display("the platform refuses for now: its rate ceiling is reached"))]
-    Busy,
+    RateLimited,
     /// The request was sent and no answer came: a write may have taken effect.
     #[snafu(display("the platform's answer was lost: {reason}"))]
     OutcomeUnknown {
@@ -47,7 +47,7 @@
     },
     /// No answer came in time: a write may have taken effect.
     #[snafu(display("the platform gave no answer in {after_ms} ms"))]
-    Silent {
+    TimedOut {
         /// How long it was waited for.
         after_ms: u64,
     },
@@ -63,14 +63,14 @@
 }
 
 /// The body of an answer.
-pub(crate) fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
+pub(crate) fn decode_json<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
     serde_json::from_slice(body).map_err(|error| Error::Protocol {
         reason: error.to_string(),
     })
 }
 
 /// An answer whose status the protocol does not have here.
-pub(crate) fn unexpected<T>(status: StatusCode) -> Result<T> {
+pub(crate) fn unexpected_status<T>(status: StatusCode) -> Result<T> {
     ProtocolSnafu {
         reason: format!("status {status}"),
     }
@@ -153,7 +153,7 @@
 
 /// What a feed told.
 #[derive(Debug)]
-pub struct Told {
+pub struct FeedUpdate {
     /// Where to go on from.
     pub position: Position,
     /// The newest configuration, if there is one that was not told before.
@@ -164,43 +164,43 @@
 
 /// A configuration that operators write into the store as a whole, instead of publishing it.
 pub trait Feed: Send + Sync + 'static {
-    /// The newest configuration. The answer begins within `answer`, or there is none.
-    fn newest(&self, answer: Duration) -> impl Future<Output = Result<Told>> + Send;
-    /// The newest configuration written after `position`, or nothing after about `wait`; the answer begins
-    /// within `answer` then. A configuration that cannot be used is left out.
-    fn after(
+    /// The newest configuration. The answer begins within `answer_timeout`, or there is none.
+    fn newest(&self, answer_timeout: Duration) -> impl Future<Output = Result<FeedUpdate>> + Send;
+    /// The newest configuration written after `position`, or nothing after about `max_wait`; the answer begins
+    /// within `answer_timeout` then. A configuration that cannot be used is left out.
+    fn newest_after(
         &self,
         position: Position,
-        wait: Duration,
-        answer: Duration,
-    ) -> impl Future<Output = Result<Told>> + Send;
+        max_wait: Duration,
+        answer_timeout: Duration,
+    ) -> impl Future<Output = Result<FeedUpdate>> + Send;
 }
 
 /// The store that a node was set up with.
 #[derive(Clone, Debug)]
 pub(crate) enum NodeStore {
-    Own(HttpStore),
-    Platform(Client),
+    Native(HttpStore),
+    Platform(PlatformStore),
 }
 
 impl Table for NodeStore {
     async fn transact(&self, transaction: &Transaction) -> Result<Outcome> {
         match self {
-            Self::Own(store) => store.transact(transaction).await,
+            Self::Native(store) => store.transact(transaction).await,
             Self::Platform(store) => store.transact(transaction).await,
         }
     }
 
     async fn row(&self, key: &str) -> Result<Option<Row>> {
         match self {
-            Self::Own(store) => store.row(key).await,
+            Self::Native(store) => store.row(key).await,
             Self::Platform(store) => store.row(key).await,
         }
     }
 
     async fn rows(&self, prefix: &str, after: &str, limit: u32) -> Result<BTreeMap<String, Row>> {
         match self {
-            Self::Own(store) => store.rows(prefix, after, limit).await,
+            Self::Native(store) => store.rows(prefix, after, limit).await,
             Self::Platform(store) => store.rows(prefix, after, limit).await,
         }
     }
--- a/src/store/http.rs
+++ b/src/store/http.rs
@@ -18,12 +18,14 @@
 use serde::de::DeserializeOwned;
 
 use super::transport::Transport;
-use super::{Error, ObjectStore, Outcome, Result, Row, Table, Transaction, decode, unexpected};
+use super::{
+    Error, ObjectStore, Outcome, Result, Row, Table, Transaction, decode_json, unexpected_status,
+};
 use crate::core::version::Digest;
 
 /// Longest wait for one answer. The platform may be slow for long; a caller that waits on it does
 /// nothing else, so it tries again later instead.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The platform over HTTP.
 #[derive(Clone, Debug)]
@@ -32,25 +34,25 @@
 }
 
 impl HttpStore {
-    /// A client for the platform at `base`, such as `http://10.0.0.9:7000`. `dial_from` is the
+    /// A client for the platform at `base_url`, such as `http://10.0.0.9:7000`. `dial_from` is the
     /// local address to connect from, if it matters.
-    pub fn new(base: &str, dial_from: Option<IpAddr>) -> Self {
+    pub fn new(base_url: &str, dial_from: Option<IpAddr>) -> Self {
         Self {
-            transport: Transport::new(base, dial_from),
+            transport: Transport::new(base_url, dial_from),
         }
     }
 
     async fn call(&self, method: Method, path: &str, body: Vec<u8>) -> Result<(StatusCode, Bytes)> {
         self.transport
-            .call(method, path, body, ANSWER_TIMEOUT)
+            .call(method, path, body, RESPONSE_TIMEOUT)
             .await
     }
 
     async fn get_json<T: DeserializeOwned>(&self, path: &str) -> Result<Option<T>> {
         match self.call(Method::GET, path, Vec::new()).await? {
-            (StatusCode::OK, body) => decode(&body).map(Some),
+            (StatusCode::OK, body) => decode_json(&body).map(Some),
             (StatusCode::NOT_FOUND, _) => Ok(None),
-            (status, _) => unexpected(status),
+            (status, _) => unexpected_status(status),
         }
     }
 }
@@ -60,13 +62,13 @@
         let body = serde_json::to_vec(transaction).expect("a transaction always encodes");
         match self.call(Method::POST, "/table/transact", body).await? {
             // A garbled answer and a server's own failure say nothing of the write behind them.
-            (StatusCode::OK, body) => decode(&body).map_err(|error| Error::OutcomeUnknown {
+            (StatusCode::OK, body) => decode_json(&body).map_err(|error| Error::OutcomeUnknown {
                 reason: error.to_string(),
             }),
             (status, _) if status.is_server_error() => Err(Error::OutcomeUnknown {
                 reason: format!("status {status}"),
             }),
-            (status, _) => unexpected(status),
+            (status, _) => unexpected_status(status),
         }
     }
 
@@ -85,7 +87,7 @@
         let path = format!("/objects/{digest}");
         match self.call(Method::PUT, &path, bytes.to_vec()).await? {
             (StatusCode::OK | StatusCode::CREATED, _) => Ok(()),
-            (status, _) => unexpected(status),
+            (status, _) => unexpected_status(status),
         }
     }
 
@@ -96,7 +98,7 @@
         {
             (StatusCode::OK, body) => Ok(Some(body.to_vec())),
             (StatusCode::NOT_FOUND, _) => Ok(None),
-            (status, _) => unexpected(status),
+            (status, _) => unexpected_status(status),
         }
     }
 }
--- a/src/store/patient.rs
+++ b/src/store/retrying.rs
@@ -10,13 +10,13 @@
 /// Tries in all. With the waits below they span about 3 s: a herd of 520 restarting nodes, each
 /// with a handful of reads, is through the table's 2,000 reads a second by then. An operator who
 /// is refused after that should look at what uses the table, not wait longer.
-const TRIES: u32 = 6;
-const WAIT: Backoff = Backoff::new(100, 3_200);
+const ATTEMPTS_MAX: u32 = 6;
+const RETRY_BACKOFF: Backoff = Backoff::new(100, 3_200);
 
 /// Lost answers of what may be repeated: one. A connection that the platform closed while it was
 /// idle, or a failover, costs one answer; after two the platform is down, and each further try may
 /// wait its whole timeout.
-const LOST_ANSWERS: u32 = 1;
+const LOST_RESPONSE_RETRIES_MAX: u32 = 1;
 
 /// Repeats what may be repeated.
 ///
@@ -28,57 +28,57 @@
 ///   Without that a single closed connection fails a publication that has not begun. A transaction
 ///   is not repeated here: [`crate::ops::command::publish`] settles it.
 #[derive(Clone, Debug)]
-pub struct Patient<P>(pub P);
+pub struct Retrying<S>(pub S);
 
 /// Whether asking twice is the same as asking once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Repeatable {
+enum Idempotent {
     Yes,
     No,
 }
 
-async fn patiently<T, F>(repeatable: Repeatable, mut call: impl FnMut() -> F) -> Result<T>
+async fn with_retries<T, F>(idempotent: Idempotent, mut call: impl FnMut() -> F) -> Result<T>
 where
     F: Future<Output = Result<T>>,
 {
-    let mut lost = 0;
-    for earlier_tries in 0..TRIES - 1 {
+    let mut lost_responses = 0;
+    for earlier_attempts in 0..ATTEMPTS_MAX - 1 {
         match call().await {
-            Err(Error::Busy) => {
-                let wait_ms = jittered_ms(WAIT.pause_ms(earlier_tries), rand::random());
+            Err(Error::RateLimited) => {
+                let wait_ms = jittered_ms(RETRY_BACKOFF.pause_ms(earlier_attempts), rand::random());
                 tokio::time::sleep(Duration::from_millis(wait_ms)).await;
             }
-            Err(Error::OutcomeUnknown { .. } | Error::Silent { .. })
-                if repeatable == Repeatable::Yes && lost < LOST_ANSWERS =>
+            Err(Error::OutcomeUnknown { .. } | Error::TimedOut { .. })
+                if idempotent == Idempotent::Yes && lost_responses < LOST_RESPONSE_RETRIES_MAX =>
             {
-                lost += 1;
+                lost_responses += 1;
             }
-            answer => return answer,
+            result => return result,
         }
     }
     call().await
 }
 
-impl<P: Table> Table for Patient<P> {
+impl<S: Table> Table for Retrying<S> {
     async fn transact(&self, transaction: &Transaction) -> Result<Outcome> {
-        patiently(Repeatable::No, || self.0.transact(transaction)).await
+        with_retries(Idempotent::No, || self.0.transact(transaction)).await
     }
 
     async fn row(&self, key: &str) -> Result<Option<Row>> {
-        patiently(Repeatable::Yes, || self.0.row(key)).await
+        with_retries(Idempotent::Yes, || self.0.row(key)).await
     }
 
     async fn rows(&self, prefix: &str, after: &str, limit: u32) -> Result<BTreeMap<String, Row>> {
-        patiently(Repeatable::Yes, || self.0.rows(prefix, after, limit)).await
+        with_retries(Idempotent::Yes, || self.0.rows(prefix, after, limit)).await
     }
 }
 
-impl<P: ObjectStore> ObjectStore for Patient<P> {
+impl<S: ObjectStore> ObjectStore for Retrying<S> {
     async fn put_object(&self, digest: &Digest, bytes: &[u8]) -> Result<()> {
-        patiently(Repeatable::Yes, || self.0.put_object(digest, bytes)).await
+        with_retries(Idempotent::Yes, || self.0.put_object(digest, bytes)).await
     }
 
     async fn object(&self, digest: &Digest) -> Result<Option<Vec<u8>>> {
-        patiently(Repeatable::Yes, || self.0.object(digest)).await
+        with_retries(Idempotent::Yes, || self.0.object(digest)).await
     }
 }
--- a/src/store/transport.rs
+++ b/src/store/transport.rs
@@ -20,10 +20,10 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Longest pause between two pieces of an answer.
-const STALL_TIMEOUT: Duration = Duration::from_secs(1);
+const BODY_STALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Idle connections are closed: 520 nodes that ask every few seconds must not hold the store's
 /// connections open.
-const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A client of one store, whatever it speaks over HTTP.
 #[derive(Clone, Debug)]
@@ -33,14 +33,14 @@
 
 #[derive(Debug)]
 struct Shared {
-    base: String,
+    base_url: String,
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl Transport {
-    /// A client for the store at `base`, such as `http://10.0.0.9:7000`. `dial_from` is the local
+    /// A client for the store at `base_url`, such as `http://10.0.0.9:7000`. `dial_from` is the local
     /// address to connect from, if it matters.
-    pub(crate) fn new(base: &str, dial_from: Option<IpAddr>) -> Self {
+    pub(crate) fn new(base_url: &str, dial_from: Option<IpAddr>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_local_address(dial_from);
@@ -48,17 +48,17 @@
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE_TIMEOUT)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
             .retry_canceled_requests(false)
             .build(connector);
-        let base = base.trim_end_matches('/').to_owned();
+        let base_url = base_url.trim_end_matches('/').to_owned();
         Self {
-            shared: Arc::new(Shared { base, client }),
+            shared: Arc::new(Shared { base_url, client }),
         }
     }
 
     /// Makes a call. Its answer begins within `timeout`, and each further piece of it comes within
-    /// [`STALL_TIMEOUT`].
+    /// [`BODY_STALL_TIMEOUT`].
     pub(crate) async fn call(
         &self,
         method: Method,
@@ -68,17 +68,17 @@
     ) -> Result<(StatusCode, Bytes)> {
         let request = Request::builder()
             .method(method)
-            .uri(format!("{}{path}", self.shared.base))
+            .uri(format!("{}{path}", self.shared.base_url))
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from(body)))
             .map_err(|error| Error::Protocol {
                 reason: error.to_string(),
             })?;
-        let response = in_time(timeout, self.send(request)).await??;
+        let response = with_timeout(timeout, self.send(request)).await??;
         let status = response.status();
-        let body = whole(response.into_body()).await?;
+        let body = read_body(response.into_body()).await?;
         match status {
-            StatusCode::TOO_MANY_REQUESTS => Err(Error::Busy),
+            StatusCode::TOO_MANY_REQUESTS => Err(Error::RateLimited),
             StatusCode::SERVICE_UNAVAILABLE => UnavailableSnafu {
                 reason: "it reports an outage",
             }
@@ -89,7 +89,7 @@
 
     async fn send(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>> {
         self.shared.client.request(request).await.map_err(|error| {
-            let reason = with_causes(&error);
+            let reason = error_chain(&error);
             // Only a failed connect proves that the store saw nothing of a write.
             if error.is_connect() {
                 Error::Unavailable { reason }
@@ -100,27 +100,27 @@
     }
 }
 
-async fn in_time<T>(limit: Duration, future: impl Future<Output = T>) -> Result<T> {
-    let done = tokio::time::timeout(limit, future).await;
-    done.map_err(|_| Error::Silent {
+async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Result<T> {
+    let result = tokio::time::timeout(limit, future).await;
+    result.map_err(|_| Error::TimedOut {
         after_ms: clock::whole_ms(limit),
     })
 }
 
-async fn whole(mut body: Incoming) -> Result<Bytes> {
-    let mut read = BytesMut::new();
-    while let Some(frame) = in_time(STALL_TIMEOUT, body.frame()).await? {
+async fn read_body(mut body: Incoming) -> Result<Bytes> {
+    let mut body_bytes = BytesMut::new();
+    while let Some(frame) = with_timeout(BODY_STALL_TIMEOUT, body.frame()).await? {
         let frame = frame.map_err(|error| Error::OutcomeUnknown {
             reason: error.to_string(),
         })?;
-        if let Ok(piece) = frame.into_data() {
-            read.extend_from_slice(&piece);
+        if let Ok(data) = frame.into_data() {
+            body_bytes.extend_from_slice(&data);
         }
     }
-    Ok(read.freeze())
+    Ok(body_bytes.freeze())
 }
 
-fn with_causes(error: &dyn std::error::Error) -> String {
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(cause) = source {
--- a/src/util/clock.rs
+++ b/src/util/clock.rs
@@ -5,15 +5,15 @@
 use nix::time::{ClockId, clock_gettime};
 
 /// Wall time since the epoch. Used in records that people read, never to order events.
-pub(crate) fn wall() -> Duration {
+pub(crate) fn unix_time() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
 }
 
 /// Wall time in milliseconds.
-pub(crate) fn wall_ms() -> u64 {
-    u64::try_from(wall().as_millis()).unwrap_or(u64::MAX)
+pub(crate) fn unix_time_ms() -> u64 {
+    u64::try_from(unix_time().as_millis()).unwrap_or(u64::MAX)
 }
 
 /// Microseconds since the VM was started, those included for which it was suspended.
--- a/src/util/dial.rs
+++ b/src/util/dial.rs
@@ -6,23 +6,23 @@
 
 use tokio::net::{TcpSocket, TcpStream};
 
-/// Connects to `to`, from `from` if given, within `timeout`.
+/// Connects to `remote`, from `local_ip` if given, within `timeout`.
 pub(crate) async fn dial(
-    to: SocketAddr,
-    from: Option<IpAddr>,
+    remote: SocketAddr,
+    local_ip: Option<IpAddr>,
     timeout: Duration,
 ) -> io::Result<TcpStream> {
-    let socket = if to.is_ipv4() {
+    let socket = if remote.is_ipv4() {
         TcpSocket::new_v4()?
     } else {
         TcpSocket::new_v6()?
     };
-    if let Some(from) = from {
+    if let Some(local_ip) = local_ip {
         // A listener may come back to this port: with the option on both, the system lets it.
         socket.set_reuseaddr(true)?;
-        socket.bind(SocketAddr::new(from, 0))?;
+        socket.bind(SocketAddr::new(local_ip, 0))?;
     }
-    let stream = tokio::time::timeout(timeout, socket.connect(to))
+    let stream = tokio::time::timeout(timeout, socket.connect(remote))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
--- a/src/util/descriptors.rs
+++ b/src/util/file_descriptors.rs
@@ -3,15 +3,15 @@
 use nix::sys::resource::{Resource, getrlimit};
 
 /// Taken where the system does not say it: the usual limit of a process.
-const UNKNOWN: u32 = 1_024;
+const FALLBACK_LIMIT: u32 = 1_024;
 
 /// Descriptors that this process may open.
-pub(crate) fn allowed() -> u32 {
+pub(crate) fn soft_limit() -> u32 {
     match getrlimit(Resource::RLIMIT_NOFILE) {
         Ok((soft, _)) => u32::try_from(soft).unwrap_or(u32::MAX),
         Err(error) => {
-            log::warn!(error:%, taken = UNKNOWN; "the limit of descriptors is not known");
-            UNKNOWN
+            log::warn!(error:%, taken = FALLBACK_LIMIT; "the limit of descriptors is not known");
+            FALLBACK_LIMIT
         }
     }
 }
--- a/tests/testsuite/check.rs
+++ b/tests/testsuite/check.rs
@@ -5,7 +5,7 @@
 use insta::assert_snapshot;
 use tempfile::TempDir;
 
-use crate::support::{command, repository_file};
+use crate::support::{repository_file, run_program};
 
 /// A right file, which the cases below spoil.
 const VALID_FILE: &str = r#"team = "armazem"
@@ -40,7 +40,7 @@
         arguments.push(path.display().to_string());
     }
     let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
-    let output = command(&arguments).await;
+    let output = run_program(&arguments).await;
     format_output(&output).replace(&format!("{}/", directory.path().display()), "")
 }
 
@@ -107,7 +107,7 @@
 
 #[tokio::test]
 async fn missing_file() {
-    let output = command(&["check", "no/such/file.toml"]).await;
+    let output = run_program(&["check", "no/such/file.toml"]).await;
     assert_snapshot!(format_output(&output));
 }
 
@@ -162,7 +162,7 @@
         let paths: Vec<String> = paths.map(|path| path.display().to_string()).collect();
         let mut arguments = vec!["check", "--whole"];
         arguments.extend(paths.iter().map(String::as_str));
-        let output = command(&arguments).await;
+        let output = run_program(&arguments).await;
         assert_eq!(output.status.code(), Some(0), "{}", format_output(&output));
     }
 }
--- a/tests/testsuite/documentation.rs
+++ b/tests/testsuite/documentation.rs
@@ -2,7 +2,7 @@
 
 use dragonflywall::node::settings::SPECS;
 
-use crate::support::{command, repository_file};
+use crate::support::{repository_file, run_program};
 
 pub(crate) fn page(path: &str) -> String {
     let text = std::fs::read_to_string(repository_file(path));
@@ -14,7 +14,7 @@
 #[tokio::test]
 async fn commands_page_contains_every_help_text() {
     let page = page("docs/reference/commands.md");
-    let overview = command(&["help"]).await;
+    let overview = run_program(&["help"]).await;
     let overview = String::from_utf8(overview.stdout).expect("help is UTF-8");
     let listed = overview.lines().skip_while(|line| *line != "Commands:");
     let names = listed.skip(1).take_while(|line| !line.is_empty());
@@ -26,7 +26,7 @@
         if name == "node" {
             continue; // The page of settings has them.
         }
-        let help = command(&[name, "--help"]).await;
+        let help = run_program(&[name, "--help"]).await;
         let help = String::from_utf8(help.stdout).expect("help is UTF-8");
         assert!(page.contains(help.trim()), "not in the page:\n{help}");
     }
@@ -58,6 +58,6 @@
     let directory = tempfile::TempDir::new().expect("there is room for files");
     let path = directory.path().join("armazem.toml");
     std::fs::write(&path, example).expect("the file is written");
-    let output = command(&["check", path.to_str().expect("UTF-8")]).await;
+    let output = run_program(&["check", path.to_str().expect("UTF-8")]).await;
     assert_eq!(output.status.code(), Some(0), "{output:?}");
 }
--- a/tests/testsuite/end_to_end.rs
+++ b/tests/testsuite/end_to_end.rs
@@ -5,7 +5,7 @@
 use testkit::http::request;
 use testkit::mesh::Deployment;
 
-use crate::support::{publish, start};
+use crate::support::{publish, start_mesh};
 
 const CHATARRAS: &[&str] = &[
     "examples/chatarras/boletines.toml",
@@ -17,7 +17,7 @@
 /// server of `tablon`, under the version that was just published.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_passes_from_caller_to_backend_server() {
-    let mesh = start(Deployment::chatarras()).await;
+    let mesh = start_mesh(Deployment::chatarras()).await;
     let published = publish(&mesh, CHATARRAS).await;
     assert!(published.status.success(), "{published:?}");
     mesh.wait_enforced(1).await;
@@ -42,7 +42,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn ten_mebibytes_pass_both_ways_unchanged() {
     const BUNDLE_BYTES: usize = 10 << 20;
-    let mesh = start(Deployment::chatarras()).await;
+    let mesh = start_mesh(Deployment::chatarras()).await;
     let published = publish(&mesh, CHATARRAS).await;
     assert!(published.status.success(), "{published:?}");
     mesh.wait_enforced(1).await;
--- a/tests/testsuite/fuzz.rs
+++ b/tests/testsuite/fuzz.rs
@@ -6,24 +6,24 @@
 
 use proptest::test_runner::{Config, FileFailurePersistence, RngSeed};
 
-const CASES: &str = "DRAGONFLYWALL_FUZZ_CASES";
-const SEED: &str = "DRAGONFLYWALL_FUZZ_SEED";
-const SEED_IN_CI: u64 = 520;
+const CASES_VARIABLE: &str = "DRAGONFLYWALL_FUZZ_CASES";
+const SEED_VARIABLE: &str = "DRAGONFLYWALL_FUZZ_SEED";
+const CI_SEED: u64 = 520;
 
 /// `cases` in CI, or as the environment says.
 pub(crate) fn config(cases: u32) -> Config {
-    let given = std::env::var(CASES).ok();
-    let cases = given.map_or(cases, |text| text.parse().expect("a number of cases"));
-    let seed = match std::env::var(SEED) {
-        Err(_) => RngSeed::Fixed(SEED_IN_CI),
+    let cases_override = std::env::var(CASES_VARIABLE).ok();
+    let cases = cases_override.map_or(cases, |text| text.parse().expect("a number of cases"));
+    let seed = match std::env::var(SEED_VARIABLE) {
+        Err(_) => RngSeed::Fixed(CI_SEED),
         Ok(text) if text == "random" => RngSeed::Random,
         Ok(text) => RngSeed::Fixed(text.parse().expect("a seed, or `random`")),
     };
-    let kept = FileFailurePersistence::Direct("tests/testsuite/fuzz.regressions");
+    let regressions = FileFailurePersistence::Direct("tests/testsuite/fuzz.regressions");
     Config {
         cases,
         rng_seed: seed,
-        failure_persistence: Some(Box::new(kept)),
+        failure_persistence: Some(Box::new(regressions)),
         ..Config::default()
     }
 }
--- a/tests/testsuite/fuzz_table.rs
+++ b/tests/testsuite/fuzz_table.rs
@@ -18,20 +18,20 @@
 type Rows = BTreeMap<String, (u64, String)>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Loss {
-    Nothing,
+enum LostMessage {
+    None,
     Request,
-    Answer,
+    Response,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Transact(Transaction, Loss),
+    Transact(Transaction, LostMessage),
     Read(&'static str),
     List { after: &'static str, limit: u32 },
 }
 
-struct Oracle;
+struct ReferenceTable;
 
 fn key() -> impl Strategy<Value = &'static str> {
     prop::sample::select(&KEYS[..])
@@ -54,7 +54,7 @@
         .prop_map(|(conditions, puts)| Transaction { conditions, puts })
 }
 
-fn holds(rows: &Rows, condition: &Condition) -> bool {
+fn condition_holds(rows: &Rows, condition: &Condition) -> bool {
     match condition {
         Condition::Absent { key } => !rows.contains_key(key),
         Condition::Revision { key, revision } => {
@@ -64,8 +64,12 @@
 }
 
 /// Whether the transaction took effect.
-fn run(rows: &mut Rows, transaction: &Transaction) -> bool {
-    if !transaction.conditions.iter().all(|c| holds(rows, c)) {
+fn apply_transaction(rows: &mut Rows, transaction: &Transaction) -> bool {
+    if !transaction
+        .conditions
+        .iter()
+        .all(|condition| condition_holds(rows, condition))
+    {
         return false;
     }
     for (key, value) in &transaction.puts {
@@ -75,7 +79,7 @@
     true
 }
 
-impl ReferenceStateMachine for Oracle {
+impl ReferenceStateMachine for ReferenceTable {
     type State = Rows;
     type Transition = Step;
 
@@ -84,13 +88,13 @@
     }
 
     fn transitions(_: &Rows) -> BoxedStrategy<Step> {
-        let loss = prop_oneof![
-            6 => Just(Loss::Nothing),
-            1 => Just(Loss::Request),
-            1 => Just(Loss::Answer),
+        let lost_message = prop_oneof![
+            6 => Just(LostMessage::None),
+            1 => Just(LostMessage::Request),
+            1 => Just(LostMessage::Response),
         ];
         prop_oneof![
-            3 => (transaction(), loss).prop_map(|(t, loss)| Step::Transact(t, loss)),
+            3 => (transaction(), lost_message).prop_map(|(t, lost_message)| Step::Transact(t, lost_message)),
             1 => key().prop_map(Step::Read),
             1 => (key(), 1..4_u32).prop_map(|(after, limit)| Step::List { after, limit }),
         ]
@@ -98,24 +102,24 @@
     }
 
     fn apply(mut rows: Rows, step: &Step) -> Rows {
-        if let Step::Transact(transaction, Loss::Nothing | Loss::Answer) = step {
-            run(&mut rows, transaction);
+        if let Step::Transact(transaction, LostMessage::None | LostMessage::Response) = step {
+            apply_transaction(&mut rows, transaction);
         }
         rows
     }
 }
 
-struct Bench {
+struct TableTest {
     runtime: Runtime,
     platform: Platform,
     client: HttpStore,
     /// The oracle before the step under way.
-    before: Rows,
+    rows_before_step: Rows,
 }
 
-impl StateMachineTest for Bench {
+impl StateMachineTest for TableTest {
     type SystemUnderTest = Self;
-    type Reference = Oracle;
+    type Reference = ReferenceTable;
 
     fn init_test(_: &Rows) -> Self {
         let mut builder = tokio::runtime::Builder::new_current_thread();
@@ -127,26 +131,29 @@
             runtime,
             platform,
             client,
-            before: Rows::new(),
+            rows_before_step: Rows::new(),
         }
     }
 
     fn apply(mut table: Self, rows: &Rows, step: Step) -> Self {
         match step {
-            Step::Transact(transaction, loss) => {
+            Step::Transact(transaction, lost_message) => {
                 table.platform.set_faults(Faults {
-                    lose_requests: u32::from(loss == Loss::Request),
-                    lose_answers: u32::from(loss == Loss::Answer),
+                    lose_requests: u32::from(lost_message == LostMessage::Request),
+                    lose_answers: u32::from(lost_message == LostMessage::Response),
                     ..Faults::default()
                 });
-                let committed = run(&mut table.before, &transaction);
+                let committed = apply_transaction(&mut table.rows_before_step, &transaction);
                 let call = table.client.transact(&transaction);
                 let result = table.runtime.block_on(call);
-                match (loss, result) {
-                    (Loss::Nothing, Ok(Outcome::Committed)) => assert!(committed),
-                    (Loss::Nothing, Ok(Outcome::ConditionFailed)) => assert!(!committed),
-                    (Loss::Request | Loss::Answer, Err(Error::OutcomeUnknown { .. })) => {}
-                    (loss, result) => panic!("{loss:?} brought {result:?}"),
+                match (lost_message, result) {
+                    (LostMessage::None, Ok(Outcome::Committed)) => assert!(committed),
+                    (LostMessage::None, Ok(Outcome::ConditionFailed)) => assert!(!committed),
+                    (
+                        LostMessage::Request | LostMessage::Response,
+                        Err(Error::OutcomeUnknown { .. }),
+                    ) => {}
+                    (lost_message, result) => panic!("{lost_message:?} brought {result:?}"),
                 }
             }
             Step::Read(key) => {
@@ -158,13 +165,13 @@
             Step::List { after, limit } => {
                 let list = table.client.rows("version/", after, limit);
                 let list = table.runtime.block_on(list).expect("nothing is wrong");
-                let wanted = |key: &&String| key.starts_with("version/") && key.as_str() > after;
+                let is_listed = |key: &&String| key.starts_with("version/") && key.as_str() > after;
                 let expected: Vec<&String> =
-                    rows.keys().filter(wanted).take(limit as usize).collect();
+                    rows.keys().filter(is_listed).take(limit as usize).collect();
                 assert_eq!(list.keys().collect::<Vec<_>>(), expected);
             }
         }
-        table.before.clone_from(rows);
+        table.rows_before_step.clone_from(rows);
         table
     }
 
@@ -178,5 +185,5 @@
     #![proptest_config(fuzz::config(48))]
 
     #[test]
-    fn fuzz_table_against_a_map(sequential 1..24 => Bench);
+    fn fuzz_table_against_a_map(sequential 1..24 => TableTest);
 }
--- a/tests/testsuite/logs.rs
+++ b/tests/testsuite/logs.rs
@@ -14,8 +14,8 @@
 use tokio::sync::mpsc;
 
 use crate::support::{
-    LIMIT, PROGRAM, SERVICES, ask, metrics, small, start_chatarras, start_users_serving,
-    users_routes, vms_of, write_routes,
+    PROGRAM, SERVICES, WAIT_TIMEOUT, fetch_metrics, send_request, small_deployment,
+    start_chatarras, start_serving_users_mesh, users_routes, vms_of, write_routes,
 };
 
 /// In the night the platform is down for a while, a VM dies, and its replacement starts meanwhile. In
@@ -25,7 +25,7 @@
 async fn platform_outage_and_member_death_are_logged() {
     const VICTIM: usize = 1;
     let (sender, mut lines) = mpsc::unbounded_channel();
-    let mut deployment = small(&["tablon"], 2);
+    let mut deployment = small_deployment(&["tablon"], 2);
     deployment.log_lines = Some(sender);
     let mut mesh = start_chatarras(deployment).await;
     mesh.platform.set_faults(Faults {
@@ -53,7 +53,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn refused_request_is_logged_with_its_id_and_reason() {
     let (sender, mut lines) = mpsc::unbounded_channel();
-    let mut deployment = small(&["tablon", "cobros"], 1);
+    let mut deployment = small_deployment(&["tablon", "cobros"], 1);
     deployment.log_lines = Some(sender);
     let mesh = start_chatarras(deployment).await;
     let entry = mesh.vms[vms_of(&mesh, "tablon")[0]].node().addresses.caller;
@@ -62,7 +62,7 @@
         let drained = request(operator, Method::POST, "node", "/drain", &[], "").await;
         drained.expect("the node answers");
     }
-    let reply = ask(entry, Method::POST, "cobros", "/payments/1", "complaint").await;
+    let reply = send_request(entry, Method::POST, "cobros", "/payments/1", "complaint").await;
     assert_eq!(reply.expect("the node answers").status, 503);
     let ended = wait_for_line(&mut lines, |line| {
         let fields = fields(line);
@@ -82,7 +82,7 @@
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
     plan.log_lines = Some(sender);
-    let mesh = start_users_serving(plan).await;
+    let mesh = start_serving_users_mesh(plan).await;
     let mut sources = BTreeSet::new();
     // A node that has just started reads the store itself until it knows its lead.
     for version in 2.. {
@@ -101,7 +101,7 @@
             break;
         }
     }
-    let text = metrics(mesh.vms[0].node().addresses.operator).await;
+    let text = fetch_metrics(mesh.vms[0].node().addresses.operator).await;
     for name in [
         "version_age_seconds",
         "version_age_max_seconds",
@@ -119,7 +119,7 @@
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
     plan.log_lines = Some(sender);
-    let mesh = start_users_serving(plan).await;
+    let mesh = start_serving_users_mesh(plan).await;
     mesh.store.set_trouble(Trouble::Reset);
     let is_failed_read = |line: &LogLine| line.text.contains("reading the store failed");
     let fields = fields(&wait_for_line(&mut lines, is_failed_read).await);
@@ -135,14 +135,14 @@
     let (_process, node) = start_node_with_unread_output();
     let mut answered = 0;
     for number in 0..REQUESTS {
-        let reply = ask(node.caller, Method::GET, "tablon", "/prices/copper", "x").await;
+        let reply = send_request(node.caller, Method::GET, "tablon", "/prices/copper", "x").await;
         let reply = reply.unwrap_or_else(|error| panic!("request {number}: {error}"));
         assert_eq!(reply.status, 503);
         answered += 1;
     }
     assert_eq!(answered, REQUESTS);
-    wait_until("lines were dropped and counted", LIMIT, || async {
-        let text = metrics(node.operator).await;
+    wait_until("lines were dropped and counted", WAIT_TIMEOUT, || async {
+        let text = fetch_metrics(node.operator).await;
         text.contains("dragonflywall_log_lines_dropped_total")
     })
     .await;
@@ -206,6 +206,6 @@
         }
         None
     };
-    let found = tokio::time::timeout(LIMIT, found).await;
+    let found = tokio::time::timeout(WAIT_TIMEOUT, found).await;
     found.ok().flatten().expect("the line comes")
 }
--- a/tests/testsuite/operator_commands.rs
+++ b/tests/testsuite/operator_commands.rs
@@ -14,7 +14,10 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-use crate::support::{ask, command, repository_file, small, start, start_chatarras, wait_running};
+use crate::support::{
+    repository_file, run_program, send_request, small_deployment, start_chatarras, start_mesh,
+    wait_until_running,
+};
 
 fn output_text(output: &Output) -> String {
     let stdout = String::from_utf8_lossy(&output.stdout);
@@ -26,7 +29,7 @@
 /// enforces the version. Watching it afterwards, and looking at the state, show the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn publish_waits_until_every_node_enforces() {
-    let mesh = start(Deployment::marinhas()).await;
+    let mesh = start_mesh(Deployment::marinhas()).await;
     mesh.wait_joined().await;
     let url = mesh.platform.url();
     let node = mesh.vms[0].node().addresses.operator.to_string();
@@ -37,7 +40,7 @@
         one_node_per_data_centre.map(|vm| vm.node().addresses.operator.to_string());
     let one_node_per_data_centre = one_node_per_data_centre.collect::<Vec<_>>().join(",");
     let target_flags = ["--platform", &url, "--node", &one_node_per_data_centre];
-    let output = command(
+    let output = run_program(
         &[
             &["publish", "--wait", "--operator", "ana"],
             &target_flags[..],
@@ -57,9 +60,9 @@
         "{}",
         output_text(&output)
     );
-    let output = command(&[&["watch"], &target_flags[..]].concat()).await;
+    let output = run_program(&[&["watch"], &target_flags[..]].concat()).await;
     assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
-    let output = command(&["status", "--node", &node]).await;
+    let output = run_program(&["status", "--node", &node]).await;
     let unreachable_notice = "it reaches no endpoint of: ";
     assert!(
         output_text(&output).contains("and is ready"),
@@ -71,7 +74,7 @@
         "{}",
         output_text(&output)
     );
-    let output = command(&["status", "--node", &node, "--json"]).await;
+    let output = run_program(&["status", "--node", &node, "--json"]).await;
     let status: Value = serde_json::from_slice(&output.stdout).expect("status prints JSON");
     assert_eq!(status["enforced"]["version"], 1);
 }
@@ -82,10 +85,10 @@
 async fn watch_ends_at_its_time_limit() {
     let mut deployment = Deployment::marinhas();
     deployment.data_centres.truncate(1);
-    let mesh = start(deployment).await;
+    let mesh = start_mesh(deployment).await;
     let node = mesh.vms[0].node().addresses.operator.to_string();
     let limits = ["--version", "7", "--wait-limit-ms", "300"];
-    let output = command(&[&["watch", "--node", &node], &limits[..]].concat()).await;
+    let output = run_program(&[&["watch", "--node", &node], &limits[..]].concat()).await;
     assert_eq!(output.status.code(), Some(3), "{}", output_text(&output));
     assert!(
         output_text(&output).contains("version 7 stands"),
@@ -122,7 +125,7 @@
 #[tokio::test]
 async fn drain_waits_until_nothing_is_in_flight() {
     let (node, _stop) = start_draining_node(2).await;
-    let output = command(&["drain", "--node", &node, "--wait"]).await;
+    let output = run_program(&["drain", "--node", &node, "--wait"]).await;
     assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     for line in ["2 requests", "1 requests", "0 requests"] {
         assert!(
@@ -139,7 +142,7 @@
 async fn unfinished_drain_exits_with_unknown_outcome() {
     let (node, _stop) = start_draining_node(1_000).await;
     let limit = ["--wait", "--wait-limit-ms", "300"];
-    let output = command(&[&["drain", "--node", &node], &limit[..]].concat()).await;
+    let output = run_program(&[&["drain", "--node", &node], &limit[..]].concat()).await;
     assert_eq!(output.status.code(), Some(3), "{}", output_text(&output));
     let hint = "leave the backend server running";
     assert!(
@@ -152,21 +155,21 @@
 /// The node is not there: refused, and nothing is said to be drained.
 #[tokio::test]
 async fn drain_of_an_unreachable_node_fails() {
-    let output = command(&["drain", "--node", "127.0.0.1:9", "--wait"]).await;
+    let output = run_program(&["drain", "--node", "127.0.0.1:9", "--wait"]).await;
     assert_eq!(output.status.code(), Some(1), "{}", output_text(&output));
 }
 
 /// Every command explains itself, and one that does not exist is a usage error.
 #[tokio::test]
 async fn every_command_has_help() {
-    let overview = command(&["help"]).await;
+    let overview = run_program(&["help"]).await;
     let overview = output_text(&overview);
     let names = [
         "check", "diff", "publish", "watch", "status", "history", "audit", "drain", "node",
     ];
     for name in names {
         assert!(overview.contains(&format!("  {name} ")), "{overview}");
-        let output = command(&[name, "--help"]).await;
+        let output = run_program(&[name, "--help"]).await;
         assert_eq!(output.status.code(), Some(0));
         let usage = format!("Usage: dragonflywall {name}");
         assert!(
@@ -175,12 +178,12 @@
             output_text(&output)
         );
     }
-    let output = command(&["reverse"]).await;
+    let output = run_program(&["reverse"]).await;
     assert_eq!(output.status.code(), Some(2), "{}", output_text(&output));
-    let output = command(&["drain", "--nod", "x"]).await;
+    let output = run_program(&["drain", "--nod", "x"]).await;
     assert_eq!(output.status.code(), Some(2), "{}", output_text(&output));
     assert!(output_text(&output).contains("dragonflywall drain --help"));
-    let output = command(&["--version"]).await;
+    let output = run_program(&["--version"]).await;
     assert!(output_text(&output).starts_with("dragonflywall "));
 }
 
@@ -267,14 +270,20 @@
 /// with 0, the payment has been answered whole, so stopping the backend server cuts nothing.
 #[tokio::test(flavor = "multi_thread")]
 async fn drain_waits_for_the_last_request_of_a_node() {
-    let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     let entry = mesh.vms.iter().find(|vm| vm.service == "tablon");
     let entry = entry.expect("tablon is deployed").node().addresses.caller;
     let path = "/payments?work_ms=4000";
-    let payment = tokio::spawn(ask(entry, Method::POST, "cobros", path, "payment-1"));
-    let position = wait_running(&mesh, "cobros", "payment-1").await;
+    let payment = tokio::spawn(send_request(
+        entry,
+        Method::POST,
+        "cobros",
+        path,
+        "payment-1",
+    ));
+    let position = wait_until_running(&mesh, "cobros", "payment-1").await;
     let node = mesh.vms[position].node().addresses.operator.to_string();
-    let output = command(&["drain", "--node", &node, "--wait"]).await;
+    let output = run_program(&["drain", "--node", &node, "--wait"]).await;
     assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     assert!(
         output_text(&output).contains("1 requests in flight"),
@@ -295,7 +304,7 @@
 /// link is back the data centre takes the version without help, and `watch` ends with 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn publication_with_a_partitioned_data_centre_is_not_complete() {
-    let mesh = start_chatarras(small(&["tablon"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon"], 1)).await;
     mesh.network
         .set_cut(true, |from, to| (from == 2) != (to == 2));
     let url = mesh.platform.url();
@@ -309,7 +318,7 @@
     let target_flags = ["--platform", &url, "--node", &node];
     let publish = ["publish", "--operator", "ana", "--expect", "1", "--wait"];
     let limit = ["--wait-limit-ms", "1500", path.to_str().expect("UTF-8")];
-    let output = command(&[&publish[..], &target_flags, &limit].concat()).await;
+    let output = run_program(&[&publish[..], &target_flags, &limit].concat()).await;
     assert_eq!(output.status.code(), Some(3), "{}", output_text(&output));
     assert!(
         output_text(&output).contains("Published: version 2"),
@@ -322,7 +331,7 @@
         output_text(&output)
     );
     mesh.network.set_cut(false, |_, _| true);
-    let output = command(&[&["watch"], &target_flags[..]].concat()).await;
+    let output = run_program(&[&["watch"], &target_flags[..]].concat()).await;
     assert_eq!(output.status.code(), Some(0), "{}", output_text(&output));
     assert_eq!(mesh.version_at(2).await, 2);
 }
@@ -331,9 +340,9 @@
 /// a node is told which services cannot be reached, instead of hearing it from callers.
 #[tokio::test(flavor = "multi_thread")]
 async fn status_lists_unreachable_services() {
-    let mesh = start_chatarras(small(&["tablon"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon"], 1)).await;
     let node = mesh.vms[0].node().addresses.operator.to_string();
-    let output = command(&["status", "--node", &node]).await;
+    let output = run_program(&["status", "--node", &node]).await;
     let unreachable_services = "it reaches no endpoint of: bascula, cobros, hemeroteca";
     assert!(
         output_text(&output).contains(unreachable_services),
--- a/tests/testsuite/payment_faults.rs
+++ b/tests/testsuite/payment_faults.rs
@@ -17,7 +17,8 @@
 use tokio::task::JoinSet;
 
 use crate::support::{
-    CHATARRAS, LIMIT, VERDICT, ask, publish, small, start_chatarras, vms_of, wait_running,
+    CHATARRAS_TEAM_FILES, VERDICT_HEADER, WAIT_TIMEOUT, publish, send_request, small_deployment,
+    start_chatarras, vms_of, wait_until_running,
 };
 
 const ANSWER_BYTES: u64 = 20_000;
@@ -36,7 +37,7 @@
 
 async fn pay(entry: SocketAddr, id: &str, work_ms: u64) -> Outcome {
     let path = format!("/payments?work_ms={work_ms}&answer_bytes={ANSWER_BYTES}");
-    let Ok(reply) = ask(entry, Method::POST, "cobros", &path, id).await else {
+    let Ok(reply) = send_request(entry, Method::POST, "cobros", &path, id).await else {
         return Outcome::Unknown;
     };
     if reply.status == 200 {
@@ -45,7 +46,7 @@
         assert_eq!(digest, expected, "{id} got another request's answer");
         return Outcome::Paid;
     }
-    match reply.header(VERDICT) {
+    match reply.header(VERDICT_HEADER) {
         "not-run" => Outcome::NotRun,
         "may-have-run" => Outcome::MayHaveRun,
         _ => panic!("{id}: no verdict in {reply:?}"),
@@ -104,7 +105,7 @@
     /// Waits until so many further payments have ended.
     async fn wait_for_payments(&self, payments: u64) {
         let goal = self.done.load(Ordering::Acquire) + payments;
-        wait_until("payments go on", LIMIT, || async {
+        wait_until("payments go on", WAIT_TIMEOUT, || async {
             self.done.load(Ordering::Acquire) >= goal
         })
         .await;
@@ -143,7 +144,7 @@
 
 /// Two data centres of one region with two endpoints each.
 async fn start() -> Mesh {
-    let mut deployment = small(&["tablon", "cobros"], 2);
+    let mut deployment = small_deployment(&["tablon", "cobros"], 2);
     deployment.data_centres.truncate(2);
     start_chatarras(deployment).await
 }
@@ -241,10 +242,10 @@
     let callers = Callers::start(&mesh);
     let entry = mesh.vms[victim(&mesh, "tablon")].node().addresses.caller;
     let long = tokio::spawn(async move { pay(entry, "long-1", 2_000).await });
-    wait_running(&mesh, "cobros", "long-1").await;
+    wait_until_running(&mesh, "cobros", "long-1").await;
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join("suscripciones.toml");
-    let text = std::fs::read_to_string(crate::support::repository_file(CHATARRAS[1]));
+    let text = std::fs::read_to_string(crate::support::repository_file(CHATARRAS_TEAM_FILES[1]));
     let text = text.expect("the example is there");
     let changed = text.replace("methods = [\"POST\"]", "methods = [\"PATCH\"]");
     assert_ne!(text, changed);
--- a/tests/testsuite/publish.rs
+++ b/tests/testsuite/publish.rs
@@ -7,7 +7,7 @@
 use tempfile::TempDir;
 use testkit::platform::{Faults, Platform};
 
-use crate::support::command;
+use crate::support::run_program;
 
 /// A platform, and a directory for team files.
 struct PublishFixture {
@@ -70,7 +70,7 @@
             all.extend(["--operator", "ana"]);
         }
         all.extend(&arguments[1..]);
-        command(&all).await.into()
+        run_program(&all).await.into()
     }
 
     async fn publish(&self, file: &Path, more: &[&str]) -> CommandResult {
@@ -173,7 +173,9 @@
     let common = ["publish", "--operator", "ana"];
     let arguments = [&common[..], &["--platform", "http://127.0.0.1:9"]].concat();
     let file = file.to_str().expect("temporary paths are UTF-8");
-    let result: CommandResult = command(&[&arguments[..], &[file]].concat()).await.into();
+    let result: CommandResult = run_program(&[&arguments[..], &[file]].concat())
+        .await
+        .into();
     result.expect(1, "nothing was changed");
 }
 
@@ -345,7 +347,7 @@
         running.push(tokio::spawn(async move {
             let common = ["publish", "--operator", "ana", "--platform", &url];
             let arguments = [&common[..], &["--expect", &expected, &file]].concat();
-            CommandResult::from(command(&arguments).await)
+            CommandResult::from(run_program(&arguments).await)
         }));
     }
     let mut results = Vec::new();
--- a/tests/testsuite/publish_in_flight.rs
+++ b/tests/testsuite/publish_in_flight.rs
@@ -10,7 +10,7 @@
 use dragonflywall::ops::command::publish::{Error, PublishOptions, abandon, publish};
 use dragonflywall::ops::query::accepted;
 use dragonflywall::store::http::HttpStore;
-use dragonflywall::store::patient::Patient;
+use dragonflywall::store::retrying::Retrying;
 use dragonflywall::store::rows::HEAD_KEY;
 use dragonflywall::store::{self, ObjectStore, Outcome, Result, Row, Table, Transaction};
 
@@ -66,7 +66,7 @@
 
     fn fail_if_busy(&self) -> Result<()> {
         match decrement(&self.busy_answers) {
-            true => Err(store::Error::Busy),
+            true => Err(store::Error::RateLimited),
             false => Ok(()),
         }
     }
@@ -271,7 +271,7 @@
 async fn publication_retries_while_rate_limited() {
     let (_stand_in, platform) = start().await;
     platform.busy_answers.store(2, Ordering::SeqCst);
-    let published = publish(&Patient(platform), &options("busy", 60_000)).await;
+    let published = publish(&Retrying(platform), &options("busy", 60_000)).await;
     let published = published.expect("the ceiling is waited out");
     assert_eq!(published.stamp.version, Version(1));
 }
@@ -282,7 +282,7 @@
 async fn read_is_retried_after_a_lost_answer() {
     let (_stand_in, platform) = start().await;
     platform.lost_answers.store(1, Ordering::SeqCst);
-    let published = publish(&Patient(platform), &options("read", 60_000)).await;
+    let published = publish(&Retrying(platform), &options("read", 60_000)).await;
     let published = published.expect("the read is repeated");
     assert_eq!(published.stamp.version, Version(1));
 }
--- a/tests/testsuite/requests_chain.rs
+++ b/tests/testsuite/requests_chain.rs
@@ -5,10 +5,10 @@
 use testkit::http::request;
 use testkit::mesh::Mesh;
 
-use crate::support::{ask, small, start_chatarras};
+use crate::support::{send_request, small_deployment, start_chatarras};
 
 async fn start_with_entries() -> Mesh {
-    let mesh = start_chatarras(small(&["tablon", "hemeroteca"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon", "hemeroteca"], 1)).await;
     for vm in &mesh.vms {
         vm.backend.set_behaviour(Behaviour {
             entry: Some(vm.node().addresses.caller),
@@ -34,7 +34,7 @@
     let mesh = start_with_entries().await;
     let entry = mesh.vms[0].node().addresses.caller;
     let path = format!("/prices/zinc?chain={}", chain_parameter(7));
-    let reply = ask(entry, Method::GET, "tablon", &path, "chain-7").await;
+    let reply = send_request(entry, Method::GET, "tablon", &path, "chain-7").await;
     let reply = reply.expect("the node answers");
     assert_eq!(reply.status, 200, "{reply:?}");
     let records = mesh.vms.iter().map(|vm| vm.backend.record());
@@ -50,7 +50,7 @@
     let mesh = start_with_entries().await;
     let entry = mesh.vms[0].node().addresses.caller;
     let path = format!("/prices/zinc?chain={}", chain_parameter(8));
-    let reply = ask(entry, Method::GET, "tablon", &path, "chain-8").await;
+    let reply = send_request(entry, Method::GET, "tablon", &path, "chain-8").await;
     let reply = reply.expect("the node answers");
     assert_eq!(reply.status, 508, "{reply:?}");
 }
--- a/tests/testsuite/requests_delayed.rs
+++ b/tests/testsuite/requests_delayed.rs
@@ -6,7 +6,10 @@
 use testkit::http::{request, wait_until};
 use testkit::mesh::Mesh;
 
-use crate::support::{LIMIT, REASON, VERDICT, ask, command, repository_file, runs, small};
+use crate::support::{
+    REASON_HEADER, VERDICT_HEADER, WAIT_TIMEOUT, repository_file, run_counts, run_program,
+    send_request, small_deployment,
+};
 use crate::support::{start_chatarras, vms_of};
 
 /// Publishes the subscriptions team's file with a single attempt for payments.
@@ -19,7 +22,7 @@
     std::fs::write(&path, text).expect("written");
     let path = path.to_str().expect("a plain path");
     let url = mesh.platform.url();
-    let published = command(&["publish", "--operator", "ana", "--platform", &url, path]).await;
+    let published = run_program(&["publish", "--operator", "ana", "--platform", &url, path]).await;
     assert!(published.status.success(), "{published:?}");
     mesh.wait_enforced(2).await;
 }
@@ -29,7 +32,7 @@
 /// payment is not run: the caller, if it still waits, is told so and can pay again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_payment_delayed_in_transit_is_not_run() {
-    let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     publish_single_attempt(&mesh).await;
     let entry_position = vms_of(&mesh, "tablon")[0];
     let entry = mesh.vms[entry_position].node().addresses.caller;
@@ -53,18 +56,24 @@
         }
     }
     // Until the way is known, nothing can be told to be late.
-    wait_until("payments reach the endpoint", LIMIT, || async {
-        let reply = ask(entry, Method::POST, "cobros", "/payments/1", "usual").await;
+    wait_until("payments reach the endpoint", WAIT_TIMEOUT, || async {
+        let reply = send_request(entry, Method::POST, "cobros", "/payments/1", "usual").await;
         reply.is_ok_and(|reply| reply.status == 200)
     })
     .await;
     mesh.network.set_cut(true, |_, _| true);
-    let late = tokio::spawn(ask(entry, Method::POST, "cobros", "/payments/2", "late"));
+    let late = tokio::spawn(send_request(
+        entry,
+        Method::POST,
+        "cobros",
+        "/payments/2",
+        "late",
+    ));
     tokio::time::sleep(Duration::from_millis(700)).await;
     mesh.network.set_cut(false, |_, _| true);
     let reply = late.await.expect("no panic").expect("the node answers");
     assert_eq!(reply.status, 503, "{reply:?}");
-    assert_eq!(reply.header(VERDICT), "not-run");
-    assert_eq!(reply.header(REASON), "held-up");
-    assert!(runs(&mesh, "cobros", "late").is_empty());
+    assert_eq!(reply.header(VERDICT_HEADER), "not-run");
+    assert_eq!(reply.header(REASON_HEADER), "held-up");
+    assert!(run_counts(&mesh, "cobros", "late").is_empty());
 }
--- a/tests/testsuite/requests_drain.rs
+++ b/tests/testsuite/requests_drain.rs
@@ -14,7 +14,8 @@
 use tokio::task::JoinSet;
 
 use crate::support::{
-    LIMIT, REASON, VERDICT, ask, metrics, runs, small, start_chatarras, vms_of, wait_running,
+    REASON_HEADER, VERDICT_HEADER, WAIT_TIMEOUT, fetch_metrics, run_counts, send_request,
+    small_deployment, start_chatarras, vms_of, wait_until_running,
 };
 
 /// Payments without pause through every node of another service, until told to stop. Returns
@@ -32,7 +33,7 @@
                 let id = format!("load-{n}-{count}");
                 count += 1;
                 let path = "/payments?work_ms=5";
-                match ask(entry, Method::POST, "cobros", path, &id).await {
+                match send_request(entry, Method::POST, "cobros", path, &id).await {
                     Ok(reply) if reply.status == 200 => (),
                     other => failures.push(format!("{id}: {other:?}")),
                 }
@@ -60,20 +61,20 @@
 /// one ends whole, no new one comes, no caller sees anything, and the node goes on as an entry.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drain_by_command_is_invisible_to_callers() {
-    let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     let stop = Arc::default();
     let callers = start_payments(&mesh, &stop);
     let entry = mesh.vms[vms_of(&mesh, "tablon")[0]].node().addresses.caller;
     let path = "/payments?work_ms=2000";
-    let long = tokio::spawn(ask(entry, Method::POST, "cobros", path, "long-1"));
-    let position = wait_running(&mesh, "cobros", "long-1").await;
+    let long = tokio::spawn(send_request(entry, Method::POST, "cobros", path, "long-1"));
+    let position = wait_until_running(&mesh, "cobros", "long-1").await;
     let answer = drain(&mesh, position).await;
     assert_eq!(answer["draining"], true);
     assert!(answer["in_flight"].as_u64() >= Some(1), "{answer}");
     let runs_at_drain = mesh.vms[position].backend.record().runs.len() as u64;
     let reply = long.await.expect("no panic").expect("the node answers");
     assert_eq!(reply.status, 200);
-    wait_until("nothing is in flight", LIMIT, || async {
+    wait_until("nothing is in flight", WAIT_TIMEOUT, || async {
         drain(&mesh, position).await["in_flight"] == 0
     })
     .await;
@@ -88,10 +89,10 @@
     );
     // The node itself is still there for callers.
     let entry = mesh.vms[position].node().addresses.caller;
-    let reply = ask(entry, Method::POST, "cobros", "/payments", "after-1").await;
+    let reply = send_request(entry, Method::POST, "cobros", "/payments", "after-1").await;
     assert_eq!(reply.expect("the node answers").status, 200);
     assert!(
-        runs(&mesh, "cobros", "after-1")
+        run_counts(&mesh, "cobros", "after-1")
             .iter()
             .all(|run| run.0 != position)
     );
@@ -110,23 +111,23 @@
 /// A backend server says itself that it drains, and later that it serves again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drain_by_announcement_ends_with_the_next_announcement() {
-    let mesh = start_chatarras(small(&["cobros"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["cobros"], 1)).await;
     let position = vms_of(&mesh, "cobros")[0];
     let entry = mesh.vms[position].node().addresses.caller;
     announce(&mesh, position, "draining").await;
-    let reply = ask(entry, Method::POST, "cobros", "/payments", "away-1").await;
+    let reply = send_request(entry, Method::POST, "cobros", "/payments", "away-1").await;
     assert_eq!(reply.expect("the node answers").status, 200);
     assert!(
-        runs(&mesh, "cobros", "away-1")
+        run_counts(&mesh, "cobros", "away-1")
             .iter()
             .all(|run| run.0 != position)
     );
     announce(&mesh, position, "serving").await;
-    wait_until("it has work again", LIMIT, || async {
+    wait_until("it has work again", WAIT_TIMEOUT, || async {
         let id = format!("home-{}", next_number());
-        let reply = ask(entry, Method::POST, "cobros", "/payments", &id).await;
+        let reply = send_request(entry, Method::POST, "cobros", "/payments", &id).await;
         assert_eq!(reply.expect("the node answers").status, 200);
-        runs(&mesh, "cobros", &id)
+        run_counts(&mesh, "cobros", &id)
             .iter()
             .any(|run| run.0 == position)
     })
@@ -144,7 +145,7 @@
 /// and the process leaves with 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_terminated_node_finishes_its_requests() {
-    let mut mesh = start_chatarras(small(&["tablon", "cobros", "bascula"], 1)).await;
+    let mut mesh = start_chatarras(small_deployment(&["tablon", "cobros", "bascula"], 1)).await;
     let stop = Arc::default();
     let victim = vms_of(&mesh, "cobros")[0];
     let long_entry = mesh.vms[vms_of(&mesh, "tablon")[0]].node().addresses.caller;
@@ -157,9 +158,9 @@
         let pending = tokio::spawn(async move {
             // Longer than all the pauses of a drain together, so that only waiting for it saves it.
             let path = "/payments?work_ms=5000";
-            ask(long_entry, Method::POST, "cobros", path, &request_id).await
+            send_request(long_entry, Method::POST, "cobros", path, &request_id).await
         });
-        if wait_running(&mesh, "cobros", &id).await == victim {
+        if wait_until_running(&mesh, "cobros", &id).await == victim {
             long = Some(pending);
             break;
         }
@@ -173,7 +174,7 @@
         .await
         .expect("it is taken");
     upload.write_all(&[7; 150_000]).await.expect("it is taken");
-    wait_running(&mesh, "bascula", "up-9").await;
+    wait_until_running(&mesh, "bascula", "up-9").await;
     let callers = start_payments(&mesh, &stop);
     mesh.vms[victim].node().signal(Signal::Terminate);
     let terminated_at = Instant::now();
@@ -192,7 +193,7 @@
     let reply = long.await.expect("no panic").expect("the node answers");
     assert_eq!(reply.status, 200);
     let node = mesh.vms[victim].node.as_mut().expect("it is there");
-    let ended = tokio::time::timeout(LIMIT, node.ended()).await;
+    let ended = tokio::time::timeout(WAIT_TIMEOUT, node.ended()).await;
     let ended = ended.expect("it leaves").expect("it is a child");
     assert!(ended.success(), "{ended:?}");
     let exited = mesh.vms[victim].node.take();
@@ -209,13 +210,13 @@
 /// A node without a backend server is as good an entry as any.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_isolated_data_centre_serves_its_own_services() {
-    let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     let isolated = vms_of(&mesh, "cobros")[2];
     let vm = &mesh.vms[isolated];
     announce(&mesh, isolated, "gone").await;
     let operator = vm.node().addresses.operator;
     let entry = vm.node().addresses.caller;
-    let status = ask(entry, Method::GET, "cobros", "/payments/1", "near-1").await;
+    let status = send_request(entry, Method::GET, "cobros", "/payments/1", "near-1").await;
     assert_eq!(status.expect("the node answers").status, 200);
 
     let site = vm.site;
@@ -229,7 +230,7 @@
     };
     // The archive and the weighbridges are not deployed in this test at all.
     let expected = serde_json::json!(["bascula", "cobros", "hemeroteca"]);
-    wait_until("it knows what it lacks", LIMIT, || async {
+    wait_until("it knows what it lacks", WAIT_TIMEOUT, || async {
         let mut services = lacking().await;
         if let Some(services) = services.as_array_mut() {
             services.sort_by_key(ToString::to_string);
@@ -237,18 +238,18 @@
         services == expected
     })
     .await;
-    let prices = ask(entry, Method::GET, "tablon", "/prices/zinc", "cut-1").await;
+    let prices = send_request(entry, Method::GET, "tablon", "/prices/zinc", "cut-1").await;
     assert_eq!(prices.expect("the node answers").status, 200);
-    let payment = ask(entry, Method::POST, "cobros", "/payments", "cut-2").await;
+    let payment = send_request(entry, Method::POST, "cobros", "/payments", "cut-2").await;
     let payment = payment.expect("the node answers");
     assert_eq!(payment.status, 503);
-    assert_eq!(payment.header(VERDICT), "not-run");
-    assert_eq!(payment.header(REASON), "no-endpoint");
+    assert_eq!(payment.header(VERDICT_HEADER), "not-run");
+    assert_eq!(payment.header(REASON_HEADER), "no-endpoint");
 }
 
 /// Waits until the node with the listener `operator` knows the state of another's backend server.
 async fn wait_for_backend_state(operator: SocketAddr, peer: SocketAddr, state: &str) {
-    wait_until("the state is known", LIMIT, || async {
+    wait_until("the state is known", WAIT_TIMEOUT, || async {
         let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
         let body = reply.map(|reply| reply.body).unwrap_or_default();
         let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
@@ -267,7 +268,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_queued_upload_is_resent_whole_to_another_endpoint() {
     const BYTES: usize = 3 << 20;
-    let mut deployment = small(&["tablon", "bascula"], 1);
+    let mut deployment = small_deployment(&["tablon", "bascula"], 1);
     deployment.data_centres.truncate(2);
     let mesh = start_chatarras(deployment).await;
     let [first, second] = vms_of(&mesh, "bascula")[..] else {
@@ -282,10 +283,10 @@
     for n in 0..20 {
         let id = format!("holder-{n}");
         let path = "/bundles/1?work_ms=2500";
-        holders.spawn(async move { ask(caller, Method::PUT, "bascula", path, &id).await });
+        holders.spawn(async move { send_request(caller, Method::PUT, "bascula", path, &id).await });
     }
     let backend = &mesh.vms[first].backend;
-    wait_until("all slots are taken", LIMIT, || async {
+    wait_until("all slots are taken", WAIT_TIMEOUT, || async {
         backend.record().peak == 20
     })
     .await;
@@ -297,8 +298,8 @@
         request(caller, Method::PUT, "bascula", path, &headers, bundle).await
     });
     let gate = mesh.vms[first].node().addresses.operator;
-    wait_until("the upload waits", LIMIT, || async {
-        metrics(gate).await.contains("gate_waiting 1")
+    wait_until("the upload waits", WAIT_TIMEOUT, || async {
+        fetch_metrics(gate).await.contains("gate_waiting 1")
     })
     .await;
     announce(&mesh, second, "serving").await;
@@ -307,7 +308,7 @@
     let reply = upload.await.expect("no panic").expect("the node answers");
     assert_eq!(reply.status, 200, "{reply:?}");
     assert_eq!(reply.header("x-digest"), digest);
-    assert_eq!(runs(&mesh, "bascula", "upload-1"), [(second, 1)]);
+    assert_eq!(run_counts(&mesh, "bascula", "upload-1"), [(second, 1)]);
     for reply in holders.join_all().await {
         assert_eq!(reply.expect("the node answers").status, 200);
     }
--- a/tests/testsuite/requests_http2.rs
+++ b/tests/testsuite/requests_http2.rs
@@ -6,13 +6,13 @@
 use testkit::process::Signal;
 use tokio::task::JoinSet;
 
-use crate::support::{LIMIT, small, start_chatarras, vms_of, wait_running};
+use crate::support::{WAIT_TIMEOUT, small_deployment, start_chatarras, vms_of, wait_until_running};
 
 /// A clerk's program asks for many prices at a time on one connection. Answers come in any
 /// order and each is its own; one that breaks off breaks alone.
 #[tokio::test(flavor = "multi_thread")]
 async fn responses_on_one_connection_do_not_mix() {
-    let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     let entry = mesh.vms[vms_of(&mesh, "cobros")[0]].node();
     let connection = Http2::connect(entry.addresses.caller).await;
     let connection = connection.expect("it listens");
@@ -38,18 +38,18 @@
 /// answer comes, then the connection ends and the process leaves.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopping_node_closes_connections_after_their_responses() {
-    let mut mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mut mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     let position = vms_of(&mesh, "tablon")[0];
     let entry = mesh.vms[position].node().addresses.caller;
     let connection = Http2::connect(entry).await.expect("it listens");
     let path = "/payments?work_ms=1500";
     let payment = connection.request(Method::POST, "cobros", path, "pay-1");
     let payment = tokio::spawn(payment);
-    wait_running(&mesh, "cobros", "pay-1").await;
+    wait_until_running(&mesh, "cobros", "pay-1").await;
     mesh.vms[position].node().signal(Signal::Terminate);
     let reply = payment.await.expect("no panic").expect("the node answers");
     assert_eq!(reply.status, 200);
-    let closed = tokio::time::timeout(LIMIT, connection.closed()).await;
+    let closed = tokio::time::timeout(WAIT_TIMEOUT, connection.closed()).await;
     assert!(closed.is_ok(), "the connection stays open");
     let node = mesh.vms[position].node.as_mut().expect("it is there");
     let ended = node.ended().await.expect("it is a child");
--- a/tests/testsuite/requests_imposter.rs
+++ b/tests/testsuite/requests_imposter.rs
@@ -5,7 +5,9 @@
 use testkit::http::wait_until;
 use testkit::process::Signal;
 
-use crate::support::{LIMIT, VERDICT, ask, small, start_chatarras, vms_of};
+use crate::support::{
+    VERDICT_HEADER, WAIT_TIMEOUT, send_request, small_deployment, start_chatarras, vms_of,
+};
 
 /// A VM is replaced and its address passes to a program of another kind that speaks HTTP/2, before
 /// the mesh has noticed that the node is gone. A payment lands there and is answered. The caller
@@ -13,7 +15,7 @@
 /// is not known.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_response_from_a_foreign_server_gets_may_have_run() {
-    let mut mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mut mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     let replaced = vms_of(&mesh, "cobros")[0];
     let mut node = mesh.vms[replaced].node.take().expect("it runs");
     let address = node.addresses.peer;
@@ -25,16 +27,16 @@
     let entry = vms_of(&mesh, "tablon")[0];
     let caller = mesh.vms[entry].node().addresses.caller;
     let mut attempts = 0;
-    wait_until("a payment lands at the imposter", LIMIT, || {
+    wait_until("a payment lands at the imposter", WAIT_TIMEOUT, || {
         attempts += 1;
         let id = format!("payment-{attempts}");
         let imposter = &imposter;
         async move {
-            let reply = ask(caller, Method::POST, "cobros", "/payments", &id).await;
+            let reply = send_request(caller, Method::POST, "cobros", "/payments", &id).await;
             let reply = reply.expect("the node answers");
             let reached_imposter = imposter.record().runs.contains_key(&id);
             if reached_imposter {
-                assert_eq!(reply.header(VERDICT), "may-have-run", "{reply:?}");
+                assert_eq!(reply.header(VERDICT_HEADER), "may-have-run", "{reply:?}");
             }
             reached_imposter
         }
--- a/tests/testsuite/requests_pipeline.rs
+++ b/tests/testsuite/requests_pipeline.rs
@@ -7,7 +7,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::support::{LIMIT, runs, small, start_chatarras, vms_of, wait_running};
+use crate::support::{
+    WAIT_TIMEOUT, run_counts, small_deployment, start_chatarras, vms_of, wait_until_running,
+};
 
 /// Head of a read of prices without a body.
 fn read_request(id: &str, work_ms: u64) -> String {
@@ -50,7 +52,7 @@
 /// but their answers come in the order of the questions.
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_reads_run_at_once_and_are_answered_in_order() {
-    let mesh = start_chatarras(small(&["tablon"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon"], 1)).await;
     let target = vms_of(&mesh, "tablon")[0];
     for position in vms_of(&mesh, "tablon") {
         if position != target {
@@ -80,15 +82,15 @@
 /// endpoint is idle.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_read_pipelined_during_another_starts_at_once() {
-    let mesh = start_chatarras(small(&["tablon"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon"], 1)).await;
     let entry = mesh.vms[0].node().addresses.caller;
     let mut stream = send(entry, &read_request("slow", 500)).await;
-    wait_running(&mesh, "tablon", "slow").await;
+    wait_until_running(&mesh, "tablon", "slow").await;
     let sent = stream
         .write_all(read_request("behind", 250).as_bytes())
         .await;
     sent.expect("the node reads");
-    wait_running(&mesh, "tablon", "behind").await;
+    wait_until_running(&mesh, "tablon", "behind").await;
     let finished = |position: usize| mesh.vms[position].backend.record().finished;
     let finished: u64 = vms_of(&mesh, "tablon").into_iter().map(finished).sum();
     assert_eq!(finished, 0, "the second read waited for the first one");
@@ -100,16 +102,16 @@
 /// answered. Its caller takes the payment for unread and pays again, so it must not have run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_payment_behind_an_unanswered_read_does_not_run() {
-    let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     let entry = mesh.vms[0].node().addresses.caller;
     let requests = [read_request("long", 700), payment_request("pay-behind")].concat();
     let stream = send(entry, &requests).await;
-    wait_until("the read runs", LIMIT, || async {
-        !runs(&mesh, "tablon", "long").is_empty()
+    wait_until("the read runs", WAIT_TIMEOUT, || async {
+        !run_counts(&mesh, "tablon", "long").is_empty()
     })
     .await;
     drop(stream);
-    wait_until("the read is given up", LIMIT, || async {
+    wait_until("the read is given up", WAIT_TIMEOUT, || async {
         let cancelled = |position: usize| mesh.vms[position].backend.record().cancelled;
         vms_of(&mesh, "tablon")
             .into_iter()
@@ -118,5 +120,5 @@
             == 1
     })
     .await;
-    assert!(runs(&mesh, "cobros", "pay-behind").is_empty());
+    assert!(run_counts(&mesh, "cobros", "pay-behind").is_empty());
 }
--- a/tests/testsuite/requests_streams.rs
+++ b/tests/testsuite/requests_streams.rs
@@ -9,7 +9,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::support::{LIMIT, ask, metrics, small, start_chatarras, vms_of};
+use crate::support::{
+    WAIT_TIMEOUT, fetch_metrics, send_request, small_deployment, start_chatarras, vms_of,
+};
 
 /// Answers of 8 MiB to this many callers at a time, which nodes may not hold in memory.
 const READERS: usize = 16;
@@ -29,7 +31,7 @@
 async fn slots_in_use(mesh: &Mesh) -> usize {
     let mut in_use = 0;
     for position in vms_of(mesh, "hemeroteca") {
-        let text = metrics(mesh.vms[position].node().addresses.operator).await;
+        let text = fetch_metrics(mesh.vms[position].node().addresses.operator).await;
         let line = text
             .lines()
             .find(|line| line.starts_with("dragonflywall_gate_slots_in_use "));
@@ -40,7 +42,7 @@
 }
 
 async fn start() -> Mesh {
-    let mut deployment = small(&["tablon", "hemeroteca"], 1);
+    let mut deployment = small_deployment(&["tablon", "hemeroteca"], 1);
     deployment.data_centres.truncate(1);
     let mut mesh = start_chatarras(deployment).await;
     mesh.extra_arguments = vec!["--caller-idle-timeout-ms=1500".to_owned()];
@@ -86,7 +88,7 @@
         println!("slow readers: VM {position} grew by {} KiB", grown >> 10);
         assert!(grown < GROWTH_MAX_BYTES, "grew by {grown} bytes");
     }
-    wait_until("the slots are free again", LIMIT, || async {
+    wait_until("the slots are free again", WAIT_TIMEOUT, || async {
         slots_in_use(&mesh).await == 0
     })
     .await;
@@ -108,11 +110,11 @@
         .await
         .expect("it is taken");
     stream.write_all(&[7; 500_000]).await.expect("it is taken");
-    wait_until("it has its slot", LIMIT, || async {
+    wait_until("it has its slot", WAIT_TIMEOUT, || async {
         slots_in_use(&mesh).await == 1
     })
     .await;
-    wait_until("the slot is free again", LIMIT, || async {
+    wait_until("the slot is free again", WAIT_TIMEOUT, || async {
         slots_in_use(&mesh).await == 0
     })
     .await;
@@ -155,14 +157,14 @@
         });
     }
     tasks.join_all().await;
-    wait_until("every slot is free", LIMIT, || async {
+    wait_until("every slot is free", WAIT_TIMEOUT, || async {
         slots_in_use(&mesh).await == 0
     })
     .await;
 }
 
 async fn request_archive(caller: SocketAddr, path: &str, id: &str) -> Reply {
-    let reply = ask(caller, Method::GET, "hemeroteca", path, id).await;
+    let reply = send_request(caller, Method::GET, "hemeroteca", path, id).await;
     let reply = reply.expect("the node answers");
     assert_eq!(reply.status, 200, "{reply:?}");
     reply
--- a/tests/testsuite/requests_untrusted.rs
+++ b/tests/testsuite/requests_untrusted.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::support::{LIMIT, small, start_chatarras};
+use crate::support::{WAIT_TIMEOUT, small_deployment, start_chatarras};
 
 /// Sends bytes as they are; returns all that comes back until the node closes or falls silent.
 async fn exchange_raw(entry: SocketAddr, bytes: &[u8]) -> String {
@@ -51,7 +51,7 @@
 /// cut in different places. The hidden request must never run.
 #[tokio::test(flavor = "multi_thread")]
 async fn ambiguous_framing_smuggles_nothing() {
-    let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     let entry = mesh.vms[0].node().addresses.caller;
     let hidden = "POST /payments HTTP/1.1\r\nhost: cobros\r\nx-request-id: hidden\r\n\
                   content-length: 0\r\n\r\n";
@@ -86,7 +86,7 @@
 /// A caller sends a head that never ends, or nothing, or opens more connections than it may have.
 #[tokio::test(flavor = "multi_thread")]
 async fn limits_on_heads_and_connections_hold() {
-    let mut deployment = small(&["tablon"], 1);
+    let mut deployment = small_deployment(&["tablon"], 1);
     deployment.data_centres.truncate(1);
     let mut mesh = start_chatarras(deployment).await;
     mesh.kill_node(0).await.expect("it ends");
@@ -115,7 +115,7 @@
             .await
             .expect("it is taken");
         let mut answer = Vec::new();
-        let closed = tokio::time::timeout(LIMIT, stream.read_to_end(&mut answer)).await;
+        let closed = tokio::time::timeout(WAIT_TIMEOUT, stream.read_to_end(&mut answer)).await;
         assert!(closed.is_ok(), "still open after {start:?}");
     }
 
@@ -143,14 +143,14 @@
     for _ in 0..4 {
         streams.push(send(entry, LONG_REQUEST).await);
     }
-    wait_until("four long requests run", LIMIT, || async {
+    wait_until("four long requests run", WAIT_TIMEOUT, || async {
         mesh.vms[0].backend.record().peak == 4
     })
     .await;
     let fifth = exchange_raw(entry, QUICK_REQUEST).await;
     assert_eq!(fifth, "");
     drop(streams);
-    wait_until("the caller may connect again", LIMIT, || async {
+    wait_until("the caller may connect again", WAIT_TIMEOUT, || async {
         statuses(&exchange_raw(entry, QUICK_REQUEST).await) == ["200"]
     })
     .await;
--- a/tests/testsuite/requests_uploads.rs
+++ b/tests/testsuite/requests_uploads.rs
@@ -8,7 +8,8 @@
 use tokio::net::TcpStream;
 
 use crate::support::{
-    LIMIT, REASON, VERDICT, ask, metrics, publish, runs, small, start, start_chatarras, vms_of,
+    REASON_HEADER, VERDICT_HEADER, WAIT_TIMEOUT, fetch_metrics, publish, run_counts, send_request,
+    small_deployment, start_chatarras, start_mesh, vms_of,
 };
 
 fn gauge(text: &str, name: &str) -> f64 {
@@ -23,7 +24,7 @@
 async fn slow_uploads_hold_no_slots() {
     // Twice the slots of both endpoints that the entry may use.
     const SLOW_UPLOADS: usize = 80;
-    let mesh = start_chatarras(small(&["bascula"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["bascula"], 1)).await;
     let node = mesh.vms[vms_of(&mesh, "bascula")[0]].node();
     let entry = node.addresses.caller;
     let mut streams = Vec::new();
@@ -37,10 +38,10 @@
         stream.write_all(&[0; 20_000]).await.expect("sent");
         streams.push(stream);
     }
-    wait_until("slow uploads come in", LIMIT, || async {
+    wait_until("slow uploads come in", WAIT_TIMEOUT, || async {
         let mut in_progress = 0.0;
         for vm in &mesh.vms {
-            let text = metrics(vm.node().addresses.operator).await;
+            let text = fetch_metrics(vm.node().addresses.operator).await;
             in_progress += gauge(&text, "dragonflywall_uploads_coming");
             in_progress += gauge(&text, "dragonflywall_gate_slots_in_use");
         }
@@ -49,7 +50,7 @@
     .await;
     for number in 0..10 {
         let path = format!("/bundles/quick-{number}");
-        let reply = ask(
+        let reply = send_request(
             entry,
             Method::PUT,
             "bascula",
@@ -83,13 +84,13 @@
 /// uses, as its caller has left, is given to another one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_is_refused_before_it_uses_the_link() {
-    let mut deployment = small(&["bascula"], 1);
+    let mut deployment = small_deployment(&["bascula"], 1);
     deployment.data_centres.truncate(1);
-    let mut mesh = start(deployment).await;
+    let mut mesh = start_mesh(deployment).await;
     mesh.extra_arguments = vec!["--link-kbit-per-s".to_owned(), "7000".to_owned()];
     mesh.kill_node(0).await.expect("it ends");
     mesh.start_node(0).await.expect("it starts");
-    let published = publish(&mesh, crate::support::CHATARRAS).await;
+    let published = publish(&mesh, crate::support::CHATARRAS_TEAM_FILES).await;
     assert!(published.status.success(), "{published:?}");
     mesh.wait_enforced(1).await;
     let peer = mesh.vms[0].node().addresses.peer;
@@ -100,13 +101,13 @@
     }
     let refused = reserve(peer, "third").await;
     assert_eq!(refused.status, 503, "{refused:?}");
-    assert_eq!(refused.header(VERDICT), "not-run");
-    assert_eq!(refused.header(REASON), "full");
-    wait_until("unused turns are given to others", LIMIT, || async {
+    assert_eq!(refused.header(VERDICT_HEADER), "not-run");
+    assert_eq!(refused.header(REASON_HEADER), "full");
+    wait_until("unused turns are given to others", WAIT_TIMEOUT, || async {
         reserve(peer, "fourth").await.status == 200
     })
     .await;
     for id in ["first", "second", "third", "fourth"] {
-        assert!(runs(&mesh, "bascula", id).is_empty());
+        assert!(run_counts(&mesh, "bascula", id).is_empty());
     }
 }
--- a/tests/testsuite/spread_failures.rs
+++ b/tests/testsuite/spread_failures.rs
@@ -9,7 +9,10 @@
 use testkit::platform::Faults;
 use testkit::process::Signal;
 
-use crate::support::{LIMIT, REASON, VERDICT, ask, command, repository_file, small};
+use crate::support::{
+    REASON_HEADER, VERDICT_HEADER, WAIT_TIMEOUT, repository_file, run_program, send_request,
+    small_deployment,
+};
 use crate::support::{start_chatarras, vms_of};
 
 /// Publishes the bulletins team's file with another queue length, which makes a new version.
@@ -27,11 +30,11 @@
     let arguments = ["publish", "--operator", "ana", "--platform", &url];
     let mut arguments = arguments.to_vec();
     arguments.push(path.to_str().expect("a plain path"));
-    command(&arguments).await.status.success()
+    run_program(&arguments).await.status.success()
 }
 
 async fn small_mesh() -> Mesh {
-    start_chatarras(small(&["tablon", "cobros"], 2)).await
+    start_chatarras(small_deployment(&["tablon", "cobros"], 2)).await
 }
 
 /// Kills processes at once and waits until the system has let go of their addresses.
@@ -79,14 +82,14 @@
         .collect();
     for position in 0..mesh.vms.len() {
         if !inside.contains(&position) {
-            wait_until("the others enforce it", LIMIT, || async {
+            wait_until("the others enforce it", WAIT_TIMEOUT, || async {
                 mesh.version_at(position).await == 2
             })
             .await;
         }
     }
     let entry = mesh.vms[inside[0]].node().addresses.caller;
-    let reply = ask(entry, Method::GET, "tablon", "/prices/copper", "cut-off").await;
+    let reply = send_request(entry, Method::GET, "tablon", "/prices/copper", "cut-off").await;
     let reply = reply.expect("it answers");
     assert_eq!(reply.status, 200, "{reply:?}");
     assert_eq!(reply.header("x-dragonflywall-version"), "1");
@@ -107,7 +110,7 @@
         .pop()
         .expect("the last is in site 2");
     let operator = mesh.vms[alone].node().addresses.operator;
-    wait_until("the other region is given up", LIMIT, || async {
+    wait_until("the other region is given up", WAIT_TIMEOUT, || async {
         let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
         let body = reply.map(|reply| reply.body).unwrap_or_default();
         let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
@@ -133,7 +136,7 @@
     assert!(!publish_change(&mesh, 31).await);
     kill(&mut mesh, &[3]).await;
     mesh.start_node(3).await.expect("it starts");
-    wait_until("it is ready", LIMIT, || ready(&mesh, 3)).await;
+    wait_until("it is ready", WAIT_TIMEOUT, || ready(&mesh, 3)).await;
     assert_eq!(mesh.version_at(3).await, 1);
     mesh.platform.set_faults(Faults::default());
     assert!(publish_change(&mesh, 32).await);
@@ -152,7 +155,7 @@
     assert!(publish_change(&mesh, 31).await);
     assert!(publish_change(&mesh, 32).await);
     for position in (0..mesh.vms.len()).filter(|position| *position != frozen) {
-        wait_until("the others enforce it", LIMIT, || async {
+        wait_until("the others enforce it", WAIT_TIMEOUT, || async {
             mesh.version_at(position).await == 3
         })
         .await;
@@ -163,7 +166,7 @@
     for number in 0..20 {
         callers.spawn(async move {
             let id = format!("queued-{number}");
-            ask(caller, Method::GET, "tablon", "/prices/copper", &id).await
+            send_request(caller, Method::GET, "tablon", "/prices/copper", &id).await
         });
     }
     tokio::time::sleep(Duration::from_millis(200)).await;
@@ -172,12 +175,12 @@
         let reply = reply.expect("it answers");
         if reply.header("x-dragonflywall-version") != "3" {
             assert_eq!(reply.status, 503, "{reply:?}");
-            assert_eq!(reply.header(VERDICT), "not-run");
-            assert_eq!(reply.header(REASON), "refreshing");
+            assert_eq!(reply.header(VERDICT_HEADER), "not-run");
+            assert_eq!(reply.header(REASON_HEADER), "refreshing");
             assert_eq!(reply.header("retry-after"), "1");
         }
     }
-    wait_until("it is ready again", LIMIT, || ready(&mesh, frozen)).await;
+    wait_until("it is ready again", WAIT_TIMEOUT, || ready(&mesh, frozen)).await;
     assert_eq!(mesh.version_at(frozen).await, 3);
     mesh.wait_joined().await;
 }
@@ -187,11 +190,11 @@
 /// must not serve with 1; once the peer is back it serves with 2.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_node_never_enforces_an_older_version() {
-    let mut mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mut mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     mesh.network.set_cut(true, |from, to| from == 1 && to != 1);
     assert!(publish_change(&mesh, 31).await);
     for position in [0, 1, 4, 5] {
-        wait_until("version 2", LIMIT, || async {
+        wait_until("version 2", WAIT_TIMEOUT, || async {
             mesh.version_at(position).await == 2
         })
         .await;
@@ -206,7 +209,7 @@
     mesh.network.set_cut(false, |from, to| from + to == 1);
     mesh.start_node(0).await.expect("it starts");
     let operator = mesh.vms[0].node().addresses.operator;
-    wait_until("it meets those that are behind", LIMIT, || async {
+    wait_until("it meets those that are behind", WAIT_TIMEOUT, || async {
         let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
         let body = reply.map(|reply| reply.body).unwrap_or_default();
         let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
@@ -220,6 +223,6 @@
     let reply = reply.expect("it answers");
     assert_eq!(reply.status, 503);
     mesh.vms[1].node().signal(Signal::Continue);
-    wait_until("it serves again", LIMIT, || ready(&mesh, 0)).await;
+    wait_until("it serves again", WAIT_TIMEOUT, || ready(&mesh, 0)).await;
     assert_eq!(mesh.version_at(0).await, 2);
 }
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -19,13 +19,13 @@
 }
 
 /// Starts a deployment of node processes.
-pub(crate) async fn start(deployment: Deployment) -> Mesh {
+pub(crate) async fn start_mesh(deployment: Deployment) -> Mesh {
     let mesh = Mesh::start(Path::new(PROGRAM), &["node"], deployment).await;
     mesh.expect("every process starts")
 }
 
 /// Runs a command of the product to its end.
-pub(crate) async fn command(arguments: &[&str]) -> Output {
+pub(crate) async fn run_program(arguments: &[&str]) -> Output {
     let output = tokio::process::Command::new(PROGRAM)
         .args(arguments)
         .kill_on_drop(true)
@@ -40,11 +40,14 @@
     let url = mesh.platform.url();
     let mut arguments = vec!["publish", "--operator", "ana", "--platform", &url];
     arguments.extend(paths.iter().filter_map(|path| path.to_str()));
-    command(&arguments).await
+    run_program(&arguments).await
 }
 
 /// Two data centres of one region and one of another, with some services of Chatarras.
-pub(crate) fn small(services: &[&'static str], endpoints_per_data_centre: usize) -> Deployment {
+pub(crate) fn small_deployment(
+    services: &[&'static str],
+    endpoints_per_data_centre: usize,
+) -> Deployment {
     let mut deployment = Deployment::chatarras();
     deployment.data_centres.truncate(3);
     deployment.services = services.to_vec();
@@ -53,7 +56,7 @@
 }
 
 /// Team files of Chatarras.
-pub(crate) const CHATARRAS: &[&str] = &[
+pub(crate) const CHATARRAS_TEAM_FILES: &[&str] = &[
     "examples/chatarras/boletines.toml",
     "examples/chatarras/suscripciones.toml",
     "examples/chatarras/bascula.toml",
@@ -61,8 +64,8 @@
 
 /// Starts a deployment that enforces the team files of Chatarras and knows all of its members.
 pub(crate) async fn start_chatarras(deployment: Deployment) -> Mesh {
-    let mesh = start(deployment).await;
-    let published = publish(&mesh, CHATARRAS).await;
+    let mesh = start_mesh(deployment).await;
+    let published = publish(&mesh, CHATARRAS_TEAM_FILES).await;
     assert!(published.status.success(), "{published:?}");
     mesh.wait_enforced(1).await;
     mesh.wait_joined().await;
@@ -70,7 +73,7 @@
 }
 
 /// Bounds a hang; no test judges speed by it.
-pub(crate) const LIMIT: Duration = Duration::from_secs(30);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Positions of the VMs of a service.
 pub(crate) fn vms_of(mesh: &Mesh, service: &str) -> Vec<usize> {
@@ -79,7 +82,7 @@
 }
 
 /// How often the backend servers of a service ran a request, by position.
-pub(crate) fn runs(mesh: &Mesh, service: &str, id: &str) -> Vec<(usize, u32)> {
+pub(crate) fn run_counts(mesh: &Mesh, service: &str, id: &str) -> Vec<(usize, u32)> {
     let run = |position: usize| {
         let record = mesh.vms[position].backend.record();
         record.runs.get(id).map(|times| (position, *times))
@@ -88,16 +91,16 @@
 }
 
 /// Waits until some backend server of a service runs the request; returns its position.
-pub(crate) async fn wait_running(mesh: &Mesh, service: &str, id: &str) -> usize {
-    wait_until("the request runs", LIMIT, || async {
-        !runs(mesh, service, id).is_empty()
+pub(crate) async fn wait_until_running(mesh: &Mesh, service: &str, id: &str) -> usize {
+    wait_until("the request runs", WAIT_TIMEOUT, || async {
+        !run_counts(mesh, service, id).is_empty()
     })
     .await;
-    runs(mesh, service, id)[0].0
+    run_counts(mesh, service, id)[0].0
 }
 
 /// One request under an id of its own.
-pub(crate) async fn ask(
+pub(crate) async fn send_request(
     entry: SocketAddr,
     method: Method,
     service: &str,
@@ -109,12 +112,12 @@
 }
 
 /// Header with the verdict of a failed request.
-pub(crate) const VERDICT: &str = "x-dragonflywall-verdict";
+pub(crate) const VERDICT_HEADER: &str = "x-dragonflywall-verdict";
 /// Header with the reason of a failed request.
-pub(crate) const REASON: &str = "x-dragonflywall-reason";
+pub(crate) const REASON_HEADER: &str = "x-dragonflywall-reason";
 
 /// Metrics of a node as text; empty if it does not answer.
-pub(crate) async fn metrics(operator: SocketAddr) -> String {
+pub(crate) async fn fetch_metrics(operator: SocketAddr) -> String {
     let reply = request(operator, Method::GET, "node", "/metrics", &[], "").await;
     let body = reply.map(|reply| reply.body).unwrap_or_default();
     String::from_utf8_lossy(&body).into_owned()
@@ -124,7 +127,7 @@
 pub(crate) const SERVICES: [&str; 2] = ["armazem", "expedicao"];
 
 /// Starts VMs of the users' platform.
-pub(crate) async fn start_users(plan: users::mesh::Plan) -> users::mesh::Mesh {
+pub(crate) async fn start_users_mesh(plan: users::mesh::Plan) -> users::mesh::Mesh {
     let mesh = users::mesh::Mesh::start(Path::new(PROGRAM), &["node"], plan).await;
     mesh.expect("every process starts")
 }
@@ -139,9 +142,9 @@
 }
 
 /// Starts VMs of the users' platform, with [`users_routes`] in force and all backend servers known.
-pub(crate) async fn start_users_serving(plan: users::mesh::Plan) -> users::mesh::Mesh {
+pub(crate) async fn start_serving_users_mesh(plan: users::mesh::Plan) -> users::mesh::Mesh {
     let services = plan.services.clone();
-    let mesh = start_users(plan).await;
+    let mesh = start_users_mesh(plan).await;
     write_routes(&mesh, 1, &users_routes(), &services);
     mesh.wait_enforced(1).await;
     mesh.wait_serving().await;
@@ -160,7 +163,7 @@
 }
 
 /// The VMs at whose backend servers a request ran, one entry for each run.
-pub(crate) fn users_runs(mesh: &users::mesh::Mesh, id: &str) -> Vec<usize> {
+pub(crate) fn users_mesh_runs(mesh: &users::mesh::Mesh, id: &str) -> Vec<usize> {
     let vms = mesh.vms.iter().enumerate();
     vms.flat_map(|(position, vm)| {
         let record = vm.backend.as_ref().map(|backend| backend.record());
--- a/tests/testsuite/token.rs
+++ b/tests/testsuite/token.rs
@@ -9,7 +9,7 @@
 use testkit::platform::Platform;
 use testkit::process::NodeProcess;
 
-use crate::support::{PROGRAM, VERDICT, command};
+use crate::support::{PROGRAM, VERDICT_HEADER, run_program};
 
 const SECRET: &str = "correct-horse-battery";
 const OLD_SECRET: &str = "previous-horse-battery";
@@ -54,7 +54,7 @@
     let reply = client.request_with(Method::POST, "cobros", "/payments", &forged_headers);
     let reply = reply.await.expect("an answer");
     assert_eq!(reply.status, 401);
-    assert_eq!(reply.header(VERDICT), "not-run");
+    assert_eq!(reply.header(VERDICT_HEADER), "not-run");
     assert!(backend.record().runs.is_empty());
 
     for path in ["/status", "/metrics", "/backend-server"] {
@@ -87,7 +87,7 @@
         "--data-centre=aveiro-a",
         "--peer-listen=0.0.0.0:0",
     ];
-    let output = command(&arguments).await;
+    let output = run_program(&arguments).await;
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
--- a/tests/testsuite/users_configuration.rs
+++ b/tests/testsuite/users_configuration.rs
@@ -12,7 +12,8 @@
 use tokio::net::TcpStream;
 
 use crate::support::{
-    LIMIT, SERVICES, start_users, start_users_serving, users_routes, users_runs, write_routes,
+    SERVICES, WAIT_TIMEOUT, start_serving_users_mesh, start_users_mesh, users_mesh_runs,
+    users_routes, write_routes,
 };
 
 async fn status_of(mesh: &Mesh, position: usize, path: &str) -> StatusCode {
@@ -24,7 +25,7 @@
 /// node sends requests where it says, and answers 404 for what it no longer has.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_node_enforces_all_changes_of_a_version() {
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let mut routes = users_routes();
     routes[0].to = vec![(SERVICES[1].to_owned(), 100)];
     routes[1].prefix = "/scans/".to_owned();
@@ -34,7 +35,7 @@
         let id = format!("moved-{position}");
         let reply = mesh.ask(position, &Asked::get("/stock/1", &id)).await;
         assert_eq!(reply.expect("it is answered").status, 200);
-        let runs = users_runs(&mesh, &id);
+        let runs = users_mesh_runs(&mesh, &id);
         assert_eq!(mesh.vms[runs[0]].service, SERVICES[1]);
         assert_eq!(status_of(&mesh, position, "/sheets/1").await, 404);
         assert_eq!(status_of(&mesh, position, "/scans/1").await, 200);
@@ -44,7 +45,7 @@
 /// The longest prefix that begins the path takes a request, and a route of another host never does.
 #[tokio::test(flavor = "multi_thread")]
 async fn host_and_longest_prefix_select_the_route() {
-    let mesh = start_users(Plan::new(&SERVICES)).await;
+    let mesh = start_users_mesh(Plan::new(&SERVICES)).await;
     let mut elsewhere = Route::new("/stock/salt/fine/", Kind::Idempotent, SERVICES[0]);
     elsewhere.host = "other.example".to_owned();
     let routes = [
@@ -58,7 +59,7 @@
     let service_that_ran = async |path: &str, id: &str| {
         let reply = mesh.ask(0, &Asked::get(path, id)).await;
         assert_eq!(reply.expect("it is answered").status, 200);
-        mesh.vms[users_runs(&mesh, id)[0]].service.clone()
+        mesh.vms[users_mesh_runs(&mesh, id)[0]].service.clone()
     };
     assert_eq!(service_that_ran("/stock/salt/1", "long").await, SERVICES[1]);
     assert_eq!(service_that_ran("/stock/salt", "short").await, SERVICES[0]);
@@ -72,7 +73,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn split_route_follows_its_weights() {
     const REQUESTS: usize = 60;
-    let mesh = start_users(Plan::new(&SERVICES)).await;
+    let mesh = start_users_mesh(Plan::new(&SERVICES)).await;
     let mut route = Route::new("/stock/", Kind::Idempotent, SERVICES[0]);
     route.to = vec![(SERVICES[0].to_owned(), 90), (SERVICES[1].to_owned(), 10)];
     write_routes(&mesh, 1, &[route], &SERVICES);
@@ -83,7 +84,7 @@
         let id = format!("split-{number}");
         let reply = mesh.ask(0, &Asked::get("/stock/1", &id)).await;
         assert_eq!(reply.expect("it is answered").status, 200);
-        let ran = users_runs(&mesh, &id)[0];
+        let ran = users_mesh_runs(&mesh, &id)[0];
         canary += usize::from(mesh.vms[ran].service == SERVICES[1]);
     }
     assert!((4..=8).contains(&canary), "{canary} of {REQUESTS}");
@@ -93,7 +94,7 @@
 /// among them. A version that is written meanwhile still comes to all of them.
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_refused_by_the_store_receive_new_versions() {
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let troubles = [
         Trouble::Busy,
         Trouble::Many,
@@ -119,7 +120,7 @@
 async fn frequent_versions_reach_a_data_centre_refused_by_the_store() {
     const GAP: Duration = Duration::from_millis(100);
     const LAST: u64 = 10;
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let refused: Vec<usize> = (0..mesh.vms.len())
         .filter(|position| mesh.vms[*position].data_centre.0 == "bilbao")
         .collect();
@@ -138,7 +139,7 @@
             break;
         }
         assert!(
-            started.elapsed() < LIMIT,
+            started.elapsed() < WAIT_TIMEOUT,
             "{behind} nodes are below version {LAST}"
         );
         tokio::time::sleep(GAP).await;
@@ -152,14 +153,14 @@
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
     plan.vms_per_service = 3;
-    let mesh = start_users_serving(plan).await;
+    let mesh = start_serving_users_mesh(plan).await;
     let lead = mesh.lead_of("gijon").await;
     mesh.store.set_trouble_for(mesh.vms[lead].ip, Trouble::Busy);
     let others: Vec<usize> = (0..mesh.vms.len())
         .filter(|position| *position != lead)
         .collect();
     let first = mesh.status(lead).await["node"].clone();
-    wait_until("the others have another lead", LIMIT, || async {
+    wait_until("the others have another lead", WAIT_TIMEOUT, || async {
         let mut following = 0;
         for position in &others {
             let follows = mesh.status(*position).await["follows"].clone();
@@ -189,7 +190,7 @@
     const LEAST_ROWS_OF_HISTORY: usize = 10;
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
-    let mesh = start_users_serving(plan).await;
+    let mesh = start_serving_users_mesh(plan).await;
     for version in 2..=LAST {
         write_routes(&mesh, version, &users_routes(), &SERVICES);
         mesh.wait_enforced(version).await;
@@ -198,7 +199,7 @@
     let other = 1 - lead;
     let reads = mesh.store.configuration_reads_of(mesh.vms[other].ip);
     mesh.store.set_trouble_for(mesh.vms[lead].ip, Trouble::Busy);
-    wait_until("the other node reads the store", LIMIT, || async {
+    wait_until("the other node reads the store", WAIT_TIMEOUT, || async {
         mesh.store.configuration_reads_of(mesh.vms[other].ip) > reads
     })
     .await;
@@ -211,7 +212,7 @@
 /// The store forgets its history between two versions; nobody misses the second one.
 #[tokio::test(flavor = "multi_thread")]
 async fn dropped_store_history_loses_no_version() {
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     mesh.store.drop_history();
     write_routes(&mesh, 2, &users_routes(), &SERVICES);
     mesh.wait_enforced(2).await;
@@ -225,7 +226,7 @@
 /// negative time. What is in force stays in force, and the next whole one comes through.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_configuration_is_not_enforced() {
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let valid_text = testkit::users::configuration::text(2, &users_routes(), &SERVICES);
     let invalid_texts = [
         valid_text[..valid_text.len() / 2].to_owned(),
@@ -248,7 +249,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn enforced_version_never_decreases_under_frequent_updates() {
     const LAST: u64 = 40;
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let mut seen = vec![1; mesh.vms.len()];
     for version in 2..=LAST {
         write_routes(&mesh, version, &users_routes(), &SERVICES);
@@ -265,14 +266,14 @@
 /// older one than it had; once the store is back it follows that.
 #[tokio::test(flavor = "multi_thread")]
 async fn node_started_during_a_store_outage_gets_configuration_from_peers() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     write_routes(&mesh, 2, &users_routes(), &SERVICES);
     mesh.wait_enforced(2).await;
     for trouble in [Trouble::Busy, Trouble::Silent] {
         mesh.store.set_trouble(trouble);
         mesh.kill_node(0).await.expect("it ends");
         mesh.start_node(0).await.expect("it starts");
-        wait_until("the node serves again", LIMIT, || async {
+        wait_until("the node serves again", WAIT_TIMEOUT, || async {
             let reply = mesh.ask(0, &Asked::get("/stock/1", "again")).await;
             reply.is_ok_and(|reply| reply.status == 200)
         })
@@ -289,12 +290,12 @@
 /// other lie in the store. The others look for it, and it serves again with what they enforce.
 #[tokio::test(flavor = "multi_thread")]
 async fn node_restarted_during_a_store_outage_is_rediscovered_by_peers() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     mesh.store.set_trouble(Trouble::Silent);
     mesh.vms[0].node().signal(Signal::Terminate);
     mesh.end_node(0).await.expect("it ends");
     mesh.start_node(0).await.expect("it starts");
-    wait_until("the node serves again", LIMIT, || async {
+    wait_until("the node serves again", WAIT_TIMEOUT, || async {
         let reply = mesh.ask(0, &Asked::get("/stock/1", "again")).await;
         reply.is_ok_and(|reply| reply.status == 200)
     })
@@ -306,7 +307,7 @@
 async fn node_without_configuration_answers_503() {
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
-    let mesh = start_users(plan).await;
+    let mesh = start_users_mesh(plan).await;
     let reply = mesh.ask(0, &Asked::get("/stock/1", "early")).await;
     let reply = reply.expect("it is answered");
     assert_eq!(reply.status, 503);
@@ -337,7 +338,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn longer_idle_timeout_applies_to_idle_connections() {
     const OLD_MS: u32 = 3_000;
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let write = |version, idle_ms| {
         let text = text_with_idle_timeout(version, &users_routes(), &SERVICES, idle_ms);
         mesh.store.operator_writes("config", text.as_bytes());
--- a/tests/testsuite/users_requests.rs
+++ b/tests/testsuite/users_requests.rs
@@ -10,7 +10,8 @@
 use tokio::net::TcpStream;
 
 use crate::support::{
-    LIMIT, SERVICES, metrics, start_users_serving, users_routes, users_runs, write_routes,
+    SERVICES, WAIT_TIMEOUT, fetch_metrics, start_serving_users_mesh, users_mesh_runs, users_routes,
+    write_routes,
 };
 
 /// One VM of each service.
@@ -35,7 +36,7 @@
 /// another request already. A keeper who asks for one stock must never get the figure of another.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_duplicate_response_reaches_no_other_caller() {
-    let mesh = start_users_serving(small()).await;
+    let mesh = start_serving_users_mesh(small()).await;
     let mut served = 0;
     for number in 0..60 {
         let mode = match number % 3 {
@@ -60,7 +61,7 @@
 /// in the middle does not look complete to the caller.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_response_without_length_is_whole_and_a_truncated_one_fails() {
-    let mesh = start_users_serving(small()).await;
+    let mesh = start_serving_users_mesh(small()).await;
     let path = format!("/stock/1?bytes=5000&answer={}", Answering::Unframed.word());
     let reply = send(&mesh, &Asked::get(&path, "unframed")).await;
     assert_own_answer(&reply, "unframed", 5_000);
@@ -74,22 +75,22 @@
 /// lorry is not booked twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_whose_response_is_lost_runs_once() {
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let path = format!("/book/1?answer={}", Answering::Lost.word());
     let reply = send(&mesh, &Asked::post(&path, "lost")).await;
     assert_eq!(reply.status, StatusCode::BAD_GATEWAY);
-    assert_eq!(users_runs(&mesh, "lost").len(), 1);
+    assert_eq!(users_mesh_runs(&mesh, "lost").len(), 1);
 }
 
 /// A look-up whose answer is lost is asked for once more, elsewhere, and no more often than the route
 /// says.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lookup_whose_response_is_lost_is_retried_elsewhere() {
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let path = format!("/stock/1?answer={}", Answering::Lost.word());
     let reply = send(&mesh, &Asked::get(&path, "lost")).await;
     assert_eq!(reply.status, StatusCode::BAD_GATEWAY);
-    let runs = users_runs(&mesh, "lost");
+    let runs = users_mesh_runs(&mesh, "lost");
     assert_eq!(runs.len(), 2);
     assert_ne!(runs[0], runs[1]);
 }
@@ -103,7 +104,7 @@
         slots: 2,
         ..Behaviour::default()
     };
-    let mesh = start_users_serving(plan).await;
+    let mesh = start_serving_users_mesh(plan).await;
     let booking = |number: u32| {
         let id = format!("long-{number}");
         let mesh = &mesh;
@@ -111,7 +112,7 @@
             let path = "/book/1?work_ms=900";
             let mut request = Asked::post(path, &id);
             request.deadline_ms = 1_000;
-            (send(mesh, &request).await, users_runs(mesh, &id).len())
+            (send(mesh, &request).await, users_mesh_runs(mesh, &id).len())
         }
     };
     let mut bookings: Vec<_> = Vec::new();
@@ -159,7 +160,7 @@
 /// The other one runs nothing that was meant for the first.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_reused_address_receives_no_request_for_the_old_service() {
-    let mut mesh = start_users_serving(small()).await;
+    let mut mesh = start_serving_users_mesh(small()).await;
     let position = mesh.vms_of(SERVICES[0])[0];
     mesh.crash_backend(position).await;
     mesh.restart_backend(position, SERVICES[1])
@@ -169,13 +170,13 @@
     mesh.mute_backend(position);
     let reply = send(&mesh, &Asked::post("/sheets/1", "meant-for-the-last")).await;
     assert_eq!(reply.status, 503);
-    assert!(users_runs(&mesh, "meant-for-the-last").is_empty());
+    assert!(users_mesh_runs(&mesh, "meant-for-the-last").is_empty());
 }
 
 /// A keeper hangs up while the work runs; the backend server is told, and does not work on for nobody.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_disconnect_cancels_the_work() {
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let path = "/stock/1?work_ms=60000";
     for position in 0..mesh.vms.len() {
         let id = format!("left-{position}");
@@ -183,16 +184,16 @@
         request.deadline_ms = 60_000;
         {
             let pending = mesh.ask(position, &request);
-            let running = wait_until("it runs", LIMIT, || async {
-                !users_runs(&mesh, &id).is_empty()
+            let running = wait_until("it runs", WAIT_TIMEOUT, || async {
+                !users_mesh_runs(&mesh, &id).is_empty()
             });
             tokio::select! {
                 _ = pending => panic!("nothing was answered"),
                 () = running => (),
             }
         }
-        let ran = users_runs(&mesh, &id)[0];
-        wait_until("the work is given up", LIMIT, || async {
+        let ran = users_mesh_runs(&mesh, &id)[0];
+        wait_until("the work is given up", WAIT_TIMEOUT, || async {
             mesh.vms[ran].backend().running() == 0
         })
         .await;
@@ -203,12 +204,12 @@
 /// the caller claimed, and the answer is given at the deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_backend_server_receives_remaining_time_and_calling_service() {
-    let mesh = start_users_serving(small()).await;
+    let mesh = start_serving_users_mesh(small()).await;
     let mut request = Asked::get("/stock/1?work_ms=5000", "hasty");
     request.deadline_ms = 300;
     let reply = send(&mesh, &request).await;
     assert_eq!(reply.status, StatusCode::GATEWAY_TIMEOUT);
-    let ran = users_runs(&mesh, "hasty")[0];
+    let ran = users_mesh_runs(&mesh, "hasty")[0];
     let run = mesh.vms[ran].backend().record().runs["hasty"][0].clone();
     assert!(run.deadline_ms.is_some_and(|ms| ms <= 300), "{run:?}");
     assert_eq!(run.caller, mesh.vms[0].service);
@@ -219,7 +220,7 @@
 /// and the bytes that were still due reach no other request.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_upload_rejected_early_does_not_affect_the_next() {
-    let mesh = start_users_serving(small()).await;
+    let mesh = start_serving_users_mesh(small()).await;
     let body = vec![7; 300_000];
     for number in 0..10 {
         let path = format!("/sheets/{number}?answer={}", Answering::Early.word());
@@ -240,7 +241,7 @@
         };
         let reply = send(&mesh, &request).await;
         assert_own_answer(&reply, &id, 64);
-        let ran = users_runs(&mesh, &id)[0];
+        let ran = users_mesh_runs(&mesh, &id)[0];
         let run = mesh.vms[ran].backend().record().runs[&id][0].clone();
         assert_eq!(run.body_digest, blake3::hash(&body).to_hex().to_string());
     }
@@ -259,7 +260,7 @@
             on_full,
             ..Behaviour::default()
         };
-        let mesh = start_users_serving(plan).await;
+        let mesh = start_serving_users_mesh(plan).await;
         let ids: Vec<String> = (0..40).map(|number| format!("full-{number}")).collect();
         let requests = ids.iter().map(|id| async {
             let reply = send(&mesh, &Asked::get("/stock/1", id)).await;
@@ -278,7 +279,7 @@
         forgets_idle: Some(Duration::from_millis(200)),
         ..Behaviour::default()
     };
-    let mesh = start_users_serving(plan).await;
+    let mesh = start_serving_users_mesh(plan).await;
     for number in 0..8 {
         let id = format!("idle-{number}");
         let reply = send(&mesh, &new_request(&id)).await;
@@ -305,7 +306,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn infrequent_reads_share_a_connection() {
     const READS: u64 = 8;
-    let mesh = start_users_serving(small()).await;
+    let mesh = start_serving_users_mesh(small()).await;
     let connections = || {
         let backends = mesh.vms.iter().filter_map(|vm| vm.backend.as_ref());
         let connections = backends.map(|backend| backend.record().connections);
@@ -326,7 +327,7 @@
 /// in the order of the questions.
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_requests_are_answered_in_order() {
-    let mesh = start_users_serving(small()).await;
+    let mesh = start_serving_users_mesh(small()).await;
     let entry = mesh.vms[0].node().addresses.caller;
     let mut stream = TcpStream::connect(entry).await.expect("the node listens");
     let mut sent = String::new();
@@ -349,7 +350,7 @@
     // The last of them did not wait for the first to run.
     let started_at = |number: usize| {
         let id = format!("order-{number}");
-        let ran = users_runs(&mesh, &id)[0];
+        let ran = users_mesh_runs(&mesh, &id)[0];
         mesh.vms[ran].backend().record().runs[&id][0].began
     };
     assert!(started_at(2) < started_at(0) + Duration::from_millis(200));
@@ -358,11 +359,11 @@
 /// A backend server's work leads to a call of its own, which goes through the node beside it.
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_of_a_backend_server_go_through_its_node() {
-    let mesh = start_users_serving(small()).await;
+    let mesh = start_serving_users_mesh(small()).await;
     let path = "/book/1?call=mesh.example/stock/7";
     let reply = send(&mesh, &Asked::post(path, "chain")).await;
     assert_own_answer(&reply, "chain", 64);
-    let called = users_runs(&mesh, "chain.call");
+    let called = users_mesh_runs(&mesh, "chain.call");
     assert_eq!(called.len(), 1);
     let run = mesh.vms[called[0]].backend().record().runs["chain.call"][0].clone();
     assert_eq!(run.caller, SERVICES[1]);
@@ -378,7 +379,7 @@
         slots: 1,
         ..Behaviour::default()
     };
-    let mesh = start_users_serving(plan).await;
+    let mesh = start_serving_users_mesh(plan).await;
     let mut routes = users_routes();
     for route in &mut routes {
         route.timeout_ms = 60_000;
@@ -389,8 +390,8 @@
     let ledger = mesh.vms_of(SERVICES[0])[0];
     let operator = mesh.vms[ledger].node().addresses.operator;
     let waiting = async |count: u64| {
-        wait_until("requests wait", LIMIT, || async {
-            let text = metrics(operator).await;
+        wait_until("requests wait", WAIT_TIMEOUT, || async {
+            let text = fetch_metrics(operator).await;
             let has_line = |line: String| text.lines().any(|known| known == line);
             has_line("dragonflywall_gate_slots_in_use 1".to_owned())
                 && has_line(format!("dragonflywall_gate_waiting {count}"))
@@ -428,10 +429,10 @@
 /// a caller's like any other, and has its whole own deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_id_that_extends_no_running_request_is_not_a_call() {
-    let mesh = start_users_serving(small()).await;
+    let mesh = start_serving_users_mesh(small()).await;
     let reply = send(&mesh, &Asked::get("/stock/1", "nobody.call")).await;
     assert_own_answer(&reply, "nobody.call", 64);
-    let ran = users_runs(&mesh, "nobody.call")[0];
+    let ran = users_mesh_runs(&mesh, "nobody.call")[0];
     let run = mesh.vms[ran].backend().record().runs["nobody.call"][0].clone();
     assert!(run.deadline_ms > Some(4_000), "{run:?}");
 }
@@ -439,12 +440,12 @@
 /// A failure of the backend server's own is passed on as it is, with its seal.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_failure_response_of_the_backend_server_is_passed_on() {
-    let mesh = start_users_serving(small()).await;
+    let mesh = start_serving_users_mesh(small()).await;
     let path = format!("/book/1?answer={}", Answering::Failure.word());
     let reply = send(&mesh, &Asked::post(&path, "failed")).await;
     assert_eq!(reply.status, StatusCode::INTERNAL_SERVER_ERROR);
     assert_eq!(reply.header(SEAL), "failure.failed");
-    let ran = users_runs(&mesh, "failed")[0];
+    let ran = users_mesh_runs(&mesh, "failed")[0];
     let run = mesh.vms[ran].backend().record().runs["failed"][0].clone();
     assert_eq!(run.target, format!("POST mesh.example{path}"));
 }
--- a/tests/testsuite/users_settings.rs
+++ b/tests/testsuite/users_settings.rs
@@ -6,7 +6,7 @@
 use testkit::users::mesh::{Asked, Mesh, Plan};
 use tokio::sync::mpsc;
 
-use crate::support::{LIMIT, SERVICES, command, start_users_serving};
+use crate::support::{SERVICES, WAIT_TIMEOUT, run_program, start_serving_users_mesh};
 
 fn single_data_centre_plan() -> Plan {
     let mut plan = Plan::new(&SERVICES);
@@ -18,7 +18,7 @@
 /// with 2, before it listens anywhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_settings_file_is_refused_with_all_problems() {
-    let mesh = start_users_serving(single_data_centre_plan()).await;
+    let mesh = start_serving_users_mesh(single_data_centre_plan()).await;
     let text = mesh.settings_text(0);
     let invalid_text = text
         .replace("zone = ", "zon = ")
@@ -27,7 +27,7 @@
     let directory = tempfile::TempDir::new().expect("there is room for files");
     let path = directory.path().join("settings.toml");
     std::fs::write(&path, invalid_text).expect("the file is written");
-    let output = command(&["node", "--config", path.to_str().expect("UTF-8")]).await;
+    let output = run_program(&["node", "--config", path.to_str().expect("UTF-8")]).await;
     assert_eq!(output.status.code(), Some(2));
     let error = String::from_utf8_lossy(&output.stderr);
     assert!(error.contains("`zone` is missing"), "{error}");
@@ -36,7 +36,7 @@
         !error.contains("address2"),
         "unknown keys are ignored: {error}"
     );
-    let output = command(&[
+    let output = run_program(&[
         "node",
         "--config",
         path.to_str().expect("UTF-8"),
@@ -53,7 +53,7 @@
 /// Guards against a file that undoes what an operator has set beside it.
 #[tokio::test(flavor = "multi_thread")]
 async fn flags_and_variables_override_the_file() {
-    let mesh = start_users_serving(single_data_centre_plan()).await;
+    let mesh = start_serving_users_mesh(single_data_centre_plan()).await;
     let path = mesh.settings_path(0).to_str().expect("UTF-8");
     let arguments = ["--config", path, "--retry-percent=5", "--memory-mb=64"];
     let arguments = arguments.iter().map(|flag| (*flag).into());
@@ -71,7 +71,7 @@
 /// Guards against defaults that differ between a node's own settings and the platform's file.
 #[tokio::test(flavor = "multi_thread")]
 async fn file_and_flags_have_the_same_defaults() {
-    let mesh = start_users_serving(single_data_centre_plan()).await;
+    let mesh = start_serving_users_mesh(single_data_centre_plan()).await;
     let settings = |flags: &[&str]| {
         let arguments = flags.iter().map(|flag| (*flag).into());
         node::settings::parse(arguments, |_| None).expect("they are right")
@@ -104,7 +104,7 @@
         }
         None
     };
-    let found = tokio::time::timeout(LIMIT, found).await;
+    let found = tokio::time::timeout(WAIT_TIMEOUT, found).await;
     let found = found.ok().flatten();
     found.unwrap_or_else(|| panic!("no line says {text}"))
 }
@@ -121,7 +121,7 @@
     let (sender, mut lines) = mpsc::unbounded_channel();
     let mut plan = single_data_centre_plan();
     plan.log_lines = Some(sender);
-    let mesh = start_users_serving(plan).await;
+    let mesh = start_serving_users_mesh(plan).await;
     let text = mesh.settings_text(0);
     let path = mesh.settings_path(0);
     std::fs::write(path, text.replace("grace=6s", "grace=7s")).expect("the file is written");
@@ -135,5 +135,5 @@
     std::fs::write(path, &text).expect("the file is written");
     mesh.vms[0].node().signal(Signal::Hangup);
     wait_for_line(&mut lines, "read the settings file again").await;
-    wait_until("it serves on", LIMIT, || serves(&mesh)).await;
+    wait_until("it serves on", WAIT_TIMEOUT, || serves(&mesh)).await;
 }
--- a/tests/testsuite/users_stops.rs
+++ b/tests/testsuite/users_stops.rs
@@ -10,7 +10,7 @@
 use testkit::users::mesh::{Asked, Mesh, Plan};
 use testkit::users::store::Trouble;
 
-use crate::support::{LIMIT, SERVICES, start_users_serving, users_runs};
+use crate::support::{SERVICES, WAIT_TIMEOUT, start_serving_users_mesh, users_mesh_runs};
 
 /// Asks through every node but one of them, one request after the other, until told to stop; returns the
 /// ids that were not answered with 200.
@@ -38,13 +38,13 @@
 /// nothing, whoever asks, although bookings come all the time; none of them fails for it.
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_backend_server_gets_no_requests_after_acknowledgement() {
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     let stop = AtomicBool::new(false);
     let (failed, acknowledged_at) =
         tokio::join!(send_until_stopped(&mesh, usize::MAX, &stop), async {
             let vm = &mesh.vms[leaving];
-            wait_until("it has work", LIMIT, || async {
+            wait_until("it has work", WAIT_TIMEOUT, || async {
                 vm.backend().record().last_reached.is_some()
             })
             .await;
@@ -55,7 +55,7 @@
                 .await;
             assert!(acknowledged);
             let acknowledged_at = Instant::now();
-            wait_until("others have work", LIMIT, || async {
+            wait_until("others have work", WAIT_TIMEOUT, || async {
                 let others = mesh.vms_of(SERVICES[1]).into_iter().skip(1);
                 let mut reached =
                     others.map(|other| mesh.vms[other].backend().record().last_reached);
@@ -77,24 +77,24 @@
 /// while. It is sent nothing any more either, and what it runs is answered.
 #[tokio::test(flavor = "multi_thread")]
 async fn backend_server_that_leaves_without_draining_finishes_its_requests() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     mesh.mute_backend(leaving);
     let mesh = mesh;
     let booking = Asked::post("/book/1?work_ms=500", "before");
     let pending_booking = mesh.ask(leaving, &booking);
     let leaves = async {
-        wait_until("it runs", LIMIT, || async {
-            !users_runs(&mesh, "before").is_empty()
+        wait_until("it runs", WAIT_TIMEOUT, || async {
+            !users_mesh_runs(&mesh, "before").is_empty()
         })
         .await;
-        let at = users_runs(&mesh, "before")[0];
+        let at = users_mesh_runs(&mesh, "before")[0];
         let vm = &mesh.vms[at];
         assert!(vm.backend().leave(vm.control()).await);
         let id = "after";
         let reply = mesh.ask(leaving, &Asked::post("/book/1", id)).await;
         assert_eq!(reply.expect("it is answered").status, 200);
-        assert_ne!(users_runs(&mesh, id)[0], at);
+        assert_ne!(users_mesh_runs(&mesh, id)[0], at);
     };
     let (reply, ()) = tokio::join!(pending_booking, leaves);
     assert_eq!(reply.expect("it is answered").status, 200);
@@ -104,7 +104,7 @@
 /// does not open the gate again.
 #[tokio::test(flavor = "multi_thread")]
 async fn delayed_ready_announcement_does_not_reopen_admission() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     mesh.mute_backend(leaving);
     let vm = &mesh.vms[leaving];
@@ -120,7 +120,7 @@
         let id = format!("after-{number}");
         let reply = mesh.ask(leaving, &Asked::post("/book/1", &id)).await;
         assert_eq!(reply.expect("it is answered").status, 200);
-        assert_ne!(users_runs(&mesh, &id), [leaving]);
+        assert_ne!(users_mesh_runs(&mesh, &id), [leaving]);
     }
 }
 
@@ -128,7 +128,7 @@
 /// announce themselves. They name nothing to use, and the real one is served on.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_announcement_is_rejected() {
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let vm = &mesh.vms[0];
     let valid = vm.backend().next_announcement(Announced::Ready);
     let invalid = [
@@ -150,7 +150,7 @@
 /// answered; the process ends by itself; others are not disturbed.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_stop_answers_all_requests() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let stopped = mesh.vms_of(SERVICES[1])[0];
     let mut node = mesh.vms[stopped].node.take().expect("it runs");
     let caller = node.addresses.caller;
@@ -173,8 +173,8 @@
                 reply.map(|reply| reply.status.as_u16())
             });
         }
-        wait_until("its callers' bookings run", LIMIT, || async {
-            (0..6).all(|number| !users_runs(&mesh, &format!("own-{number}")).is_empty())
+        wait_until("its callers' bookings run", WAIT_TIMEOUT, || async {
+            (0..6).all(|number| !users_mesh_runs(&mesh, &format!("own-{number}")).is_empty())
         })
         .await;
         node.signal(Signal::Terminate);
@@ -191,7 +191,7 @@
 /// node serves again, under the newest configuration.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_nodes_serve_again_after_a_simultaneous_kill() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     for position in 0..mesh.vms.len() {
         mesh.kill_node(position).await.expect("it ends");
     }
@@ -205,7 +205,7 @@
         let id = format!("again-{position}");
         let reply = mesh.ask(position, &Asked::post("/book/1", &id)).await;
         assert_eq!(reply.expect("it is answered").status, 200);
-        assert_eq!(users_runs(&mesh, &id).len(), 1);
+        assert_eq!(users_mesh_runs(&mesh, &id).len(), 1);
     }
 }
 
@@ -224,7 +224,7 @@
 /// although it could serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_node_reports_serving_only_after_an_announcement() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let position = mesh.vms_of(SERVICES[0])[0];
     let other = mesh.vms_of(SERVICES[0])[1];
     let before = member(&mesh, other, position).await["incarnation_us"].clone();
@@ -232,7 +232,7 @@
     mesh.store.set_trouble(Trouble::Busy);
     mesh.kill_node(position).await.expect("it ends");
     mesh.start_node(position).await.expect("it starts");
-    wait_until("the restart is known", LIMIT, || async {
+    wait_until("the restart is known", WAIT_TIMEOUT, || async {
         let member = member(&mesh, other, position).await;
         member["liveness"] == "alive" && member["incarnation_us"] != before
     })
@@ -241,7 +241,7 @@
     let vm = &mesh.vms[position];
     let acknowledged = vm.backend().announce(vm.control(), Announced::Ready).await;
     assert!(acknowledged);
-    wait_until("it serves again", LIMIT, || async {
+    wait_until("it serves again", WAIT_TIMEOUT, || async {
         member(&mesh, other, position).await["backend"] == "serving"
     })
     .await;
@@ -260,9 +260,9 @@
 /// stood beside it.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_nodes_serve_from_stored_rows_before_announcements() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let all = 0..mesh.vms.len();
-    wait_until("every row names a backend server", LIMIT, || async {
+    wait_until("every row names a backend server", WAIT_TIMEOUT, || async {
         all.clone()
             .all(|position| row_names_backend(&mesh, position))
     })
@@ -276,7 +276,7 @@
     }
     mesh.wait_enforced(1).await;
     for (path, id) in [("/book/1", "booking"), ("/stock/1", "look-up")] {
-        wait_until("both services are served", LIMIT, || {
+        wait_until("both services are served", WAIT_TIMEOUT, || {
             is_served(&mesh, path, id)
         })
         .await;
@@ -292,9 +292,9 @@
 /// take it up again: it has been promised that nothing comes any more.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_node_does_not_restore_a_draining_backend_server() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
-    wait_until("its row names the backend server", LIMIT, || async {
+    wait_until("its row names the backend server", WAIT_TIMEOUT, || async {
         row_names_backend(&mesh, leaving)
     })
     .await;
@@ -305,14 +305,14 @@
         .announce(vm.control(), Announced::Draining)
         .await;
     assert!(acknowledged);
-    wait_until("its row names it no more", LIMIT, || async {
+    wait_until("its row names it no more", WAIT_TIMEOUT, || async {
         !row_names_backend(&mesh, leaving)
     })
     .await;
     mesh.kill_node(leaving).await.expect("it ends");
     mesh.start_node(leaving).await.expect("it starts");
     mesh.wait_enforced(1).await;
-    wait_until("it knows the others", LIMIT, || async {
+    wait_until("it knows the others", WAIT_TIMEOUT, || async {
         let reply = mesh.ask(leaving, &Asked::get("/book/1", "first")).await;
         reply.is_ok_and(|reply| reply.status == 200)
     })
@@ -330,7 +330,7 @@
 /// nothing of the leaving. It must not send anything there.
 #[tokio::test(flavor = "multi_thread")]
 async fn delayed_ready_announcement_does_not_open_admission_after_restart() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     mesh.mute_backend(leaving);
     let vm = &mesh.vms[leaving];
@@ -339,7 +339,7 @@
     mesh.store.set_trouble(Trouble::Busy);
     mesh.kill_node(leaving).await.expect("it ends");
     mesh.start_node(leaving).await.expect("it starts");
-    wait_until("it serves as an entry", LIMIT, || async {
+    wait_until("it serves as an entry", WAIT_TIMEOUT, || async {
         let reply = mesh.ask(leaving, &Asked::get("/book/1", "first")).await;
         reply.is_ok_and(|reply| reply.status == 200)
     })
--- a/tests/testsuite/users_store.rs
+++ b/tests/testsuite/users_store.rs
@@ -4,22 +4,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use dragonflywall::platform::store::Client;
+use dragonflywall::platform::store::PlatformStore;
 use dragonflywall::store::{Condition, Error, Feed, Outcome, Position, Table, Transaction};
 use testkit::http::wait_until;
 use testkit::users::configuration::text;
 use testkit::users::store::{Store, Trouble, WriteFault};
 
-use crate::support::{LIMIT, SERVICES, users_routes};
+use crate::support::{SERVICES, WAIT_TIMEOUT, users_routes};
 
 const TABLE: &str = "dragonflywall";
 /// Longest wait for an answer; bounds a hang.
-const ANSWER: Duration = LIMIT;
+const RESPONSE_TIMEOUT: Duration = WAIT_TIMEOUT;
 
-async fn start() -> (Store, Client) {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let store = Store::start(any).await.expect("it starts");
-    let client = Client::new(&format!("http://{}", store.address), None);
+async fn start() -> (Store, PlatformStore) {
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let store = Store::start(any_port).await.expect("it starts");
+    let client = PlatformStore::new(&format!("http://{}", store.address), None);
     (store, client)
 }
 
@@ -39,7 +39,7 @@
 /// Two nodes register under one key at the same moment. One transaction takes effect, the other is told
 /// that its condition did not hold, and the row holds what the first one wrote.
 #[tokio::test]
-async fn a_condition_that_does_not_hold_writes_nothing() {
+async fn failed_condition_writes_nothing() {
     let (store, client) = start().await;
     let first = client.transact(&put("a", "1", absent("a"))).await;
     assert_eq!(first.expect("it answers"), Outcome::Committed);
@@ -59,7 +59,7 @@
 
 /// Rows are listed by prefix, a page at a time, as a node looks for others.
 #[tokio::test]
-async fn rows_are_listed_behind_a_key() {
+async fn rows_are_listed_after_a_key() {
     let (_store, client) = start().await;
     for key in ["node/a", "node/b", "node/c", "other"] {
         let written = client.transact(&put(key, key, Vec::new())).await;
@@ -75,14 +75,20 @@
 /// The store turns a node away in each of its ways. Whoever wrote must know whether it may have been
 /// done: 503 and 429 prove that it was not; a lost connection proves nothing.
 #[tokio::test]
-async fn a_refusal_and_a_lost_answer_are_told_apart() {
+async fn refused_and_lost_writes_return_different_errors() {
     let (store, client) = start().await;
     store.set_trouble(Trouble::Busy);
-    let busy = client.transact(&put("a", "1", Vec::new())).await;
-    assert!(matches!(busy, Err(Error::Unavailable { .. })), "{busy:?}");
+    let unavailable = client.transact(&put("a", "1", Vec::new())).await;
+    assert!(
+        matches!(unavailable, Err(Error::Unavailable { .. })),
+        "{unavailable:?}"
+    );
     store.set_trouble(Trouble::Many);
-    let many = client.transact(&put("a", "1", Vec::new())).await;
-    assert!(matches!(many, Err(Error::Busy)), "{many:?}");
+    let rate_limited = client.transact(&put("a", "1", Vec::new())).await;
+    assert!(
+        matches!(rate_limited, Err(Error::RateLimited)),
+        "{rate_limited:?}"
+    );
     store.set_trouble(Trouble::Reset);
     let lost = client.transact(&put("a", "1", Vec::new())).await;
     assert!(
@@ -103,7 +109,7 @@
 /// A write is not answered and done only later. Until then it is not there, so a node that looked once
 /// and found nothing must not take that for "never".
 #[tokio::test]
-async fn a_write_may_be_done_later() {
+async fn write_may_take_effect_after_its_response_was_lost() {
     let (store, client) = start().await;
     store.set_write_fault(WriteFault::Late(Duration::from_millis(200)));
     let lost = client.transact(&put("a", "1", Vec::new())).await;
@@ -112,7 +118,7 @@
         "{lost:?}"
     );
     assert_eq!(store.value(TABLE, "a"), None);
-    wait_until("the write is done", LIMIT, || async {
+    wait_until("the write is done", WAIT_TIMEOUT, || async {
         store.value(TABLE, "a").is_some()
     })
     .await;
@@ -121,49 +127,57 @@
 /// The store forgets its history while a node follows it. The node is told so, reads the newest
 /// configuration, and follows again from there.
 #[tokio::test]
-async fn a_feed_whose_history_is_gone_says_so() {
+async fn feed_reports_dropped_history() {
     let (store, client) = start().await;
     let write = |version| {
         let text = text(version, &users_routes(), &SERVICES);
         store.operator_writes("config", text.as_bytes())
     };
     write(1);
-    let told = client.newest(ANSWER).await.expect("it answers");
-    assert_eq!(told.configuration.expect("it is there").version.0, 1);
-    let position = told.position;
+    let update = client.newest(RESPONSE_TIMEOUT).await.expect("it answers");
+    assert_eq!(update.configuration.expect("it is there").version.0, 1);
+    let position = update.position;
     write(2);
-    let told = client.after(position, Duration::ZERO, ANSWER).await;
-    let told = told.expect("it answers");
-    assert_eq!(told.configuration.expect("it is new").version.0, 2);
+    let update = client
+        .newest_after(position, Duration::ZERO, RESPONSE_TIMEOUT)
+        .await;
+    let update = update.expect("it answers");
+    assert_eq!(update.configuration.expect("it is new").version.0, 2);
     store.drop_history();
-    let gone = client.after(told.position, Duration::ZERO, ANSWER).await;
-    assert!(matches!(gone, Err(Error::HistoryGone)), "{gone:?}");
-    let told = client.newest(ANSWER).await.expect("it answers");
-    assert_eq!(told.configuration.expect("it is there").version.0, 2);
-    let quiet = client.after(told.position, Duration::ZERO, ANSWER).await;
-    assert!(quiet.expect("it answers").configuration.is_none());
+    let expired = client
+        .newest_after(update.position, Duration::ZERO, RESPONSE_TIMEOUT)
+        .await;
+    assert!(matches!(expired, Err(Error::HistoryGone)), "{expired:?}");
+    let update = client.newest(RESPONSE_TIMEOUT).await.expect("it answers");
+    assert_eq!(update.configuration.expect("it is there").version.0, 2);
+    let unchanged = client
+        .newest_after(update.position, Duration::ZERO, RESPONSE_TIMEOUT)
+        .await;
+    assert!(unchanged.expect("it answers").configuration.is_none());
 }
 
 /// A feed that waits hears of a version when it is written, not when its wait is over.
 #[tokio::test]
-async fn a_feed_that_waits_is_woken() {
+async fn waiting_feed_returns_when_a_version_is_written() {
     let (store, client) = start().await;
     let waiting = tokio::spawn(async move {
         let hour = Duration::from_secs(3_600);
-        client.after(Position(0), hour, ANSWER).await
+        client
+            .newest_after(Position(0), hour, RESPONSE_TIMEOUT)
+            .await
     });
     let text = text(5, &users_routes(), &SERVICES);
     store.operator_writes("config", text.as_bytes());
-    let told = waiting.await.expect("it ends").expect("it answers");
-    assert_eq!(told.configuration.expect("it is new").version.0, 5);
+    let update = waiting.await.expect("it ends").expect("it answers");
+    assert_eq!(update.configuration.expect("it is new").version.0, 5);
 }
 
 /// A row that nobody should have written stands where the configuration is. It is no configuration, and
 /// no failure of the store either.
 #[tokio::test]
-async fn an_unreadable_configuration_is_none() {
+async fn undecodable_configuration_is_skipped() {
     let (store, client) = start().await;
     store.operator_writes("config", b"\xff\xfe not a configuration");
-    let told = client.newest(ANSWER).await.expect("it answers");
-    assert!(told.configuration.is_none());
+    let update = client.newest(RESPONSE_TIMEOUT).await.expect("it answers");
+    assert!(update.configuration.is_none());
 }
