--- a/tests/testsuite/spread_failures.rs
+++ b/tests/testsuite/spread_failures.rs
@@ -9,7 +9,10 @@
 use testkit::platform::Faults;
 use testkit::process::Signal;
 
-use crate::support::{LIMIT, REASON, VERDICT, ask, command, repository_file, small};
+use crate::support::{
+    REASON_HEADER, VERDICT_HEADER, WAIT_TIMEOUT, repository_file, run_program, send_request,
+    small_deployment,
+};
 use crate::support::{start_chatarras, vms_of};
 
 /// Publishes the example file `boletines.toml` with another queue length, which makes a new
@@ -28,11 +31,11 @@
     let arguments = ["publish", "--operator", "ana", "--platform", &url];
     let mut arguments = arguments.to_vec();
     arguments.push(path.to_str().expect("the path is UTF-8"));
-    command(&arguments).await.status.success()
+    run_program(&arguments).await.status.success()
 }
 
 async fn small_mesh() -> Mesh {
-    start_chatarras(small(&["tablon", "cobros"], 2)).await
+    start_chatarras(small_deployment(&["tablon", "cobros"], 2)).await
 }
 
 /// Kills processes at the same time, and waits until they have ended and their addresses are free.
@@ -81,14 +84,14 @@
         .collect();
     for position in 0..mesh.vms.len() {
         if !inside.contains(&position) {
-            wait_until("the others enforce the version", LIMIT, || async {
+            wait_until("the others enforce the version", WAIT_TIMEOUT, || async {
                 mesh.version_at(position).await == 2
             })
             .await;
         }
     }
     let entry = mesh.vms[inside[0]].node().addresses.caller;
-    let reply = ask(entry, Method::GET, "tablon", "/prices/copper", "cut-off").await;
+    let reply = send_request(entry, Method::GET, "tablon", "/prices/copper", "cut-off").await;
     let reply = reply.expect("the node answers");
     assert_eq!(reply.status, 200, "{reply:?}");
     assert_eq!(reply.header("x-dragonflywall-version"), "1");
@@ -110,13 +113,17 @@
         .pop()
         .expect("the last one is in the other region");
     let operator = mesh.vms[isolated].node().addresses.operator;
-    wait_until("the other region is declared dead", LIMIT, || async {
-        let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
-        let body = reply.map(|reply| reply.body).unwrap_or_default();
-        let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-        let members = status["members"].as_array().cloned().unwrap_or_default();
-        members.iter().filter(|m| m["liveness"] == "dead").count() == 8
-    })
+    wait_until(
+        "the other region is declared dead",
+        WAIT_TIMEOUT,
+        || async {
+            let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
+            let body = reply.map(|reply| reply.body).unwrap_or_default();
+            let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
+            let members = status["members"].as_array().cloned().unwrap_or_default();
+            members.iter().filter(|m| m["liveness"] == "dead").count() == 8
+        },
+    )
     .await;
     assert_eq!(mesh.version_at(isolated).await, 1);
     mesh.network.set_cut(false, |_, _| true);
@@ -136,7 +143,7 @@
     assert!(!publish_change(&mesh, 31).await);
     kill(&mut mesh, &[3]).await;
     mesh.start_node(3).await.expect("the node starts");
-    wait_until("the node is ready", LIMIT, || ready(&mesh, 3)).await;
+    wait_until("the node is ready", WAIT_TIMEOUT, || ready(&mesh, 3)).await;
     assert_eq!(mesh.version_at(3).await, 1);
     mesh.platform.set_faults(Faults::default());
     assert!(publish_change(&mesh, 32).await);
@@ -156,7 +163,7 @@
     assert!(publish_change(&mesh, 31).await);
     assert!(publish_change(&mesh, 32).await);
     for position in (0..mesh.vms.len()).filter(|position| *position != frozen) {
-        wait_until("the others enforce the version", LIMIT, || async {
+        wait_until("the others enforce the version", WAIT_TIMEOUT, || async {
             mesh.version_at(position).await == 3
         })
         .await;
@@ -167,7 +174,7 @@
     for number in 0..20 {
         callers.spawn(async move {
             let id = format!("queued-{number}");
-            ask(caller, Method::GET, "tablon", "/prices/copper", &id).await
+            send_request(caller, Method::GET, "tablon", "/prices/copper", &id).await
         });
     }
     tokio::time::sleep(Duration::from_millis(200)).await;
@@ -176,12 +183,15 @@
         let reply = reply.expect("the node answers");
         if reply.header("x-dragonflywall-version") != "3" {
             assert_eq!(reply.status, 503, "{reply:?}");
-            assert_eq!(reply.header(VERDICT), "not-run");
-            assert_eq!(reply.header(REASON), "refreshing");
+            assert_eq!(reply.header(VERDICT_HEADER), "not-run");
+            assert_eq!(reply.header(REASON_HEADER), "refreshing");
             assert_eq!(reply.header("retry-after"), "1");
         }
     }
-    wait_until("the node is ready again", LIMIT, || ready(&mesh, frozen)).await;
+    wait_until("the node is ready again", WAIT_TIMEOUT, || {
+        ready(&mesh, frozen)
+    })
+    .await;
     assert_eq!(mesh.version_at(frozen).await, 3);
     mesh.wait_joined().await;
 }
@@ -192,11 +202,11 @@
 /// it serves under version 2.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_node_never_enforces_an_older_version() {
-    let mut mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mut mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     mesh.network.set_cut(true, |from, to| from == 1 && to != 1);
     assert!(publish_change(&mesh, 31).await);
     for position in [0, 1, 4, 5] {
-        wait_until("the others enforce version 2", LIMIT, || async {
+        wait_until("the others enforce version 2", WAIT_TIMEOUT, || async {
             mesh.version_at(position).await == 2
         })
         .await;
@@ -211,7 +221,7 @@
     mesh.network.set_cut(false, |from, to| from + to == 1);
     mesh.start_node(0).await.expect("the node starts");
     let operator = mesh.vms[0].node().addresses.operator;
-    wait_until("it sees nodes with version 1", LIMIT, || async {
+    wait_until("it sees nodes with version 1", WAIT_TIMEOUT, || async {
         let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
         let body = reply.map(|reply| reply.body).unwrap_or_default();
         let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
@@ -225,6 +235,6 @@
     let reply = reply.expect("the node answers");
     assert_eq!(reply.status, 503);
     mesh.vms[1].node().signal(Signal::Continue);
-    wait_until("the node is ready again", LIMIT, || ready(&mesh, 0)).await;
+    wait_until("the node is ready again", WAIT_TIMEOUT, || ready(&mesh, 0)).await;
     assert_eq!(mesh.version_at(0).await, 2);
 }
--- a/tests/testsuite/users_stops.rs
+++ b/tests/testsuite/users_stops.rs
@@ -10,7 +10,7 @@
 use testkit::users::mesh::{Asked, Mesh, Plan};
 use testkit::users::store::Trouble;
 
-use crate::support::{LIMIT, SERVICES, start_users_serving, users_runs};
+use crate::support::{SERVICES, WAIT_TIMEOUT, start_serving_users_mesh, users_mesh_runs};
 
 /// Sends requests one after the other, through all nodes in turn except `excluded`, until `stop` is set. Returns the ids
 /// of the requests that were not answered with 200.
@@ -38,7 +38,7 @@
 /// sends it requests after the acknowledgement, and against requests that fail because of the draining.
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_backend_server_gets_no_requests_after_acknowledgement() {
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     let stop = AtomicBool::new(false);
     let (failed, acknowledged_at) =
@@ -46,7 +46,7 @@
             let vm = &mesh.vms[leaving];
             wait_until(
                 "the backend server has received a request",
-                LIMIT,
+                WAIT_TIMEOUT,
                 || async { vm.backend().record().last_reached.is_some() },
             )
             .await;
@@ -59,7 +59,7 @@
             let acknowledged_at = Instant::now();
             wait_until(
                 "the other backend servers have received later requests",
-                LIMIT,
+                WAIT_TIMEOUT,
                 || async {
                     let others = mesh.vms_of(SERVICES[1]).into_iter().skip(1);
                     let mut reached =
@@ -83,24 +83,24 @@
 /// requests. Guards against new requests that are sent to it, and against requests in flight that are cut off.
 #[tokio::test(flavor = "multi_thread")]
 async fn backend_server_that_leaves_without_draining_finishes_its_requests() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     mesh.mute_backend(leaving);
     let mesh = mesh;
     let booking = Asked::post("/book/1?work_ms=500", "before");
     let pending_booking = mesh.ask(leaving, &booking);
     let leaves = async {
-        wait_until("the booking runs", LIMIT, || async {
-            !users_runs(&mesh, "before").is_empty()
+        wait_until("the booking runs", WAIT_TIMEOUT, || async {
+            !users_mesh_runs(&mesh, "before").is_empty()
         })
         .await;
-        let at = users_runs(&mesh, "before")[0];
+        let at = users_mesh_runs(&mesh, "before")[0];
         let vm = &mesh.vms[at];
         assert!(vm.backend().leave(vm.control()).await);
         let id = "after";
         let reply = mesh.ask(leaving, &Asked::post("/book/1", id)).await;
         assert_eq!(reply.expect("the request gets a response").status, 200);
-        assert_ne!(users_runs(&mesh, id)[0], at);
+        assert_ne!(users_mesh_runs(&mesh, id)[0], at);
     };
     let (reply, ()) = tokio::join!(pending_booking, leaves);
     assert_eq!(reply.expect("the request gets a response").status, 200);
@@ -110,7 +110,7 @@
 /// node that admits requests for it again.
 #[tokio::test(flavor = "multi_thread")]
 async fn delayed_ready_announcement_does_not_reopen_admission() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     mesh.mute_backend(leaving);
     let vm = &mesh.vms[leaving];
@@ -131,7 +131,7 @@
         let id = format!("after-{number}");
         let reply = mesh.ask(leaving, &Asked::post("/book/1", &id)).await;
         assert_eq!(reply.expect("the request gets a response").status, 200);
-        assert_ne!(users_runs(&mesh, &id), [leaving]);
+        assert_ne!(users_mesh_runs(&mesh, &id), [leaving]);
     }
 }
 
@@ -139,7 +139,7 @@
 /// backend server announced before.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_announcement_is_rejected() {
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let vm = &mesh.vms[0];
     let valid = vm.backend().next_announcement(Announced::Ready);
     let invalid = [
@@ -167,7 +167,7 @@
 /// nodes.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_stop_answers_all_requests() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let stopped = mesh.vms_of(SERVICES[1])[0];
     let mut node = mesh.vms[stopped].node.take().expect("the node runs");
     let caller = node.addresses.caller;
@@ -190,8 +190,8 @@
                 reply.map(|reply| reply.status.as_u16())
             });
         }
-        wait_until("the bookings of its callers run", LIMIT, || async {
-            (0..6).all(|number| !users_runs(&mesh, &format!("own-{number}")).is_empty())
+        wait_until("the bookings of its callers run", WAIT_TIMEOUT, || async {
+            (0..6).all(|number| !users_mesh_runs(&mesh, &format!("own-{number}")).is_empty())
         })
         .await;
         node.signal(Signal::Terminate);
@@ -208,7 +208,7 @@
 /// does not serve requests again, or not under the newest version.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_nodes_serve_again_after_a_simultaneous_kill() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     for position in 0..mesh.vms.len() {
         mesh.kill_node(position).await.expect("the node exits");
     }
@@ -222,7 +222,7 @@
         let id = format!("again-{position}");
         let reply = mesh.ask(position, &Asked::post("/book/1", &id)).await;
         assert_eq!(reply.expect("the request gets a response").status, 200);
-        assert_eq!(users_runs(&mesh, &id).len(), 1);
+        assert_eq!(users_mesh_runs(&mesh, &id).len(), 1);
     }
 }
 
@@ -240,7 +240,7 @@
 /// would be refused there and would then avoid the endpoint for seconds, although it could serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_node_reports_serving_only_after_an_announcement() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let position = mesh.vms_of(SERVICES[0])[0];
     let other = mesh.vms_of(SERVICES[0])[1];
     let before = member(&mesh, other, position).await["incarnation_us"].clone();
@@ -248,10 +248,14 @@
     mesh.store.set_trouble(Trouble::Busy);
     mesh.kill_node(position).await.expect("the node exits");
     mesh.start_node(position).await.expect("the node starts");
-    wait_until("another node has detected the restart", LIMIT, || async {
-        let member = member(&mesh, other, position).await;
-        member["liveness"] == "alive" && member["incarnation_us"] != before
-    })
+    wait_until(
+        "another node has detected the restart",
+        WAIT_TIMEOUT,
+        || async {
+            let member = member(&mesh, other, position).await;
+            member["liveness"] == "alive" && member["incarnation_us"] != before
+        },
+    )
     .await;
     assert_eq!(member(&mesh, other, position).await["backend"], "gone");
     let vm = &mesh.vms[position];
@@ -259,7 +263,7 @@
     assert!(acknowledged);
     wait_until(
         "the backend server is reported as serving",
-        LIMIT,
+        WAIT_TIMEOUT,
         || async { member(&mesh, other, position).await["backend"] == "serving" },
     )
     .await;
@@ -277,9 +281,9 @@
 /// backend server from their stored row, so that callers are not served for the seconds until the next announcement.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_nodes_serve_from_stored_rows_before_announcements() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let all = 0..mesh.vms.len();
-    wait_until("every row names a backend server", LIMIT, || async {
+    wait_until("every row names a backend server", WAIT_TIMEOUT, || async {
         all.clone()
             .all(|position| row_names_backend(&mesh, position))
     })
@@ -293,7 +297,7 @@
     }
     mesh.wait_enforced(1).await;
     for (path, id) in [("/book/1", "booking"), ("/stock/1", "look-up")] {
-        wait_until("both services are served", LIMIT, || {
+        wait_until("both services are served", WAIT_TIMEOUT, || {
             is_served(&mesh, path, id)
         })
         .await;
@@ -309,11 +313,13 @@
 /// against a new process that restores it from the stored row: after an acknowledgement it must get no requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_node_does_not_restore_a_draining_backend_server() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
-    wait_until("the stored row names the backend server", LIMIT, || async {
-        row_names_backend(&mesh, leaving)
-    })
+    wait_until(
+        "the stored row names the backend server",
+        WAIT_TIMEOUT,
+        || async { row_names_backend(&mesh, leaving) },
+    )
     .await;
     mesh.mute_backend(leaving);
     let vm = &mesh.vms[leaving];
@@ -324,7 +330,7 @@
     assert!(acknowledged);
     wait_until(
         "the stored row no longer names the backend server",
-        LIMIT,
+        WAIT_TIMEOUT,
         || async { !row_names_backend(&mesh, leaving) },
     )
     .await;
@@ -333,7 +339,7 @@
     mesh.wait_enforced(1).await;
     wait_until(
         "the node reaches the other backend servers",
-        LIMIT,
+        WAIT_TIMEOUT,
         || async {
             let reply = mesh.ask(leaving, &Asked::get("/book/1", "first")).await;
             reply.is_ok_and(|reply| reply.status == 200)
@@ -353,7 +359,7 @@
 /// makes the new process send requests to this backend server.
 #[tokio::test(flavor = "multi_thread")]
 async fn delayed_ready_announcement_does_not_open_admission_after_restart() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     mesh.mute_backend(leaving);
     let vm = &mesh.vms[leaving];
@@ -362,7 +368,7 @@
     mesh.store.set_trouble(Trouble::Busy);
     mesh.kill_node(leaving).await.expect("the node exits");
     mesh.start_node(leaving).await.expect("the node starts");
-    wait_until("the node serves its callers", LIMIT, || async {
+    wait_until("the node serves its callers", WAIT_TIMEOUT, || async {
         let reply = mesh.ask(leaving, &Asked::get("/book/1", "first")).await;
         reply.is_ok_and(|reply| reply.status == 200)
     })
