--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -13,5 +13,5 @@
 pub mod network;
 pub mod platform;
 pub mod process;
-pub(crate) mod rates;
+pub(crate) mod rate_limit;
 pub mod users;
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -17,7 +17,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::http::{Body, Query, answer, serve};
-use crate::rates::Bucket;
+use crate::rate_limit::Bucket;
 
 /// Several hundred writes a second.
 const WRITES_PER_S: f64 = 400.0;
--- a/crates/testkit/src/users/backend.rs
+++ b/crates/testkit/src/users/backend.rs
@@ -15,10 +15,10 @@
 use tokio_util::sync::CancellationToken;
 
 mod announcer;
-mod exchange;
+mod connection;
 
 pub use self::announcer::Announced;
-pub use self::exchange::seal_of;
+pub use self::connection::seal_of;
 
 /// What becomes of requests beyond slots and queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -229,7 +229,11 @@
             entry: Mutex::default(),
         });
         let stop = CancellationToken::new();
-        tokio::spawn(exchange::serve(listener, Arc::clone(&shared), stop.clone()));
+        tokio::spawn(connection::serve(
+            listener,
+            Arc::clone(&shared),
+            stop.clone(),
+        ));
         Ok(Self {
             address,
             shared,
--- a/crates/testkit/src/users/mesh.rs
+++ b/crates/testkit/src/users/mesh.rs
@@ -3,7 +3,7 @@
 //! Every VM has a loopback address of its own, from which its node dials, so each link between two VMs,
 //! or between one and the store, can be cut, delayed or reset by itself.
 
-mod asked;
+mod caller_request;
 mod vm;
 
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use ::http::Method;
 use tokio::sync::mpsc;
 
-pub use self::asked::{Asked, REQUEST_ID, SEAL};
+pub use self::caller_request::{Asked, REQUEST_ID, SEAL};
 pub use self::vm::Vm;
 use self::vm::{Beats, beat};
 use super::backend::{Announced, Backend, Behaviour, Identity};
--- a/crates/testkit/src/users/store.rs
+++ b/crates/testkit/src/users/store.rs
@@ -19,7 +19,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::http::{Body, Query, answer, serve_from};
-use crate::rates::Bucket;
+use crate::rate_limit::Bucket;
 
 mod rows;
 
