--- a/crates/experiment/src/baseline.rs
+++ b/crates/experiment/src/baseline.rs
@@ -9,7 +9,7 @@
 use dragonflywall::core::version::{Digest, Stamp, Version};
 use dragonflywall::store::ObjectStore;
 use dragonflywall::store::http::HttpStore;
-use testkit::network::{Front, Network, Site};
+use testkit::network::{Forwarder, Network, Site};
 use testkit::platform::Platform;
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
@@ -41,8 +41,8 @@
     network.set_delays(Duration::from_millis(1), Duration::from_millis(20));
     let address = std::net::SocketAddr::new(network.site_ip(0), 0);
     let platform = Platform::start(address).await.map_err(start_error)?;
-    let front = Front::open(&network, 0).await.map_err(start_error)?;
-    front.set_target(platform.address);
+    let forwarder = Forwarder::open(&network, 0).await.map_err(start_error)?;
+    forwarder.set_target(platform.address);
     let publisher = HttpStore::new(&platform.url(), None);
     put(&publisher, 1).await?;
 
@@ -50,7 +50,7 @@
     let mut pollers = JoinSet::new();
     for number in 0..nodes {
         let site = Site::try_from(number % REGIONS.len()).unwrap_or(0);
-        let url = format!("http://{}", front.address);
+        let url = format!("http://{}", forwarder.address);
         let store = HttpStore::new(&url, Some(network.site_ip(site)));
         // Spread evenly over the interval, as pollers that started at random would be.
         let phase = POLL.mul_f64(number as f64 / nodes as f64);
@@ -59,7 +59,7 @@
     wait_all(&mut seen, nodes, 1).await?;
 
     let begin = Instant::now();
-    let bytes = front.bytes();
+    let bytes = forwarder.bytes();
     let link_bytes = network.bytes_between_regions();
     let reads = platform.counts().reads;
     let mut polled = Polled::default();
@@ -72,7 +72,7 @@
         }
     }
     let seconds = begin.elapsed().as_secs_f64();
-    polled.bytes_per_s = (front.bytes() - bytes) as f64 / seconds;
+    polled.bytes_per_s = (forwarder.bytes() - bytes) as f64 / seconds;
     polled.link_bytes_per_s = (network.bytes_between_regions() - link_bytes) as f64 / seconds;
     polled.reads_per_s = (platform.counts().reads - reads) as f64 / seconds;
     Ok(polled)
--- a/crates/experiment/src/convergence.rs
+++ b/crates/experiment/src/convergence.rs
@@ -13,7 +13,7 @@
 use hdrhistogram::Histogram;
 use http::Method;
 use testkit::http::request;
-use testkit::platform::Peaks;
+use testkit::platform::PeakRates;
 
 use crate::baseline::{self, Polled};
 use crate::error::{Error, Result};
@@ -87,7 +87,7 @@
     pub(crate) churn_events: usize,
     pub(crate) herd_ms: Histogram<u64>,
     pub(crate) herd: Interval,
-    pub(crate) herd_peaks: Peaks,
+    pub(crate) herd_peaks: PeakRates,
     /// Largest anonymous and resident memory of a node, in megabytes.
     pub(crate) anonymous_mb: f64,
     pub(crate) resident_mb: f64,
@@ -246,12 +246,12 @@
     let anonymous_mb = largest(&|node| memory[node].anonymous_kb);
     let resident_mb = largest(&|node| memory[node].resident_kb);
 
-    fleet.mesh.platform.take_peaks();
+    fleet.mesh.platform.take_peak_rates();
     let before = fleet.sample();
     let herd = fleet.restart_all().await?;
     tokio::time::sleep(plan.settle_herd).await;
     let herd_interval = before.until(&fleet.sample());
-    let herd_peaks = fleet.mesh.platform.take_peaks();
+    let herd_peaks = fleet.mesh.platform.take_peak_rates();
     Ok(Measured {
         nodes,
         idle,
--- a/crates/experiment/src/fleet.rs
+++ b/crates/experiment/src/fleet.rs
@@ -11,7 +11,7 @@
 use dragonflywall::store::http::HttpStore;
 use testkit::backend::Behaviour;
 use testkit::mesh::{DataCentre, Deployment, Mesh};
-use testkit::platform::Counts;
+use testkit::platform::RequestCounts;
 use testkit::process::{LogLine, Signal};
 use tokio::sync::mpsc;
 
@@ -139,7 +139,7 @@
         services: SERVICES[..services].to_vec(),
         endpoints_per_data_centre: per_data_centre / services,
         behaviour: Behaviour::default(),
-        counts_inside: true,
+        forwards_local_traffic: true,
         log_lines: Some(log_lines),
     }
 }
@@ -151,7 +151,7 @@
     between_nodes: u64,
     between_regions: u64,
     with_platform: u64,
-    platform: Counts,
+    platform: RequestCounts,
     processor: HashMap<u32, Duration>,
 }
 
@@ -258,7 +258,7 @@
         for vm in &mut self.mesh.vms {
             if let Some(mut node) = vm.node.take() {
                 node.signal(Signal::Kill);
-                let _ = node.ended().await;
+                let _ = node.wait_exit().await;
             }
         }
         let all = (0..self.mesh.vms.len()).collect();
--- a/crates/experiment/src/requests/drain.rs
+++ b/crates/experiment/src/requests/drain.rs
@@ -65,7 +65,7 @@
     let announced = announced?;
     let record = draining.backend.record();
     let last_new = record
-        .last_begun
+        .last_run_start
         .and_then(|last| last.checked_duration_since(announced))
         .unwrap_or_default();
     announce(draining, "serving").await?;
--- a/crates/experiment/src/requests/goodput.rs
+++ b/crates/experiment/src/requests/goodput.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use testkit::http::{answer, serve};
+use testkit::http::{build_response, serve};
 use tokio::net::TcpListener;
 use tokio::sync::Semaphore;
 use tokio_util::sync::CancellationToken;
@@ -60,7 +60,7 @@
             async move {
                 let _slot = slots.acquire().await;
                 tokio::time::sleep(WORK).await;
-                Some(answer(StatusCode::OK, "done\n"))
+                Some(build_response(StatusCode::OK, "done\n"))
             }
         }));
         Ok(Self { address, stop })
--- a/crates/protogen/src/main.rs
+++ b/crates/protogen/src/main.rs
@@ -8,15 +8,16 @@
 
 fn main() -> Result<(), Box<dyn Error>> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let files = protox::compile([root.join("proto/control.proto")], [root.join("proto")])?;
-    let out = root.join("src/peer/generated");
-    std::fs::create_dir_all(&out)?;
+    let file_descriptors =
+        protox::compile([root.join("proto/control.proto")], [root.join("proto")])?;
+    let output_directory = root.join("src/peer/generated");
+    std::fs::create_dir_all(&output_directory)?;
     tonic_prost_build::configure()
-        .out_dir(&out)
-        .compile_fds(files)?;
+        .out_dir(&output_directory)
+        .compile_fds(file_descriptors)?;
     std::fs::rename(
-        out.join("dragonflywall.control.v1.rs"),
-        out.join("control.rs"),
+        output_directory.join("dragonflywall.control.v1.rs"),
+        output_directory.join("control.rs"),
     )?;
     println!("Wrote src/peer/generated/control.rs");
     Ok(())
--- a/crates/testkit/src/backend.rs
+++ b/crates/testkit/src/backend.rs
@@ -21,7 +21,9 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use crate::http::{Body, Connections, Reply, answer, request, serve_counted};
+use crate::http::{
+    Body, ConnectionCounter, Reply, build_response, request, serve_counting_connections,
+};
 
 /// How a backend server behaves.
 #[derive(Clone, Debug)]
@@ -29,26 +31,26 @@
     /// Requests run at a time; more are shed with 503.
     pub slots: u32,
     /// Time to run a request that does not say.
-    pub work: Duration,
+    pub default_work_time: Duration,
     /// Added to every request for so long after the start.
     pub cold_start: Duration,
     /// Answers of `GET /health`: what it claims, which may be wrong.
-    pub claims_healthy: bool,
+    pub reports_healthy: bool,
     /// Requests that arrive are not looked at until this is over.
     pub frozen: bool,
     /// Caller listener of the own node, for calls that a request asks for.
-    pub entry: Option<SocketAddr>,
+    pub caller_listener: Option<SocketAddr>,
 }
 
 impl Default for Behaviour {
     fn default() -> Self {
         Self {
             slots: 20,
-            work: Duration::ZERO,
+            default_work_time: Duration::ZERO,
             cold_start: Duration::ZERO,
-            claims_healthy: true,
+            reports_healthy: true,
             frozen: false,
-            entry: None,
+            caller_listener: None,
         }
     }
 }
@@ -65,13 +67,13 @@
     /// Requests shed because all slots were taken.
     pub shed: u64,
     /// Most requests at a time.
-    pub peak: u32,
+    pub peak_running: u32,
     /// Most connections at a time.
     pub peak_connections: u32,
     /// Deadlines that came with requests, in milliseconds from their arrival.
     pub deadlines_ms: Vec<u64>,
     /// When the last request began.
-    pub last_begun: Option<Instant>,
+    pub last_run_start: Option<Instant>,
 }
 
 #[derive(Debug)]
@@ -81,7 +83,7 @@
     record: Mutex<Record>,
     running: Mutex<u32>,
     started: Instant,
-    connections: Arc<Connections>,
+    connections: Arc<ConnectionCounter>,
 }
 
 /// A running backend server; it ends when dropped.
@@ -91,7 +93,7 @@
     pub address: SocketAddr,
     shared: Arc<Shared>,
     stop: CancellationToken,
-    serving: TaskTracker,
+    server_tasks: TaskTracker,
 }
 
 impl Drop for Backend {
@@ -118,27 +120,32 @@
             connections: Arc::default(),
         });
         let stop = CancellationToken::new();
-        let handler = Arc::clone(&shared);
+        let handler_shared = Arc::clone(&shared);
         let connections = Arc::clone(&shared.connections);
         let handle = move |request| {
-            let shared = Arc::clone(&handler);
+            let shared = Arc::clone(&handler_shared);
             async move { Some(shared.handle(request).await) }
         };
-        let serving = TaskTracker::new();
-        serving.spawn(serve_counted(listener, stop.clone(), connections, handle));
-        serving.close();
+        let server_tasks = TaskTracker::new();
+        server_tasks.spawn(serve_counting_connections(
+            listener,
+            stop.clone(),
+            connections,
+            handle,
+        ));
+        server_tasks.close();
         Ok(Self {
             address,
             shared,
             stop,
-            serving,
+            server_tasks,
         })
     }
 
     /// Drops every connection and stops listening, as a crash would. Nobody can connect any more when it returns.
     pub async fn kill(&self) {
         self.stop.cancel();
-        self.serving.wait().await;
+        self.server_tasks.wait().await;
     }
 
     /// Changes the behaviour from now on.
@@ -183,61 +190,62 @@
         }
         let behaviour = lock(&self.behaviour).clone();
         if request.uri().path() == "/health" {
-            return health(behaviour.claims_healthy);
+            return health_response(behaviour.reports_healthy);
         }
         let query = request.uri().query().unwrap_or("").to_owned();
         let id = request.headers().get("x-request-id");
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or("").to_owned();
-        let Some(mut run) = self.begin(&id, &behaviour) else {
-            return answer(StatusCode::SERVICE_UNAVAILABLE, "shed\n");
+        let Some(mut run) = self.try_start(&id, &behaviour) else {
+            return build_response(StatusCode::SERVICE_UNAVAILABLE, "shed\n");
         };
         let headers = request.headers().clone();
-        self.note_deadline(&headers);
+        self.record_deadline(&headers);
         let Ok(body) = request.into_body().collect().await else {
-            return answer(StatusCode::BAD_REQUEST, "the body broke off\n");
+            return build_response(StatusCode::BAD_REQUEST, "the body broke off\n");
         };
         let body = body.to_bytes();
-        let mut work = number(&query, "work_ms").map_or(behaviour.work, Duration::from_millis);
+        let mut work = query_number(&query, "work_ms")
+            .map_or(behaviour.default_work_time, Duration::from_millis);
         if self.started.elapsed() < behaviour.cold_start {
             work += behaviour.cold_start;
         }
         if !work.is_zero() {
             tokio::time::sleep(work).await;
         }
-        if let Some(chain) = text(&query, "chain") {
-            let called = call(behaviour.entry, chain, &id, &headers).await;
+        if let Some(chain) = query_text(&query, "chain") {
+            let called = call_chain(behaviour.caller_listener, chain, &id, &headers).await;
             let Ok(reply) = called else {
-                return answer(StatusCode::BAD_GATEWAY, "the call was not answered\n");
+                return build_response(StatusCode::BAD_GATEWAY, "the call was not answered\n");
             };
             if reply.status != StatusCode::OK {
                 run.finished = true;
-                return answer(reply.status, reply.body);
+                return build_response(reply.status, reply.body);
             }
         }
         let digest = blake3::hash(&body).to_hex();
-        let answer_bytes = number(&query, "answer_bytes");
-        let content = answer_bytes.map_or(body, |bytes| filler(&id, bytes));
+        let answer_bytes = query_number(&query, "answer_bytes");
+        let content = answer_bytes.map_or(body, |bytes| generated_body(&id, bytes));
         run.finished = true;
-        let status = number(&query, "status").and_then(|code| u16::try_from(code).ok());
+        let status = query_number(&query, "status").and_then(|code| u16::try_from(code).ok());
         let status = status.and_then(|code| StatusCode::from_u16(code).ok());
-        let mut response = answer(status.unwrap_or(StatusCode::OK), content);
-        if let Some(bytes) = number(&query, "break_after") {
-            response = response.map(|whole| broken(whole, bytes));
+        let mut response = build_response(status.unwrap_or(StatusCode::OK), content);
+        if let Some(bytes) = query_number(&query, "break_after") {
+            response = response.map(|whole| truncated_body(whole, bytes));
         }
         let headers = response.headers_mut();
-        headers.insert("x-digest", value(&digest));
-        headers.insert("x-ran-by", value(&self.name));
-        headers.insert("x-ran-id", value(&id));
+        headers.insert("x-digest", header_value(&digest));
+        headers.insert("x-ran-by", header_value(&self.name));
+        headers.insert("x-ran-id", header_value(&id));
         response
     }
 
-    fn note_deadline(&self, headers: &HeaderMap) {
+    fn record_deadline(&self, headers: &HeaderMap) {
         let deadline = headers.get("x-dragonflywall-deadline-ms");
         let deadline: Option<u64> = deadline.and_then(|value| value.to_str().ok()?.parse().ok());
         lock(&self.record).deadlines_ms.extend(deadline);
     }
 
-    fn begin(&self, id: &str, behaviour: &Behaviour) -> Option<Run<'_>> {
+    fn try_start(&self, id: &str, behaviour: &Behaviour) -> Option<Run<'_>> {
         let mut record = lock(&self.record);
         let mut running = lock(&self.running);
         if *running >= behaviour.slots {
@@ -245,9 +253,9 @@
             return None;
         }
         *running += 1;
-        record.peak = record.peak.max(*running);
+        record.peak_running = record.peak_running.max(*running);
         *record.runs.entry(id.to_owned()).or_default() += 1;
-        record.last_begun = Some(Instant::now());
+        record.last_run_start = Some(Instant::now());
         Some(Run {
             shared: self,
             finished: false,
@@ -255,35 +263,35 @@
     }
 }
 
-fn health(claims_healthy: bool) -> Response<Body> {
-    if claims_healthy {
-        answer(StatusCode::OK, "ok\n")
+fn health_response(reports_healthy: bool) -> Response<Body> {
+    if reports_healthy {
+        build_response(StatusCode::OK, "ok\n")
     } else {
-        answer(StatusCode::SERVICE_UNAVAILABLE, "unhealthy\n")
+        build_response(StatusCode::SERVICE_UNAVAILABLE, "unhealthy\n")
     }
 }
 
-fn value(text: &str) -> HeaderValue {
+fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or_else(|_| HeaderValue::from_static("?"))
 }
 
-fn text<'a>(query: &'a str, name: &str) -> Option<&'a str> {
+fn query_text<'a>(query: &'a str, name: &str) -> Option<&'a str> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     Some(pairs.find(|(key, _)| *key == name)?.1)
 }
 
-fn number(query: &str, name: &str) -> Option<u64> {
-    text(query, name)?.parse().ok()
+fn query_number(query: &str, name: &str) -> Option<u64> {
+    query_text(query, name)?.parse().ok()
 }
 
 /// Makes the first call of `chain` through the own node, as part of the request `id`.
-async fn call(
-    entry: Option<SocketAddr>,
+async fn call_chain(
+    caller_listener: Option<SocketAddr>,
     chain: &str,
     id: &str,
     headers: &HeaderMap,
 ) -> crate::http::Result<Reply> {
-    let entry = entry.ok_or("no entry is set")?;
+    let caller_listener = caller_listener.ok_or("no entry is set")?;
     let (first, rest) = chain.split_once(',').unwrap_or((chain, ""));
     let (service, path) = first.split_once(':').ok_or("not a chain")?;
     let path = match rest {
@@ -293,11 +301,11 @@
     let token = headers.get("x-dragonflywall-call");
     let token = token.and_then(|token| token.to_str().ok()).unwrap_or("");
     let headers = [("x-request-id", id), ("x-dragonflywall-call", token)];
-    request(entry, Method::GET, service, &path, &headers, "").await
+    request(caller_listener, Method::GET, service, &path, &headers, "").await
 }
 
 /// The first `bytes` of a body, then an error, which breaks the connection once they are sent.
-fn broken(whole: Body, bytes: u64) -> Body {
+fn truncated_body(whole: Body, bytes: u64) -> Body {
     let length = whole.size_hint().exact().unwrap_or(0);
     let content = vec![0; usize::try_from(bytes.min(length)).unwrap_or(0)];
     let (sender, frames) = tokio::sync::mpsc::channel(1);
@@ -305,14 +313,14 @@
         // A reader that is gone needs neither.
         let _ = sender.send(Ok(Frame::data(Bytes::from(content)))).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let broken = std::io::Error::other("broken on purpose");
-        let _ = sender.send(Err(broken)).await;
+        let error = std::io::Error::other("broken on purpose");
+        let _ = sender.send(Err(error)).await;
     });
     BodyExt::boxed_unsync(StreamBody::new(ReceiverStream::new(frames)))
 }
 
 /// Bytes that differ from one request to the next, so that a mixed-up answer shows.
-pub(crate) fn filler(id: &str, bytes: u64) -> Bytes {
+pub(crate) fn generated_body(id: &str, bytes: u64) -> Bytes {
     let bytes = usize::try_from(bytes).unwrap_or(0);
     let mut content = vec![0; bytes];
     let mut hasher = blake3::Hasher::new();
@@ -323,5 +331,7 @@
 
 /// Digest of the answer that [`Backend`] gives to request `id` with `answer_bytes` set.
 pub fn expected_answer_digest(id: &str, answer_bytes: u64) -> String {
-    blake3::hash(&filler(id, answer_bytes)).to_hex().to_string()
+    blake3::hash(&generated_body(id, answer_bytes))
+        .to_hex()
+        .to_string()
 }
--- a/crates/testkit/src/bin/testkit-link.rs
+++ b/crates/testkit/src/bin/testkit-link.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use testkit::network::{Front, Network};
+use testkit::network::{Forwarder, Network};
 use tokio::io::{AsyncBufReadExt, BufReader};
 
 /// Site of the target; whoever connects is at site 0, in the other region.
@@ -24,11 +24,11 @@
     let delay = Duration::from_millis(argument(2, "20").parse()?);
     let network = Network::new(vec![0, 1], argument(3, "30").parse()?);
     network.set_delays(Duration::ZERO, delay);
-    let front = Front::open_at(&network, TARGET_SITE, listen).await?;
-    front.set_target(target);
+    let forwarder = Forwarder::open_at(&network, TARGET_SITE, listen).await?;
+    forwarder.set_target(target);
     println!(
         "Forwarding {} to {target}; say cut, heal or bytes",
-        front.address
+        forwarder.address
     );
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
     while let Some(line) = lines.next_line().await? {
--- a/crates/testkit/src/http.rs
+++ b/crates/testkit/src/http.rs
@@ -24,15 +24,15 @@
 pub type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
 /// A body held in memory.
-pub fn full(bytes: impl Into<Bytes>) -> Body {
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
 /// An answer with a status and a body.
-pub fn answer(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
-    let mut response = Response::new(full(body));
+pub fn build_response(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
+    let mut response = Response::new(full_body(body));
     *response.status_mut() = status;
     response
 }
@@ -44,58 +44,58 @@
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Option<Response<Body>>> + Send + 'static,
 {
-    serve_counted(listener, stop, Arc::default(), handle).await;
+    serve_counting_connections(listener, stop, Arc::default(), handle).await;
 }
 
 /// Open connections of a listener.
 #[derive(Debug, Default)]
-pub struct Connections {
+pub struct ConnectionCounter {
     open: AtomicU32,
     peak: AtomicU32,
 }
 
-impl Connections {
+impl ConnectionCounter {
     /// Most that were open at a time.
     pub fn peak(&self) -> u32 {
         self.peak.load(Ordering::Acquire)
     }
 
-    fn opened(self: &Arc<Self>) -> OpenConnection {
+    fn connection_opened(self: &Arc<Self>) -> OpenConnectionGuard {
         let open = self.open.fetch_add(1, Ordering::AcqRel) + 1;
         self.peak.fetch_max(open, Ordering::AcqRel);
-        OpenConnection(Arc::clone(self))
+        OpenConnectionGuard(Arc::clone(self))
     }
 }
 
-struct OpenConnection(Arc<Connections>);
+struct OpenConnectionGuard(Arc<ConnectionCounter>);
 
-impl Drop for OpenConnection {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.open.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 /// As [`serve`], and counts connections.
-pub async fn serve_counted<H, F>(
+pub async fn serve_counting_connections<H, F>(
     listener: TcpListener,
     stop: CancellationToken,
-    connections: Arc<Connections>,
+    connections: Arc<ConnectionCounter>,
     handle: H,
 ) where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Option<Response<Body>>> + Send + 'static,
 {
-    serve_from(listener, stop, connections, move |_, request| {
+    serve_with_peer(listener, stop, connections, move |_, request| {
         handle(request)
     })
     .await;
 }
 
-/// As [`serve_counted`], and tells the handler who asks.
-pub async fn serve_from<H, F>(
+/// As [`serve_counting_connections`], and tells the handler who asks.
+pub async fn serve_with_peer<H, F>(
     listener: TcpListener,
     stop: CancellationToken,
-    connections: Arc<Connections>,
+    connections: Arc<ConnectionCounter>,
     handle: H,
 ) where
     H: Fn(SocketAddr, Request<Incoming>) -> F + Clone + Send + 'static,
@@ -112,19 +112,19 @@
         let _ = stream.set_nodelay(true);
         let handle = handle.clone();
         let stop = stop.clone();
-        let open = connections.opened();
+        let guard = connections.connection_opened();
         tokio::spawn(async move {
-            let _open = open;
-            let drop_now = CancellationToken::new();
-            let dropper = drop_now.clone();
+            let _guard = guard;
+            let disconnect = CancellationToken::new();
+            let disconnect_trigger = disconnect.clone();
             let service = service_fn(move |request| {
-                let answer = handle(peer, request);
-                let dropper = dropper.clone();
+                let pending_response = handle(peer, request);
+                let disconnect_trigger = disconnect_trigger.clone();
                 async move {
-                    match answer.await {
+                    match pending_response.await {
                         Some(response) => Ok::<_, Infallible>(response),
                         None => {
-                            dropper.cancel();
+                            disconnect_trigger.cancel();
                             std::future::pending().await
                         }
                     }
@@ -134,7 +134,7 @@
             let connection = builder.serve_connection(TokioIo::new(stream), service);
             tokio::select! {
                 _ = connection => (),
-                () = drop_now.cancelled() => (),
+                () = disconnect.cancelled() => (),
                 () = stop.cancelled() => (),
             }
         });
@@ -185,20 +185,20 @@
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
 ) -> Result<Reply> {
-    let stream = TcpStream::connect(address).await.map_err(text)?;
+    let stream = TcpStream::connect(address).await.map_err(error_text)?;
     let _ = stream.set_nodelay(true);
     let handshake = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await;
-    let (mut sender, connection) = handshake.map_err(text)?;
+    let (mut sender, connection) = handshake.map_err(error_text)?;
     tokio::spawn(connection);
     let mut request = Request::builder().method(method).uri(path);
     request = request.header("host", host);
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    let request = request.body(Full::new(body.into())).map_err(text)?;
-    let response = sender.send_request(request).await.map_err(text)?;
+    let request = request.body(Full::new(body.into())).map_err(error_text)?;
+    let response = sender.send_request(request).await.map_err(error_text)?;
     let (parts, incoming) = response.into_parts();
-    let body = incoming.collect().await.map_err(text)?.to_bytes();
+    let body = incoming.collect().await.map_err(error_text)?.to_bytes();
     Ok(Reply {
         status: parts.status,
         headers: parts.headers,
@@ -208,19 +208,19 @@
 
 /// An HTTP/2 connection of a caller, for several requests at a time.
 #[derive(Debug)]
-pub struct Http2 {
+pub struct Http2Connection {
     sender: http2::SendRequest<Full<Bytes>>,
     connection: JoinHandle<()>,
 }
 
-impl Http2 {
+impl Http2Connection {
     /// Connects.
     pub async fn connect(address: SocketAddr) -> Result<Self> {
-        let stream = TcpStream::connect(address).await.map_err(text)?;
+        let stream = TcpStream::connect(address).await.map_err(error_text)?;
         let _ = stream.set_nodelay(true);
         let builder = http2::Builder::new(TokioExecutor::new());
         let handshake = builder.handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = handshake.map_err(text)?;
+        let (sender, connection) = handshake.map_err(error_text)?;
         let connection = tokio::spawn(async move {
             // How it ended shows in the requests that were on it.
             let _ = connection.await;
@@ -236,11 +236,11 @@
         path: &str,
         id: &str,
     ) -> impl Future<Output = Result<Reply>> + Send + 'static + use<> {
-        self.request_with(method, host, path, &[("x-request-id", id)])
+        self.request_with_headers(method, host, path, &[("x-request-id", id)])
     }
 
     /// The same with headers of the caller's choice.
-    pub fn request_with(
+    pub fn request_with_headers(
         &self,
         method: Method,
         host: &str,
@@ -255,10 +255,10 @@
         let request = request.body(Full::new(Bytes::new()));
         let mut sender = self.sender.clone();
         async move {
-            let request = request.map_err(text)?;
-            let response = sender.send_request(request).await.map_err(text)?;
+            let request = request.map_err(error_text)?;
+            let response = sender.send_request(request).await.map_err(error_text)?;
             let (parts, incoming) = response.into_parts();
-            let body = incoming.collect().await.map_err(text)?.to_bytes();
+            let body = incoming.collect().await.map_err(error_text)?.to_bytes();
             Ok(Reply {
                 status: parts.status,
                 headers: parts.headers,
@@ -268,25 +268,28 @@
     }
 
     /// Waits until the other side has closed the connection.
-    pub async fn closed(self) {
+    pub async fn wait_closed(self) {
         // A connection is not kept open by a sender that sends nothing.
         let _ = self.connection.await;
     }
 }
 
-fn text(error: impl std::fmt::Display) -> String {
+fn error_text(error: impl std::fmt::Display) -> String {
     error.to_string()
 }
 
 /// Waits until `condition` holds, looking every few milliseconds; panics with `what` when it does
 /// not within `limit`, which bounds a hang and is no part of any verdict on speed.
-pub async fn wait_until<F>(what: &str, limit: Duration, mut condition: impl FnMut() -> F)
+pub async fn wait_until<F>(description: &str, timeout: Duration, mut condition: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
 {
-    let deadline = tokio::time::Instant::now() + limit;
+    let deadline = tokio::time::Instant::now() + timeout;
     while !condition().await {
-        assert!(tokio::time::Instant::now() < deadline, "never came: {what}");
+        assert!(
+            tokio::time::Instant::now() < deadline,
+            "never came: {description}"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
--- a/crates/testkit/src/mesh.rs
+++ b/crates/testkit/src/mesh.rs
@@ -10,14 +10,14 @@
 
 use crate::backend::{Backend, Behaviour};
 use crate::http::{request, wait_until};
-use crate::network::{Front, Network, Site};
+use crate::network::{Forwarder, Network, Site};
 use crate::platform::Platform;
 use crate::process::{LogLine, NodeProcess, Signal};
 
 /// Bounds a hang; no test judges speed by it.
-const LIMIT: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Processes that start at a time: enough to keep the cores of a small machine busy.
-const STARTS_AT_A_TIME: usize = 16;
+const MAX_CONCURRENT_STARTS: usize = 16;
 
 /// One data centre of a deployment.
 #[derive(Clone, Debug)]
@@ -42,7 +42,7 @@
     /// How the backend servers behave.
     pub behaviour: Behaviour,
     /// Whether traffic between nodes of one data centre passes counted fronts as well.
-    pub counts_inside: bool,
+    pub forwards_local_traffic: bool,
     /// Where the nodes' log lines go, as JSON from level `info` on; without it their warnings go to
     /// the standard error of whoever started the mesh.
     pub log_lines: Option<mpsc::UnboundedSender<LogLine>>,
@@ -69,7 +69,7 @@
             services: vec!["tablon", "cobros", "bascula", "hemeroteca"],
             endpoints_per_data_centre: 1,
             behaviour: Behaviour::default(),
-            counts_inside: false,
+            forwards_local_traffic: false,
             log_lines: None,
         }
     }
@@ -89,7 +89,7 @@
                 slots: 6,
                 ..Behaviour::default()
             },
-            counts_inside: false,
+            forwards_local_traffic: false,
             log_lines: None,
         }
     }
@@ -106,8 +106,8 @@
     pub backend: Backend,
     /// Its node, unless a test took it away.
     pub node: Option<NodeProcess>,
-    front: Front,
-    peer: Option<SocketAddr>,
+    forwarder: Forwarder,
+    peer_address: Option<SocketAddr>,
 }
 
 impl Vm {
@@ -131,24 +131,24 @@
     /// Added to the arguments of every node started from now on.
     pub extra_arguments: Vec<String>,
     program: PathBuf,
-    leading: Vec<String>,
-    platform_front: Front,
+    base_arguments: Vec<String>,
+    platform_forwarder: Forwarder,
 }
 
 impl Mesh {
     /// Starts everything; `program` followed by `leading` runs a node.
     pub async fn start(
         program: &Path,
-        leading: &[&str],
+        base_arguments: &[&str],
         deployment: Deployment,
     ) -> Result<Self, String> {
         let region_of = deployment.data_centres.iter().map(|dc| dc.region_number);
         let network = Network::new(region_of.collect(), 30.0);
         network.set_delays(Duration::from_millis(1), Duration::from_millis(20));
         let platform = Platform::start(SocketAddr::new(network.site_ip(0), 0)).await;
-        let platform = platform.map_err(text)?;
-        let platform_front = Front::open(&network, 0).await.map_err(text)?;
-        platform_front.set_target(platform.address);
+        let platform = platform.map_err(error_text)?;
+        let platform_forwarder = Forwarder::open(&network, 0).await.map_err(error_text)?;
+        platform_forwarder.set_target(platform.address);
         let mut mesh = Self {
             deployment,
             platform,
@@ -156,15 +156,18 @@
             vms: Vec::new(),
             extra_arguments: Vec::new(),
             program: program.to_owned(),
-            leading: leading.iter().map(|text| (*text).to_owned()).collect(),
-            platform_front,
+            base_arguments: base_arguments
+                .iter()
+                .map(|text| (*text).to_owned())
+                .collect(),
+            platform_forwarder,
         };
         mesh.start_vms().await?;
         Ok(mesh)
     }
 
     async fn start_vms(&mut self) -> Result<(), String> {
-        let sites = u8::try_from(self.deployment.data_centres.len()).map_err(text)?;
+        let sites = u8::try_from(self.deployment.data_centres.len()).map_err(error_text)?;
         for site in 0..sites {
             for service in self.deployment.services.clone() {
                 for _ in 0..self.deployment.endpoints_per_data_centre {
@@ -188,14 +191,14 @@
         let behaviour = self.deployment.behaviour.clone();
         let name = format!("{service}-{position}");
         let backend = Backend::start(address, &name, behaviour).await;
-        let front = Front::open(&self.network, site).await;
+        let forwarder = Forwarder::open(&self.network, site).await;
         self.vms.push(Vm {
             site,
             service,
-            backend: backend.map_err(text)?,
+            backend: backend.map_err(error_text)?,
             node: None,
-            front: front.map_err(text)?,
-            peer: None,
+            forwarder: forwarder.map_err(error_text)?,
+            peer_address: None,
         });
         Ok(position)
     }
@@ -205,7 +208,7 @@
     pub async fn kill_node(&mut self, position: usize) -> Result<(), String> {
         if let Some(mut node) = self.vms[position].node.take() {
             node.signal(Signal::Kill);
-            node.ended().await.map_err(text)?;
+            node.wait_exit().await.map_err(error_text)?;
         }
         Ok(())
     }
@@ -217,40 +220,40 @@
 
     /// Starts the nodes of several VMs side by side.
     pub async fn start_nodes(&mut self, positions: Vec<usize>) -> Result<(), String> {
-        let permits = Arc::new(Semaphore::new(STARTS_AT_A_TIME));
-        let mut starts = tokio::task::JoinSet::new();
+        let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_STARTS));
+        let mut start_tasks = tokio::task::JoinSet::new();
         for position in positions {
             let permits = Arc::clone(&permits);
             let program = self.program.clone();
             let arguments = self.arguments(position);
             let log_lines = self.deployment.log_lines.clone();
-            starts.spawn(async move {
+            start_tasks.spawn(async move {
                 let _permit = permits.acquire().await;
                 let log_lines = log_lines.map(|lines| (position, lines));
-                let node = NodeProcess::start_logged(&program, &arguments, log_lines).await;
+                let node = NodeProcess::start_with_log(&program, &arguments, log_lines).await;
                 (position, node)
             });
         }
-        while let Some(started) = starts.join_next().await {
-            let (position, node) = started.map_err(text)?;
+        while let Some(started) = start_tasks.join_next().await {
+            let (position, node) = started.map_err(error_text)?;
             let node = node?;
             let vm = &mut self.vms[position];
-            vm.front.set_target(node.addresses.peer);
-            vm.peer = Some(node.addresses.peer);
+            vm.forwarder.set_target(node.addresses.peer);
+            vm.peer_address = Some(node.addresses.peer);
             vm.node = Some(node);
         }
         Ok(())
     }
 
     /// Bytes that passed the fronts of all nodes, both ways: the traffic between nodes. That
-    /// inside a data centre is part of it only with [`Deployment::counts_inside`].
+    /// inside a data centre is part of it only with [`Deployment::forwards_local_traffic`].
     pub fn bytes_between_nodes(&self) -> u64 {
-        self.vms.iter().map(|vm| vm.front.bytes()).sum()
+        self.vms.iter().map(|vm| vm.forwarder.bytes()).sum()
     }
 
     /// Bytes between all nodes and the platform, both ways.
     pub fn bytes_with_platform(&self) -> u64 {
-        self.platform_front.bytes()
+        self.platform_forwarder.bytes()
     }
 
     fn arguments(&self, position: usize) -> Vec<String> {
@@ -258,36 +261,41 @@
         let data_centre = &self.deployment.data_centres[usize::from(vm.site)];
         let ip = self.network.site_ip(vm.site);
         let any_port = SocketAddr::new(ip, 0);
-        let mut arguments = self.leading.clone();
-        let mut set = |flag: &str, value: String| {
+        let mut arguments = self.base_arguments.clone();
+        let mut add_flag = |flag: &str, value: String| {
             arguments.push(format!("--{flag}"));
             arguments.push(value);
         };
-        set("caller-listen", any_port.to_string());
-        set("operator-listen", any_port.to_string());
+        add_flag("caller-listen", any_port.to_string());
+        add_flag("operator-listen", any_port.to_string());
         // Where the front is the node's identity, its own port is free to change. That of before a
         // restart may be the local port of another node's connection by now, and in a herd of
         // hundreds some are: the node would end with "address in use".
-        let known = vm.peer.filter(|_| !self.deployment.counts_inside);
-        set("peer-listen", known.unwrap_or(any_port).to_string());
-        set("peer-external", vm.front.address.to_string());
-        set("region", data_centre.region.to_owned());
-        set("data-centre", data_centre.name.to_owned());
-        set(
+        let previous_address = vm
+            .peer_address
+            .filter(|_| !self.deployment.forwards_local_traffic);
+        add_flag(
+            "peer-listen",
+            previous_address.unwrap_or(any_port).to_string(),
+        );
+        add_flag("peer-external", vm.forwarder.address.to_string());
+        add_flag("region", data_centre.region.to_owned());
+        add_flag("data-centre", data_centre.name.to_owned());
+        add_flag(
             "platform",
-            format!("http://{}", self.platform_front.address),
+            format!("http://{}", self.platform_forwarder.address),
         );
-        set("dial-from", ip.to_string());
-        set("service", vm.service.to_owned());
-        set("backend-server", vm.backend.address.to_string());
-        if self.deployment.counts_inside {
-            set("peer-advertise", vm.front.address.to_string());
+        add_flag("dial-from", ip.to_string());
+        add_flag("service", vm.service.to_owned());
+        add_flag("backend-server", vm.backend.address.to_string());
+        if self.deployment.forwards_local_traffic {
+            add_flag("peer-advertise", vm.forwarder.address.to_string());
         }
         if self.deployment.log_lines.is_some() {
-            set("log-format", "json".to_owned());
-            set("log-level", "info".to_owned());
+            add_flag("log-format", "json".to_owned());
+            add_flag("log-level", "info".to_owned());
         } else {
-            set("log-level", "warn".to_owned());
+            add_flag("log-level", "warn".to_owned());
         }
         arguments.extend(self.extra_arguments.iter().cloned());
         arguments
@@ -311,8 +319,8 @@
             if self.vms[position].node.is_none() {
                 continue;
             }
-            let what = format!("version {version} at VM {position}");
-            wait_until(&what, LIMIT, || async {
+            let description = format!("version {version} at VM {position}");
+            wait_until(&description, WAIT_TIMEOUT, || async {
                 self.version_at(position).await >= version
             })
             .await;
@@ -324,12 +332,15 @@
         let running = self.vms.iter().filter(|vm| vm.node.is_some()).count();
         for vm in self.vms.iter().filter(|vm| vm.node.is_some()) {
             let operator = vm.node().addresses.operator;
-            wait_until("all members known", LIMIT, || async {
+            wait_until("all members known", WAIT_TIMEOUT, || async {
                 let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
                 let body = reply.map(|reply| reply.body).unwrap_or_default();
                 let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
                 let members = status["members"].as_array().cloned().unwrap_or_default();
-                let alive = members.iter().filter(|m| m["liveness"] == "alive").count();
+                let alive = members
+                    .iter()
+                    .filter(|member| member["liveness"] == "alive")
+                    .count();
                 alive == running
             })
             .await;
@@ -337,6 +348,6 @@
     }
 }
 
-fn text(error: impl std::fmt::Display) -> String {
+fn error_text(error: impl std::fmt::Display) -> String {
     error.to_string()
 }
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -16,13 +16,13 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-use crate::http::{Body, Query, answer, serve};
-use crate::rate_limit::Bucket;
+use crate::http::{Body, Query, build_response, serve};
+use crate::rate_limit::RateLimiter;
 
 /// Several hundred writes a second.
-const WRITES_PER_S: f64 = 400.0;
+const MAX_WRITES_PER_S: f64 = 400.0;
 /// About two thousand reads a second.
-const READS_PER_S: f64 = 2_000.0;
+const MAX_READS_PER_S: f64 = 2_000.0;
 
 /// What goes wrong at the platform.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
@@ -44,7 +44,7 @@
 
 /// How much was asked of it.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Counts {
+pub struct RequestCounts {
     /// Reads of rows and objects.
     pub reads: u64,
     /// Transactions and stored objects.
@@ -57,7 +57,7 @@
 
 /// Most requests in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Peaks {
+pub struct PeakRates {
     /// Reads of rows and objects.
     pub reads_per_s: u64,
     /// Transactions and stored objects.
@@ -66,14 +66,14 @@
 
 /// Counts by whole seconds since the start.
 #[derive(Debug, Default)]
-struct Seconds {
+struct RequestRates {
     second: u64,
     reads: u64,
     writes: u64,
-    peaks: Peaks,
+    peaks: PeakRates,
 }
 
-impl Seconds {
+impl RequestRates {
     fn count(&mut self, second: u64, is_read: bool) {
         if second != self.second {
             self.second = second;
@@ -114,11 +114,11 @@
     rows: BTreeMap<String, Row>,
     objects: BTreeMap<String, Bytes>,
     faults: Faults,
-    counts: Counts,
-    started: Instant,
-    seconds: Seconds,
-    reads: Bucket,
-    writes: Bucket,
+    counts: RequestCounts,
+    started_at: Instant,
+    request_rates: RequestRates,
+    read_limiter: RateLimiter,
+    write_limiter: RateLimiter,
 }
 
 /// A running platform stand-in; it ends when dropped.
@@ -145,11 +145,11 @@
             rows: BTreeMap::new(),
             objects: BTreeMap::new(),
             faults: Faults::default(),
-            counts: Counts::default(),
-            started: Instant::now(),
-            seconds: Seconds::default(),
-            reads: Bucket::new(READS_PER_S),
-            writes: Bucket::new(WRITES_PER_S),
+            counts: RequestCounts::default(),
+            started_at: Instant::now(),
+            request_rates: RequestRates::default(),
+            read_limiter: RateLimiter::new(MAX_READS_PER_S),
+            write_limiter: RateLimiter::new(MAX_WRITES_PER_S),
         }));
         let stop = CancellationToken::new();
         let shared = Arc::clone(&store);
@@ -174,13 +174,13 @@
     }
 
     /// What was asked of it so far.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> RequestCounts {
         lock(&self.store).counts
     }
 
     /// The busiest second since the last call.
-    pub fn take_peaks(&self) -> Peaks {
-        std::mem::take(&mut lock(&self.store).seconds.peaks)
+    pub fn take_peak_rates(&self) -> PeakRates {
+        std::mem::take(&mut lock(&self.store).request_rates.peaks)
     }
 
     /// All rows, for tests that look at what was written.
@@ -202,25 +202,25 @@
     if path == "/faults" {
         let faults = serde_json::from_slice(&body).ok()?;
         lock(&store).faults = faults;
-        return Some(answer(StatusCode::OK, "set\n"));
+        return Some(build_response(StatusCode::OK, "set\n"));
     }
     let faults = lock(&store).faults;
     if faults.delay_ms > 0 {
         tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
     }
     if faults.down {
-        return Some(answer(StatusCode::SERVICE_UNAVAILABLE, "down\n"));
+        return Some(build_response(StatusCode::SERVICE_UNAVAILABLE, "down\n"));
     }
     let query = Query(parts.uri.query().unwrap_or(""));
     let mut store = lock(&store);
-    let response = store.run(&parts.method, &path, query, body)?;
+    let response = store.dispatch(&parts.method, &path, query, body)?;
     let bytes = http_body::Body::size_hint(response.body()).lower();
     store.counts.bytes_out += bytes;
     Some(response)
 }
 
 impl Store {
-    fn run(
+    fn dispatch(
         &mut self,
         method: &Method,
         path: &str,
@@ -228,41 +228,53 @@
         body: Bytes,
     ) -> Option<Response<Body>> {
         let is_read = method == Method::GET;
-        self.seconds
-            .count(self.started.elapsed().as_secs(), is_read);
+        self.request_rates
+            .count(self.started_at.elapsed().as_secs(), is_read);
         let allowed = if is_read {
             self.counts.reads += 1;
-            self.reads.take()
+            self.read_limiter.try_acquire()
         } else {
             self.counts.writes += 1;
-            self.writes.take()
+            self.write_limiter.try_acquire()
         };
         if !allowed {
             self.counts.refused += 1;
-            return Some(answer(StatusCode::TOO_MANY_REQUESTS, "rate ceiling\n"));
+            return Some(build_response(
+                StatusCode::TOO_MANY_REQUESTS,
+                "rate ceiling\n",
+            ));
         }
         match (is_read, path) {
             (false, "/table/transact") => self.transact(&body),
-            (true, "/table/row") => Some(self.row(query.get("key"))),
-            (true, "/table/rows") => Some(self.list(&query)),
-            _ => Some(self.object(is_read, path, body)),
+            (true, "/table/row") => Some(self.get_row(query.get("key"))),
+            (true, "/table/rows") => Some(self.list_rows(&query)),
+            _ => Some(self.get_or_put_object(is_read, path, body)),
         }
     }
 
     fn transact(&mut self, body: &[u8]) -> Option<Response<Body>> {
         let Ok(transaction) = serde_json::from_slice::<Transaction>(body) else {
-            return Some(answer(StatusCode::BAD_REQUEST, "not a transaction\n"));
+            return Some(build_response(
+                StatusCode::BAD_REQUEST,
+                "not a transaction\n",
+            ));
         };
         if self.faults.refuse_transactions {
-            return Some(answer(StatusCode::SERVICE_UNAVAILABLE, "no writes\n"));
+            return Some(build_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "no writes\n",
+            ));
         }
         if self.faults.lose_requests > 0 {
             self.faults.lose_requests -= 1;
             self.faults.down = self.faults.down_after_loss;
             return None;
         }
-        let holds = transaction.conditions.iter().all(|c| self.holds(c));
-        if holds {
+        let conditions_hold = transaction
+            .conditions
+            .iter()
+            .all(|condition| self.condition_holds(condition));
+        if conditions_hold {
             for (key, value) in transaction.puts {
                 let revision = self.rows.get(&key).map_or(1, |row| row.revision + 1);
                 self.rows.insert(key, Row { revision, value });
@@ -273,15 +285,15 @@
             self.faults.down = self.faults.down_after_loss;
             return None;
         }
-        let outcome = if holds {
+        let outcome = if conditions_hold {
             "\"committed\""
         } else {
             "\"condition-failed\""
         };
-        Some(answer(StatusCode::OK, outcome))
+        Some(build_response(StatusCode::OK, outcome))
     }
 
-    fn holds(&self, condition: &Condition) -> bool {
+    fn condition_holds(&self, condition: &Condition) -> bool {
         match condition {
             Condition::Absent { key } => !self.rows.contains_key(key),
             Condition::Revision { key, revision } => {
@@ -291,14 +303,14 @@
         }
     }
 
-    fn row(&self, key: &str) -> Response<Body> {
+    fn get_row(&self, key: &str) -> Response<Body> {
         match self.rows.get(key) {
             Some(row) => json(row),
-            None => answer(StatusCode::NOT_FOUND, "no such row\n"),
+            None => build_response(StatusCode::NOT_FOUND, "no such row\n"),
         }
     }
 
-    fn list(&self, query: &Query<'_>) -> Response<Body> {
+    fn list_rows(&self, query: &Query<'_>) -> Response<Body> {
         let prefix = query.get("prefix");
         let after = query.get("after");
         let limit = query.get("limit").parse().unwrap_or(100);
@@ -312,22 +324,22 @@
         json(&rows)
     }
 
-    fn object(&mut self, is_read: bool, path: &str, body: Bytes) -> Response<Body> {
+    fn get_or_put_object(&mut self, is_read: bool, path: &str, body: Bytes) -> Response<Body> {
         let Some(name) = path.strip_prefix("/objects/") else {
-            return answer(StatusCode::NOT_FOUND, "no such request\n");
+            return build_response(StatusCode::NOT_FOUND, "no such request\n");
         };
         if !is_read {
             self.objects.insert(name.to_owned(), body);
-            return answer(StatusCode::CREATED, "");
+            return build_response(StatusCode::CREATED, "");
         }
         match self.objects.get(name) {
-            Some(bytes) => answer(StatusCode::OK, bytes.clone()),
-            None => answer(StatusCode::NOT_FOUND, "no such object\n"),
+            Some(bytes) => build_response(StatusCode::OK, bytes.clone()),
+            None => build_response(StatusCode::NOT_FOUND, "no such object\n"),
         }
     }
 }
 
 fn json(value: &impl Serialize) -> Response<Body> {
     let body = serde_json::to_vec(value).expect("rows always encode");
-    answer(StatusCode::OK, body)
+    build_response(StatusCode::OK, body)
 }
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// A node that does not print its addresses within this has not started.
-const START_LIMIT: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Where a node listens, as it prints it.
 #[derive(Clone, Copy, Debug, Deserialize)]
@@ -65,11 +65,11 @@
 impl NodeProcess {
     /// Starts `program` with `arguments` and waits for the line with its addresses.
     pub async fn start(program: &Path, arguments: &[String]) -> Result<Self, String> {
-        Self::start_logged(program, arguments, None).await
+        Self::start_with_log(program, arguments, None).await
     }
 
     /// Like [`Self::start`]; the log lines go to a channel, marked with a position.
-    pub async fn start_logged(
+    pub async fn start_with_log(
         program: &Path,
         arguments: &[String],
         log_lines: Option<(usize, mpsc::UnboundedSender<LogLine>)>,
@@ -83,8 +83,8 @@
             .map_err(|error| format!("{}: {error}", program.display()))?;
         let stdout = child.stdout.take().expect("stdout is piped");
         let (sender, addresses) = oneshot::channel();
-        tokio::spawn(read(stdout, sender, log_lines));
-        let addresses = tokio::time::timeout(START_LIMIT, addresses).await;
+        tokio::spawn(read_output(stdout, sender, log_lines));
+        let addresses = tokio::time::timeout(START_TIMEOUT, addresses).await;
         let addresses = addresses.map_err(|_| "the node printed no addresses".to_owned())?;
         let addresses = addresses.map_err(|_| "the node ended before it listened")?;
         Ok(Self { addresses, child })
@@ -97,7 +97,7 @@
 
     /// Sends a signal.
     pub fn signal(&self, signal: Signal) {
-        let number = match signal {
+        let signal_number = match signal {
             Signal::Terminate => libc::SIGTERM,
             Signal::Hangup => libc::SIGHUP,
             Signal::Stop => libc::SIGSTOP,
@@ -109,17 +109,17 @@
         };
         // SAFETY: `kill` takes no pointers; `id` is a child that has not been waited for, so the
         // number cannot have passed to another process.
-        unsafe { libc::kill(id, number) };
+        unsafe { libc::kill(id, signal_number) };
     }
 
     /// Waits for its end.
-    pub async fn ended(&mut self) -> std::io::Result<ExitStatus> {
+    pub async fn wait_exit(&mut self) -> std::io::Result<ExitStatus> {
         self.child.wait().await
     }
 }
 
 /// Longest wait for a killed process to be gone.
-const REAP_TRIES: u32 = 2_000;
+const MAX_REAP_POLLS: u32 = 2_000;
 
 impl Drop for NodeProcess {
     /// Guards against a node that is started again at its address while the killed process still
@@ -128,7 +128,7 @@
         if self.child.start_kill().is_err() {
             return;
         }
-        for _ in 0..REAP_TRIES {
+        for _ in 0..MAX_REAP_POLLS {
             if !matches!(self.child.try_wait(), Ok(None)) {
                 return;
             }
@@ -138,7 +138,7 @@
 }
 
 /// Reads what a node prints until it closes its output: one line of addresses, all others logged.
-async fn read(
+async fn read_output(
     stdout: impl AsyncRead + Unpin,
     addresses: oneshot::Sender<Addresses>,
     log_lines: Option<(usize, mpsc::UnboundedSender<LogLine>)>,
@@ -146,10 +146,10 @@
     let mut addresses = Some(addresses);
     let mut lines = BufReader::new(stdout).lines();
     while let Ok(Some(text)) = lines.next_line().await {
-        let printed = serde_json::from_str(&text).ok();
-        if let Some((sender, printed)) = addresses.take_if(|_| printed.is_some()).zip(printed) {
+        let parsed = serde_json::from_str(&text).ok();
+        if let Some((sender, parsed)) = addresses.take_if(|_| parsed.is_some()).zip(parsed) {
             // The caller has given up waiting; the pipe still has to be emptied.
-            let _ = sender.send(printed);
+            let _ = sender.send(parsed);
         } else if let Some((position, sender)) = &log_lines {
             let line = LogLine {
                 position: *position,
--- a/crates/testkit/src/rate_limit.rs
+++ b/crates/testkit/src/rate_limit.rs
@@ -4,31 +4,31 @@
 
 /// So many calls a second, and as many at once after a quiet second.
 #[derive(Debug)]
-pub(crate) struct Bucket {
-    per_s: f64,
+pub(crate) struct RateLimiter {
+    rate_per_s: f64,
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
-impl Bucket {
-    pub(crate) fn new(per_s: f64) -> Self {
+impl RateLimiter {
+    pub(crate) fn new(rate_per_s: f64) -> Self {
         Self {
-            per_s,
-            tokens: per_s,
-            filled: Instant::now(),
+            rate_per_s,
+            tokens: rate_per_s,
+            refilled_at: Instant::now(),
         }
     }
 
     /// Whether one more call is allowed now.
-    pub(crate) fn take(&mut self) -> bool {
+    pub(crate) fn try_acquire(&mut self) -> bool {
         let now = Instant::now();
-        let gained = now.duration_since(self.filled).as_secs_f64() * self.per_s;
-        self.tokens = (self.tokens + gained).min(self.per_s);
-        self.filled = now;
-        let enough = self.tokens >= 1.0;
-        if enough {
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * self.rate_per_s;
+        self.tokens = (self.tokens + refill).min(self.rate_per_s);
+        self.refilled_at = now;
+        let is_allowed = self.tokens >= 1.0;
+        if is_allowed {
             self.tokens -= 1.0;
         }
-        enough
+        is_allowed
     }
 }
--- a/crates/testkit/src/users/backend.rs
+++ b/crates/testkit/src/users/backend.rs
@@ -1,7 +1,7 @@
 //! Stand-in for a backend server of the users' platform.
 //!
 //! It keeps a record of what it ran. What a request does to it stands in its query: `work_ms` (time to
-//! run), `bytes` (length of the answer), `answer` (what goes wrong with it, see [`Answering`]) and `call`
+//! run), `bytes` (length of the answer), `answer` (what goes wrong with it, see [`ResponseMode`]) and `call`
 //! (`HOST/PATH`, asked for through the own node before the answer). It announces itself to the node
 //! beside it until it is stopped, drained, or leaves.
 
@@ -17,72 +17,74 @@
 mod announcer;
 mod connection;
 
-pub use self::announcer::Announced;
-pub use self::connection::seal_of;
+pub use self::announcer::AnnouncedState;
+pub use self::connection::response_seal;
 
 /// What becomes of requests beyond slots and queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum OnFull {
+pub enum OverloadAction {
     /// They are told that they were not run.
     #[default]
     Refuse,
     /// Their connection is reset.
     Reset,
     /// They get no answer, and no later one on their connection does.
-    Mute,
+    NeverAnswer,
 }
 
 /// What a backend server does with the answer of a request that ran.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Answering {
+pub enum ResponseMode {
     /// Sends it.
     #[default]
-    Whole,
+    Complete,
     /// Closes the connection instead.
-    Lost,
+    Closed,
     /// Breaks off in the middle.
-    Cut,
+    Truncated,
     /// Sends it without a length, and closes.
-    Unframed,
+    WithoutLength,
     /// Sends a second one at once behind it.
-    Extra,
+    Duplicated,
     /// Sends a second one when the connection may carry the next request already.
-    ExtraLate,
+    DuplicatedLate,
     /// Sends a failure before it has read the body, and reads on.
-    Early,
+    EarlyFailure,
     /// Sends a failure of its own.
     Failure,
 }
 
-impl Answering {
+impl ResponseMode {
     /// The word for it in a query.
-    pub fn word(self) -> &'static str {
+    pub fn query_value(self) -> &'static str {
         match self {
-            Self::Whole => "whole",
-            Self::Lost => "lost",
-            Self::Cut => "cut",
-            Self::Unframed => "unframed",
-            Self::Extra => "extra",
-            Self::ExtraLate => "extra-late",
-            Self::Early => "early",
+            Self::Complete => "whole",
+            Self::Closed => "lost",
+            Self::Truncated => "cut",
+            Self::WithoutLength => "unframed",
+            Self::Duplicated => "extra",
+            Self::DuplicatedLate => "extra-late",
+            Self::EarlyFailure => "early",
             Self::Failure => "failure",
         }
     }
 
     /// All of them.
     pub const ALL: [Self; 8] = [
-        Self::Whole,
-        Self::Lost,
-        Self::Cut,
-        Self::Unframed,
-        Self::Extra,
-        Self::ExtraLate,
-        Self::Early,
+        Self::Complete,
+        Self::Closed,
+        Self::Truncated,
+        Self::WithoutLength,
+        Self::Duplicated,
+        Self::DuplicatedLate,
+        Self::EarlyFailure,
         Self::Failure,
     ];
 
-    fn from_word(word: &str) -> Self {
-        let known = Self::ALL.into_iter().find(|known| known.word() == word);
+    fn from_query_value(query_value: &str) -> Self {
+        let known = Self::ALL
+            .into_iter()
+            .find(|known| known.query_value() == query_value);
         known.unwrap_or_default()
     }
 }
@@ -93,24 +95,24 @@
     /// Requests that run at a time.
     pub slots: u32,
     /// Requests that wait.
-    pub queue: u32,
+    pub queue_len: u32,
     /// Time to run a request that does not say.
-    pub work: Duration,
+    pub default_work_time: Duration,
     /// What becomes of others.
-    pub on_full: OnFull,
+    pub overload_action: OverloadAction,
     /// A connection that has been idle for so long is forgotten without a word, and reset by whatever
     /// is sent on it next.
-    pub forgets_idle: Option<Duration>,
+    pub forgets_idle_after: Option<Duration>,
 }
 
 impl Default for Behaviour {
     fn default() -> Self {
         Self {
             slots: 8,
-            queue: 16,
-            work: Duration::ZERO,
-            on_full: OnFull::Refuse,
-            forgets_idle: None,
+            queue_len: 16,
+            default_work_time: Duration::ZERO,
+            overload_action: OverloadAction::Refuse,
+            forgets_idle_after: None,
         }
     }
 }
@@ -119,9 +121,9 @@
 #[derive(Clone, Debug)]
 pub struct Run {
     /// When it began.
-    pub began: Instant,
-    /// When it reached the backend server: before [`Self::began`] if it waited.
-    pub reached: Instant,
+    pub started_at: Instant,
+    /// When it reached the backend server: before [`Self::started_at`] if it waited.
+    pub arrived_at: Instant,
     /// Which service the request is said to come from.
     pub caller: String,
     /// Milliseconds that it was said to have.
@@ -144,11 +146,11 @@
     /// Requests meant for another instance.
     pub misdirected: u64,
     /// When the last request reached it.
-    pub last_reached: Option<Instant>,
+    pub last_arrival: Option<Instant>,
     /// Requests at work now.
     pub running: u32,
     /// Requests whose sender had gone before their end.
-    pub given_up: u64,
+    pub abandoned: u64,
 }
 
 /// Who a backend server is.
@@ -159,7 +161,7 @@
     /// What it calls itself.
     pub instance: String,
     /// When it was started, in Unix milliseconds.
-    pub born_ms: u64,
+    pub started_ms: u64,
     /// Its data centre.
     pub data_centre: String,
 }
@@ -168,11 +170,11 @@
     /// One that is started now.
     pub fn new(service: &str, instance: &str, data_centre: &str) -> Self {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
-        let born_ms = u64::try_from(now.unwrap_or_default().as_millis()).unwrap_or(0);
+        let started_ms = u64::try_from(now.unwrap_or_default().as_millis()).unwrap_or(0);
         Self {
             service: service.to_owned(),
             instance: instance.to_owned(),
-            born_ms,
+            started_ms,
             data_centre: data_centre.to_owned(),
         }
     }
@@ -187,10 +189,10 @@
     slots: Arc<tokio::sync::Semaphore>,
     waiting: AtomicU64,
     /// Answers say that the connection ends.
-    leaving: AtomicBool,
+    draining: AtomicBool,
     sequence: AtomicU64,
     /// Caller listener of the own node, for calls that a request asks for.
-    entry: Mutex<Option<SocketAddr>>,
+    caller_listener: Mutex<Option<SocketAddr>>,
 }
 
 /// A running backend server; it ends as by a crash when dropped.
@@ -224,9 +226,9 @@
             behaviour: Mutex::new(behaviour),
             record: Mutex::default(),
             waiting: AtomicU64::new(0),
-            leaving: AtomicBool::new(false),
+            draining: AtomicBool::new(false),
             sequence: AtomicU64::new(0),
-            entry: Mutex::default(),
+            caller_listener: Mutex::default(),
         });
         let stop = CancellationToken::new();
         tokio::spawn(connection::serve(
@@ -257,13 +259,13 @@
     }
 
     /// Names the caller listener of the node beside it.
-    pub fn set_entry(&self, entry: SocketAddr) {
-        *lock(&self.shared.entry) = Some(entry);
+    pub fn set_caller_listener(&self, caller_listener: SocketAddr) {
+        *lock(&self.shared.caller_listener) = Some(caller_listener);
     }
 
     /// Its answers say from now on that their connection ends.
-    pub fn set_leaving(&self) {
-        self.shared.leaving.store(true, Ordering::Release);
+    pub fn set_draining(&self) {
+        self.shared.draining.store(true, Ordering::Release);
     }
 
     /// What it did so far.
--- a/crates/testkit/src/users/backend/connection.rs
+++ b/crates/testkit/src/users/backend/connection.rs
@@ -12,13 +12,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-use super::{Answering, OnFull, Run, Shared, lock};
-use crate::backend::filler;
+use super::{OverloadAction, ResponseMode, Run, Shared, lock};
+use crate::backend::generated_body;
 use crate::http::{Query, request};
 
-const HEADERS_MAX: usize = 64;
+const MAX_HEADERS: usize = 64;
 /// After this the connection may have been given to the next request.
-const EXTRA_LATE: Duration = Duration::from_millis(40);
+const DUPLICATE_DELAY: Duration = Duration::from_millis(40);
 
 pub(super) async fn serve(listener: TcpListener, shared: Arc<Shared>, stop: CancellationToken) {
     loop {
@@ -43,21 +43,21 @@
 }
 
 /// The seal of the answer to a request: it names the request and the answer's bytes.
-pub fn seal_of(id: &str, bytes: u64) -> String {
-    let digest = blake3::hash(&filler(id, bytes)).to_hex();
+pub fn response_seal(id: &str, bytes: u64) -> String {
+    let digest = blake3::hash(&generated_body(id, bytes)).to_hex();
     format!("{id}.{bytes}.{digest}")
 }
 
 /// The head of a request.
-struct Head {
+struct RequestHead {
     method: String,
     target: String,
     id: String,
     host: String,
-    expected: Option<String>,
+    expected_instance: Option<String>,
     deadline_ms: Option<u64>,
     caller: String,
-    body: BodyLength,
+    body_length: BodyLength,
 }
 
 #[derive(Clone, Copy)]
@@ -66,7 +66,7 @@
     Chunked,
 }
 
-impl Head {
+impl RequestHead {
     fn query(&self) -> Query<'_> {
         let query = self.target.split_once('?');
         Query(query.map_or("", |(_, query)| query))
@@ -78,11 +78,11 @@
 }
 
 /// What goes on after a request.
-enum Next {
+enum NextStep {
     Request,
     Close,
     /// Nothing is answered any more.
-    Mute,
+    NeverAnswer,
 }
 
 struct Connection {
@@ -94,126 +94,130 @@
 impl Connection {
     async fn serve(mut self) {
         loop {
-            let next = match self.exchange().await {
+            let next = match self.serve_request().await {
                 Ok(next) => next,
                 Err(_) => return,
             };
             match next {
-                Next::Request => (),
-                Next::Close => return,
-                Next::Mute => return self.swallow().await,
+                NextStep::Request => (),
+                NextStep::Close => return,
+                NextStep::NeverAnswer => return self.discard_input().await,
             }
         }
     }
 
-    async fn health(&mut self) -> io::Result<()> {
-        let leaving = self.shared.leaving.load(Ordering::Acquire);
-        let status = if leaving { 503 } else { 200 };
+    async fn send_health(&mut self) -> io::Result<()> {
+        let draining = self.shared.draining.load(Ordering::Acquire);
+        let status = if draining { 503 } else { 200 };
         let instance = format!("X-Dfw-Instance: {}\r\n", self.shared.identity.instance);
-        self.answer(status, "", &instance, b"").await
+        self.write_response(status, "", &instance, b"").await
     }
 
-    async fn exchange(&mut self) -> io::Result<Next> {
-        let Some(head) = self.head().await? else {
-            return Ok(Next::Close);
+    async fn serve_request(&mut self) -> io::Result<NextStep> {
+        let Some(head) = self.read_head().await? else {
+            return Ok(NextStep::Close);
         };
         if head.target == "/healthz" {
-            self.health().await?;
-            return Ok(Next::Request);
+            self.send_health().await?;
+            return Ok(NextStep::Request);
         }
-        let reached = Instant::now();
-        self.shared.record().last_reached = Some(reached);
-        if let Some(refused) = self.turned_away(&head).await? {
+        let arrived_at = Instant::now();
+        self.shared.record().last_arrival = Some(arrived_at);
+        if let Some(refused) = self.reject_misaddressed(&head).await? {
             return Ok(refused);
         }
-        let answering = Answering::from_word(head.query().get("answer"));
-        if answering == Answering::Early {
-            self.note_run(&head, reached, "");
-            self.failure(&head, 500).await?;
-            self.body(head.body).await?;
-            return Ok(Next::Request);
+        let response_mode = ResponseMode::from_query_value(head.query().get("answer"));
+        if response_mode == ResponseMode::EarlyFailure {
+            self.record_run(&head, arrived_at, "");
+            self.send_failure(&head, 500).await?;
+            self.read_body(head.body_length).await?;
+            return Ok(NextStep::Request);
         }
-        let body = self.body(head.body).await?;
-        let Some(slot) = self.slot(&head).await? else {
-            return self.full(&head).await;
+        let body = self.read_body(head.body_length).await?;
+        let Some(slot) = self.acquire_slot(&head).await? else {
+            return self.reject_overload(&head).await;
         };
-        self.note_run(&head, reached, &blake3::hash(&body).to_hex());
-        let worked = self.work(&head).await;
+        self.record_run(&head, arrived_at, &blake3::hash(&body).to_hex());
+        let result = self.run(&head).await;
         drop(slot);
         self.shared.record().running -= 1;
-        match worked {
-            Ok(()) => self.finish(&head, answering).await,
+        match result {
+            Ok(()) => self.send_response(&head, response_mode).await,
             Err(error) => {
-                self.shared.record().given_up += 1;
+                self.shared.record().abandoned += 1;
                 Err(error)
             }
         }
     }
 
     /// Requests without an id, and those for another instance.
-    async fn turned_away(&mut self, head: &Head) -> io::Result<Option<Next>> {
+    async fn reject_misaddressed(&mut self, head: &RequestHead) -> io::Result<Option<NextStep>> {
         let identity = &self.shared.identity;
-        let other = head
-            .expected
+        let is_misdirected = head
+            .expected_instance
             .as_ref()
             .is_some_and(|id| *id != identity.instance);
-        let status = match (head.id.is_empty(), other) {
+        let status = match (head.id.is_empty(), is_misdirected) {
             (true, _) => 400,
             (_, true) => 421,
             _ => return Ok(None),
         };
-        if other {
+        if is_misdirected {
             self.shared.record().misdirected += 1;
         }
         let headers = format!(
             "X-Dfw-Not-Executed: 1\r\nX-Dfw-Instance: {}\r\n",
             identity.instance
         );
-        self.body(head.body).await?;
-        self.answer(status, &head.id, &headers, b"").await?;
-        Ok(Some(Next::Request))
+        self.read_body(head.body_length).await?;
+        self.write_response(status, &head.id, &headers, b"").await?;
+        Ok(Some(NextStep::Request))
     }
 
     /// A slot, if there is one or the queue has room.
-    async fn slot(&mut self, head: &Head) -> io::Result<Option<tokio::sync::OwnedSemaphorePermit>> {
-        let slots = Arc::clone(&self.shared);
-        let queue = u64::from(self.shared.behaviour().queue);
-        let waiting = slots.waiting.fetch_add(1, Ordering::AcqRel);
-        let room = slots.slots.available_permits() > 0 || waiting < queue;
-        let left = Duration::from_millis(head.deadline_ms.unwrap_or(60_000));
-        let taken = match room {
+    async fn acquire_slot(
+        &mut self,
+        head: &RequestHead,
+    ) -> io::Result<Option<tokio::sync::OwnedSemaphorePermit>> {
+        let shared = Arc::clone(&self.shared);
+        let queue = u64::from(self.shared.behaviour().queue_len);
+        let waiting = shared.waiting.fetch_add(1, Ordering::AcqRel);
+        let has_room = shared.slots.available_permits() > 0 || waiting < queue;
+        let time_left = Duration::from_millis(head.deadline_ms.unwrap_or(60_000));
+        let acquired = match has_room {
             true => {
-                tokio::time::timeout(left, Arc::clone(&self.shared.slots).acquire_owned()).await
+                tokio::time::timeout(time_left, Arc::clone(&self.shared.slots).acquire_owned())
+                    .await
             }
             false => {
-                slots.waiting.fetch_sub(1, Ordering::AcqRel);
+                shared.waiting.fetch_sub(1, Ordering::AcqRel);
                 return Ok(None);
             }
         };
-        slots.waiting.fetch_sub(1, Ordering::AcqRel);
-        Ok(taken.ok().and_then(Result::ok))
+        shared.waiting.fetch_sub(1, Ordering::AcqRel);
+        Ok(acquired.ok().and_then(Result::ok))
     }
 
-    async fn full(&mut self, head: &Head) -> io::Result<Next> {
-        match self.shared.behaviour().on_full {
-            OnFull::Refuse => {
+    async fn reject_overload(&mut self, head: &RequestHead) -> io::Result<NextStep> {
+        match self.shared.behaviour().overload_action {
+            OverloadAction::Refuse => {
                 self.shared.record().refused += 1;
-                self.answer(503, &head.id, "X-Dfw-Not-Executed: 1\r\n", b"")
+                self.write_response(503, &head.id, "X-Dfw-Not-Executed: 1\r\n", b"")
                     .await?;
-                Ok(Next::Request)
+                Ok(NextStep::Request)
             }
-            OnFull::Reset => Err(io::ErrorKind::ConnectionReset.into()),
-            OnFull::Mute => Ok(Next::Mute),
+            OverloadAction::Reset => Err(io::ErrorKind::ConnectionReset.into()),
+            OverloadAction::NeverAnswer => Ok(NextStep::NeverAnswer),
         }
     }
 
-    fn note_run(&self, head: &Head, reached: Instant, body_digest: &str) {
+    fn record_run(&self, head: &RequestHead, arrived_at: Instant, body_digest: &str) {
         let mut record = self.shared.record();
         record.running += 1;
         let runs = record.runs.entry(head.id.clone()).or_default();
         runs.push(Run {
-            began: Instant::now(),
-            reached,
+            started_at: Instant::now(),
+            arrived_at,
             caller: head.caller.clone(),
             deadline_ms: head.deadline_ms,
             target: format!("{} {}{}", head.method, head.host, head.target),
@@ -222,130 +226,146 @@
     }
 
     /// Works until the request is done; an error if its sender has gone.
-    async fn work(&mut self, head: &Head) -> io::Result<()> {
+    async fn run(&mut self, head: &RequestHead) -> io::Result<()> {
         let work = head.number("work_ms").map(Duration::from_millis);
-        let work = work.unwrap_or(self.shared.behaviour().work);
+        let work = work.unwrap_or(self.shared.behaviour().default_work_time);
         let call = head.query().get("call").to_owned();
         let shared = Arc::clone(&self.shared);
         let working = async move {
             tokio::time::sleep(work).await;
             if !call.is_empty() {
-                let entry = *lock(&shared.entry);
-                call_other(entry, &call, &head.id).await;
+                let caller_listener = *lock(&shared.caller_listener);
+                call_service(caller_listener, &call, &head.id).await;
             }
         };
         tokio::select! {
             () = working => Ok(()),
-            gone = gone(&mut self.stream, &mut self.buffer) => Err(gone),
+            error = wait_disconnect(&mut self.stream, &mut self.buffer) => Err(error),
         }
     }
 
-    async fn finish(&mut self, head: &Head, answering: Answering) -> io::Result<Next> {
+    async fn send_response(
+        &mut self,
+        head: &RequestHead,
+        response_mode: ResponseMode,
+    ) -> io::Result<NextStep> {
         let bytes = head.number("bytes").unwrap_or(64);
-        let body = filler(&head.id, bytes);
-        let seal = format!("X-Dfw-Response-Seal: {}\r\n", seal_of(&head.id, bytes));
-        match answering {
-            Answering::Lost => return Ok(Next::Close),
-            Answering::Failure | Answering::Early => self.failure(head, 500).await?,
-            Answering::Cut => {
-                let text = head_text(200, &head.id, &seal, Some(body.len()), false);
+        let body = generated_body(&head.id, bytes);
+        let seal = format!(
+            "X-Dfw-Response-Seal: {}\r\n",
+            response_seal(&head.id, bytes)
+        );
+        match response_mode {
+            ResponseMode::Closed => return Ok(NextStep::Close),
+            ResponseMode::Failure | ResponseMode::EarlyFailure => {
+                self.send_failure(head, 500).await?
+            }
+            ResponseMode::Truncated => {
+                let text = format_response_head(200, &head.id, &seal, Some(body.len()), false);
                 self.stream.write_all(text.as_bytes()).await?;
                 self.stream.write_all(&body[..body.len() / 2]).await?;
-                return Ok(Next::Close);
+                return Ok(NextStep::Close);
             }
-            Answering::Unframed => {
-                let text = head_text(200, &head.id, &seal, None, true);
+            ResponseMode::WithoutLength => {
+                let text = format_response_head(200, &head.id, &seal, None, true);
                 self.stream.write_all(text.as_bytes()).await?;
                 self.stream.write_all(&body).await?;
                 self.stream.shutdown().await?;
-                return Ok(Next::Close);
+                return Ok(NextStep::Close);
             }
-            Answering::Whole => self.answer(200, &head.id, &seal, &body).await?,
-            Answering::Extra | Answering::ExtraLate => {
-                self.answer(200, &head.id, &seal, &body).await?;
-                if answering == Answering::ExtraLate {
-                    tokio::time::sleep(EXTRA_LATE).await;
+            ResponseMode::Complete => self.write_response(200, &head.id, &seal, &body).await?,
+            ResponseMode::Duplicated | ResponseMode::DuplicatedLate => {
+                self.write_response(200, &head.id, &seal, &body).await?;
+                if response_mode == ResponseMode::DuplicatedLate {
+                    tokio::time::sleep(DUPLICATE_DELAY).await;
                 }
-                self.answer(200, &head.id, &seal, &body).await?;
+                self.write_response(200, &head.id, &seal, &body).await?;
             }
         }
-        let leaving = self.shared.leaving.load(Ordering::Acquire);
-        Ok(match leaving {
-            true => Next::Close,
-            false => Next::Request,
+        let draining = self.shared.draining.load(Ordering::Acquire);
+        Ok(match draining {
+            true => NextStep::Close,
+            false => NextStep::Request,
         })
     }
 
-    async fn failure(&mut self, head: &Head, status: u16) -> io::Result<()> {
+    async fn send_failure(&mut self, head: &RequestHead, status: u16) -> io::Result<()> {
         let seal = format!("X-Dfw-Response-Seal: failure.{}\r\n", head.id);
-        self.answer(status, &head.id, &seal, b"failed").await
+        self.write_response(status, &head.id, &seal, b"failed")
+            .await
     }
 
-    async fn answer(
+    async fn write_response(
         &mut self,
         status: u16,
         id: &str,
         headers: &str,
         body: &[u8],
     ) -> io::Result<()> {
-        let leaving = self.shared.leaving.load(Ordering::Acquire);
-        let mut bytes = head_text(status, id, headers, Some(body.len()), leaving).into_bytes();
+        let draining = self.shared.draining.load(Ordering::Acquire);
+        let mut bytes =
+            format_response_head(status, id, headers, Some(body.len()), draining).into_bytes();
         bytes.extend_from_slice(body);
         self.stream.write_all(&bytes).await
     }
 
     /// Reads whatever comes and answers nothing.
-    async fn swallow(mut self) {
-        let mut space = [0; 1_024];
-        while self.stream.read(&mut space).await.is_ok_and(|len| len > 0) {}
+    async fn discard_input(mut self) {
+        let mut discarded = [0; 1_024];
+        while self
+            .stream
+            .read(&mut discarded)
+            .await
+            .is_ok_and(|len| len > 0)
+        {}
     }
 
-    async fn head(&mut self) -> io::Result<Option<Head>> {
+    async fn read_head(&mut self) -> io::Result<Option<RequestHead>> {
         loop {
-            if let Some((head, len)) = parse(&self.buffer)? {
+            if let Some((head, len)) = parse_head(&self.buffer)? {
                 self.buffer.advance(len);
                 return Ok(Some(head));
             }
-            let rested = Instant::now();
-            if !self.fill().await? {
+            let idle_since = Instant::now();
+            if !self.read_more().await? {
                 return Ok(None);
             }
-            let forgets = self.shared.behaviour().forgets_idle;
-            if forgets.is_some_and(|after| rested.elapsed() > after) {
+            let forgets_after = self.shared.behaviour().forgets_idle_after;
+            if forgets_after.is_some_and(|after| idle_since.elapsed() > after) {
                 self.stream.set_zero_linger()?;
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
         }
     }
 
-    async fn fill(&mut self) -> io::Result<bool> {
+    async fn read_more(&mut self) -> io::Result<bool> {
         Ok(self.stream.read_buf(&mut self.buffer).await? > 0)
     }
 
-    async fn body(&mut self, length: BodyLength) -> io::Result<Vec<u8>> {
+    async fn read_body(&mut self, length: BodyLength) -> io::Result<Vec<u8>> {
         match length {
-            BodyLength::Known(len) => self.exactly(len).await,
-            BodyLength::Chunked => self.chunks().await,
+            BodyLength::Known(len) => self.read_exactly(len).await,
+            BodyLength::Chunked => self.read_chunked_body().await,
         }
     }
 
-    async fn exactly(&mut self, len: usize) -> io::Result<Vec<u8>> {
+    async fn read_exactly(&mut self, len: usize) -> io::Result<Vec<u8>> {
         while self.buffer.len() < len {
-            if !self.fill().await? {
+            if !self.read_more().await? {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
         }
         Ok(self.buffer.split_to(len).to_vec())
     }
 
-    async fn chunks(&mut self) -> io::Result<Vec<u8>> {
+    async fn read_chunked_body(&mut self) -> io::Result<Vec<u8>> {
         let mut body = Vec::new();
         loop {
             let (start, len) = loop {
                 match httparse::parse_chunk_size(&self.buffer) {
                     Ok(httparse::Status::Complete((start, len))) => break (start, len),
                     Ok(httparse::Status::Partial) => {
-                        if !self.fill().await? {
+                        if !self.read_more().await? {
                             return Err(io::ErrorKind::UnexpectedEof.into());
                         }
                     }
@@ -355,7 +375,7 @@
             self.buffer.advance(start);
             let len = usize::try_from(len).map_err(|_| io::ErrorKind::InvalidData)?;
             // With the line break behind it.
-            let chunk = self.exactly(len + 2).await?;
+            let chunk = self.read_exactly(len + 2).await?;
             if len == 0 {
                 return Ok(body);
             }
@@ -365,7 +385,7 @@
 }
 
 /// Ready once the other side has closed; what it sends meanwhile is kept.
-async fn gone(stream: &mut TcpStream, buffer: &mut BytesMut) -> io::Error {
+async fn wait_disconnect(stream: &mut TcpStream, buffer: &mut BytesMut) -> io::Error {
     loop {
         match stream.read_buf(buffer).await {
             Ok(0) => return io::ErrorKind::UnexpectedEof.into(),
@@ -375,8 +395,8 @@
     }
 }
 
-async fn call_other(entry: Option<SocketAddr>, target: &str, id: &str) {
-    let Some(entry) = entry else { return };
+async fn call_service(listener: Option<SocketAddr>, target: &str, id: &str) {
+    let Some(listener) = listener else { return };
     let (host, path) = target.split_once('/').unwrap_or((target, ""));
     let id = format!("{id}.call");
     let headers = [
@@ -385,10 +405,16 @@
     ];
     let path = format!("/{path}");
     // What became of it is in the record of whoever ran it.
-    let _ = request(entry, Method::GET, host, &path, &headers, "").await;
+    let _ = request(listener, Method::GET, host, &path, &headers, "").await;
 }
 
-fn head_text(status: u16, id: &str, headers: &str, len: Option<usize>, close: bool) -> String {
+fn format_response_head(
+    status: u16,
+    id: &str,
+    headers: &str,
+    len: Option<usize>,
+    close: bool,
+) -> String {
     let id = match id {
         "" => String::new(),
         id => format!("X-Dfw-Attempt-Id: {id}\r\n"),
@@ -398,34 +424,34 @@
     format!("HTTP/1.1 {status} Status\r\n{id}{headers}{len}{close}\r\n")
 }
 
-fn parse(bytes: &[u8]) -> io::Result<Option<(Head, usize)>> {
-    let mut fields = [httparse::EMPTY_HEADER; HEADERS_MAX];
-    let mut parsed = httparse::Request::new(&mut fields);
+fn parse_head(bytes: &[u8]) -> io::Result<Option<(RequestHead, usize)>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut headers);
     let len = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(len)) => len,
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(_) => return Err(io::ErrorKind::InvalidData.into()),
     };
-    let field = |name: &str| {
-        let mut fields = parsed.headers.iter();
-        let field = fields.find(|field| field.name.eq_ignore_ascii_case(name))?;
-        std::str::from_utf8(field.value).ok().map(str::to_owned)
+    let header = |name: &str| {
+        let mut headers = parsed.headers.iter();
+        let header = headers.find(|header| header.name.eq_ignore_ascii_case(name))?;
+        std::str::from_utf8(header.value).ok().map(str::to_owned)
     };
-    let number = |name: &str| field(name).and_then(|text| text.parse().ok());
-    let chunked = field("transfer-encoding").is_some();
-    let body = match chunked {
+    let number = |name: &str| header(name).and_then(|text| text.parse().ok());
+    let chunked = header("transfer-encoding").is_some();
+    let body_length = match chunked {
         true => BodyLength::Chunked,
         false => BodyLength::Known(number("content-length").unwrap_or(0)),
     };
-    let head = Head {
+    let head = RequestHead {
         method: parsed.method.unwrap_or("").to_owned(),
         target: parsed.path.unwrap_or("").to_owned(),
-        id: field("x-dfw-attempt-id").unwrap_or_default(),
-        host: field("host").unwrap_or_default(),
-        expected: field("x-dfw-expected-instance"),
+        id: header("x-dfw-attempt-id").unwrap_or_default(),
+        host: header("host").unwrap_or_default(),
+        expected_instance: header("x-dfw-expected-instance"),
         deadline_ms: number("x-dfw-deadline-ms").map(|ms| ms as u64),
-        caller: field("x-dfw-caller").unwrap_or_default(),
-        body,
+        caller: header("x-dfw-caller").unwrap_or_default(),
+        body_length,
     };
     Ok(Some((head, len)))
 }
--- a/crates/testkit/src/users/configuration.rs
+++ b/crates/testkit/src/users/configuration.rs
@@ -4,7 +4,7 @@
 
 /// What may be repeated of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RouteKind {
     /// Any number of times.
     Idempotent,
     /// Never.
@@ -13,8 +13,8 @@
     Upload,
 }
 
-impl Kind {
-    fn word(self) -> &'static str {
+impl RouteKind {
+    fn as_str(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
             Self::NonIdempotent => "non_idempotent",
@@ -31,7 +31,7 @@
     /// Beginning of their path, with a slash at both ends.
     pub prefix: String,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// Longest time that a caller is kept waiting.
     pub timeout_ms: u32,
     /// Time within which an answer is worth most.
@@ -39,37 +39,37 @@
     /// Endpoints that one request may be sent to.
     pub attempts: u32,
     /// Services by weight; one alone gets all.
-    pub to: Vec<(String, u32)>,
+    pub destinations: Vec<(String, u32)>,
 }
 
 impl Route {
     /// A route to one service.
-    pub fn new(prefix: &str, kind: Kind, service: &str) -> Self {
+    pub fn new(prefix: &str, kind: RouteKind, service: &str) -> Self {
         Self {
-            host: HOST.to_owned(),
+            host: DEFAULT_HOST.to_owned(),
             prefix: prefix.to_owned(),
             kind,
             timeout_ms: 5_000,
             target_latency_ms: 1_000,
             attempts: 2,
-            to: vec![(service.to_owned(), 100)],
+            destinations: vec![(service.to_owned(), 100)],
         }
     }
 }
 
 /// Host of routes that name no other.
-pub const HOST: &str = "mesh.example";
+pub const DEFAULT_HOST: &str = "mesh.example";
 
 /// Longest time that a caller's connection may be idle, where a test asks for no other.
-pub const IDLE_TIMEOUT_MS: u32 = 15_000;
+pub const DEFAULT_IDLE_TIMEOUT_MS: u32 = 15_000;
 
 /// The text of a configuration.
-pub fn text(version: u64, routes: &[Route], services: &[&str]) -> String {
-    text_with_idle_timeout(version, routes, services, IDLE_TIMEOUT_MS)
+pub fn json_text(version: u64, routes: &[Route], services: &[&str]) -> String {
+    json_text_with_idle_timeout(version, routes, services, DEFAULT_IDLE_TIMEOUT_MS)
 }
 
 /// The text of a configuration under which callers' connections may be idle for so long.
-pub fn text_with_idle_timeout(
+pub fn json_text_with_idle_timeout(
     version: u64,
     routes: &[Route],
     services: &[&str],
@@ -105,18 +105,19 @@
     .to_string()
 }
 
-fn route_row((number, route): (usize, &Route)) -> Value {
-    let part = |(service, weight): &(String, u32)| json!({"service": service, "weight": weight});
-    let parts: Vec<Value> = route.to.iter().map(part).collect();
-    let (single, split) = match &route.to[..] {
+fn route_row((index, route): (usize, &Route)) -> Value {
+    let weighted_service =
+        |(service, weight): &(String, u32)| json!({"service": service, "weight": weight});
+    let weighted_services: Vec<Value> = route.destinations.iter().map(weighted_service).collect();
+    let (single, split) = match &route.destinations[..] {
         [(service, _)] => (json!(service), Value::Null),
-        _ => (Value::Null, json!(parts)),
+        _ => (Value::Null, json!(weighted_services)),
     };
     json!([
-        format!("r-{number}"),
+        format!("r-{index}"),
         route.host,
         route.prefix,
-        route.kind.word(),
+        route.kind.as_str(),
         format!("{}ms", route.timeout_ms),
         format!("{}ms", route.target_latency_ms),
         1,
--- a/crates/testkit/src/users/mesh.rs
+++ b/crates/testkit/src/users/mesh.rs
@@ -14,17 +14,17 @@
 use ::http::Method;
 use tokio::sync::mpsc;
 
-pub use self::caller_request::{Asked, REQUEST_ID, SEAL};
+pub use self::caller_request::{CallerRequest, REQUEST_ID, RESPONSE_SEAL};
 pub use self::vm::Vm;
-use self::vm::{Beats, beat};
-use super::backend::{Announced, Backend, Behaviour, Identity};
+use self::vm::{AnnouncementTask, announce_periodically};
+use super::backend::{AnnouncedState, Backend, Behaviour, Identity};
 use super::store::Store;
 use crate::http::{Reply, Result, request, wait_until};
-use crate::network::{Front, Network, Site};
+use crate::network::{Forwarder, Network, Site};
 use crate::process::{LogLine, NodeProcess, Signal};
 
 /// Bounds a hang; no test judges speed by it.
-const LIMIT: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A data centre and its region.
 pub type DataCentre = (&'static str, &'static str);
@@ -76,18 +76,18 @@
     /// Number of the store, as that of a VM.
     pub store_site: Site,
     program: PathBuf,
-    leading: Vec<String>,
-    store_front: Front,
+    base_arguments: Vec<String>,
+    store_forwarder: Forwarder,
     directory: tempfile::TempDir,
 }
 
 impl Mesh {
     /// Starts everything; `program` followed by `leading` runs a node.
-    pub async fn start(program: &Path, leading: &[&str], plan: Plan) -> Result<Self> {
-        let mut vms_of = Vec::new();
+    pub async fn start(program: &Path, base_arguments: &[&str], plan: Plan) -> Result<Self> {
+        let mut placements = Vec::new();
         for data_centre in &plan.data_centres {
             for service in &plan.services {
-                vms_of.extend(vec![(*data_centre, *service); plan.vms_per_service]);
+                placements.extend(vec![(*data_centre, *service); plan.vms_per_service]);
             }
         }
         let mut regions: Vec<&str> = plan
@@ -96,21 +96,23 @@
             .map(|(_, region)| *region)
             .collect();
         regions.dedup();
-        let number = |region: &str| regions.iter().position(|known| *known == region);
-        let small = |number: usize| u8::try_from(number).map_err(text);
+        let region_index = |region: &str| regions.iter().position(|known| *known == region);
+        let to_u8 = |index: usize| u8::try_from(index).map_err(error_text);
         let mut region_of = Vec::new();
-        for ((_, region), _) in &vms_of {
-            region_of.push(small(number(region).unwrap_or(0))?);
+        for ((_, region), _) in &placements {
+            region_of.push(to_u8(region_index(region).unwrap_or(0))?);
         }
         // The store stands in the first region.
         region_of.push(0);
-        let store_site = small(vms_of.len())?;
+        let store_site = to_u8(placements.len())?;
         let network = Network::new(region_of, 30.0);
         network.set_delays(Duration::from_millis(1), Duration::from_millis(5));
         let store_address = SocketAddr::new(network.site_ip(store_site), 0);
-        let store = Store::start(store_address).await.map_err(text)?;
-        let store_front = Front::open(&network, store_site).await.map_err(text)?;
-        store_front.set_target(store.address);
+        let store = Store::start(store_address).await.map_err(error_text)?;
+        let store_forwarder = Forwarder::open(&network, store_site)
+            .await
+            .map_err(error_text)?;
+        store_forwarder.set_target(store.address);
         let mut mesh = Self {
             plan,
             store,
@@ -118,12 +120,15 @@
             vms: Vec::new(),
             store_site,
             program: program.to_owned(),
-            leading: leading.iter().map(|text| (*text).to_owned()).collect(),
-            store_front,
-            directory: tempfile::TempDir::new().map_err(text)?,
+            base_arguments: base_arguments
+                .iter()
+                .map(|text| (*text).to_owned())
+                .collect(),
+            store_forwarder,
+            directory: tempfile::TempDir::new().map_err(error_text)?,
         };
-        for (position, (data_centre, service)) in vms_of.into_iter().enumerate() {
-            mesh.add_vm(small(position)?, data_centre, service).await?;
+        for (position, (data_centre, service)) in placements.into_iter().enumerate() {
+            mesh.add_vm(to_u8(position)?, data_centre, service).await?;
         }
         for position in 0..mesh.vms.len() {
             mesh.start_node(position).await?;
@@ -141,9 +146,11 @@
         let identity = Identity::new(service, &format!("i-{site}-1"), data_centre.0);
         let any_port = SocketAddr::new(ip, 0);
         let backend = Backend::start(any_port, identity, self.plan.behaviour).await;
-        let backend = Arc::new(backend.map_err(text)?);
-        let front = Front::open(&self.network, site).await.map_err(text)?;
-        let settings = self.directory.path().join(format!("vm-{site}.toml"));
+        let backend = Arc::new(backend.map_err(error_text)?);
+        let forwarder = Forwarder::open(&self.network, site)
+            .await
+            .map_err(error_text)?;
+        let settings_file = self.directory.path().join(format!("vm-{site}.toml"));
         self.vms.push(Vm {
             site,
             ip,
@@ -152,76 +159,76 @@
             node: None,
             backend_address: backend.address,
             backend: None,
-            beats: None,
-            control: Arc::default(),
-            front,
-            settings,
-            starts: 0,
+            announcements: None,
+            announce_address: Arc::default(),
+            forwarder,
+            settings_file,
+            backend_restarts: 0,
         });
         let position = self.vms.len() - 1;
-        self.adopt(position, backend);
+        self.attach_backend(position, backend);
         Ok(())
     }
 
     /// Puts a backend server beside the node of a VM; it announces itself from now on.
-    fn adopt(&mut self, position: usize, backend: Arc<Backend>) {
+    fn attach_backend(&mut self, position: usize, backend: Arc<Backend>) {
         let vm = &mut self.vms[position];
         if let Some(node) = &vm.node {
-            backend.set_entry(node.addresses.caller);
+            backend.set_caller_listener(node.addresses.caller);
         }
-        let announced = Arc::new(Mutex::new(Announced::Ready));
-        let beating = beat(
+        let announced_state = Arc::new(Mutex::new(AnnouncedState::Ready));
+        let announcing = announce_periodically(
             Arc::clone(&backend),
-            Arc::clone(&vm.control),
-            Arc::clone(&announced),
+            Arc::clone(&vm.announce_address),
+            Arc::clone(&announced_state),
         );
-        vm.beats = Some(Beats {
-            announced,
-            task: tokio::spawn(beating),
+        vm.announcements = Some(AnnouncementTask {
+            announced_state,
+            task: tokio::spawn(announcing),
         });
         vm.backend = Some(backend);
     }
 
     /// Takes the backend server of a VM away as a crash would, and waits until its address is free.
     pub async fn crash_backend(&mut self, position: usize) {
-        self.mute_backend(position);
+        self.stop_announcements(position);
         let vm = &mut self.vms[position];
         if let Some(backend) = vm.backend.take() {
             backend.crash();
         }
         let address = vm.backend_address;
-        wait_until("the address is free", LIMIT, || async move {
+        wait_until("the address is free", WAIT_TIMEOUT, || async move {
             tokio::net::TcpListener::bind(address).await.is_ok()
         })
         .await;
     }
 
     /// The backend server of a VM announces itself no more.
-    pub fn mute_backend(&mut self, position: usize) {
-        self.vms[position].beats = None;
+    pub fn stop_announcements(&mut self, position: usize) {
+        self.vms[position].announcements = None;
     }
 
     /// Starts another backend server at the address of a VM's one, of a service of choice.
     pub async fn restart_backend(&mut self, position: usize, service: &str) -> Result<()> {
         let vm = &mut self.vms[position];
-        vm.starts += 1;
-        let instance = format!("i-{}-{}", vm.site, vm.starts + 1);
+        vm.backend_restarts += 1;
+        let instance = format!("i-{}-{}", vm.site, vm.backend_restarts + 1);
         let identity = Identity::new(service, &instance, vm.data_centre.0);
         let address = vm.backend_address;
         let backend = Backend::start(address, identity, self.plan.behaviour).await;
-        self.adopt(position, Arc::new(backend.map_err(text)?));
+        self.attach_backend(position, Arc::new(backend.map_err(error_text)?));
         Ok(())
     }
 
     /// Writes the settings file of a VM's node.
     pub fn write_settings(&self, position: usize) -> Result<()> {
-        let text_of = self.settings_text(position);
-        std::fs::write(&self.vms[position].settings, text_of).map_err(text)
+        let contents = self.settings_text(position);
+        std::fs::write(&self.vms[position].settings_file, contents).map_err(error_text)
     }
 
     /// The settings file of a VM's node.
     pub fn settings_path(&self, position: usize) -> &Path {
-        &self.vms[position].settings
+        &self.vms[position].settings_file
     }
 
     /// What a VM's settings file says.
@@ -246,7 +253,7 @@
             ip = vm.ip,
             app = vm.backend_address,
             service = vm.service,
-            store = self.store_front.address,
+            store = self.store_forwarder.address,
         )
     }
 
@@ -256,12 +263,14 @@
         let arguments = self.arguments(position);
         let log_lines = self.plan.log_lines.clone();
         let log_lines = log_lines.map(|lines| (position, lines));
-        let node = NodeProcess::start_logged(&self.program, &arguments, log_lines).await?;
+        let node = NodeProcess::start_with_log(&self.program, &arguments, log_lines).await?;
         let vm = &mut self.vms[position];
-        vm.front.set_target(node.addresses.peer);
-        *vm.control.lock().unwrap_or_else(PoisonError::into_inner) = node.addresses.announce;
+        vm.forwarder.set_target(node.addresses.peer);
+        *vm.announce_address
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = node.addresses.announce;
         if let Some(backend) = &vm.backend {
-            backend.set_entry(node.addresses.caller);
+            backend.set_caller_listener(node.addresses.caller);
         }
         vm.node = Some(node);
         Ok(())
@@ -272,36 +281,38 @@
         if let Some(node) = &self.vms[position].node {
             node.signal(Signal::Kill);
         }
-        self.end_node(position).await
+        self.wait_node_exit(position).await
     }
 
     /// Takes the node of a VM away once its process has ended, as it was told to.
-    pub async fn end_node(&mut self, position: usize) -> Result<()> {
+    pub async fn wait_node_exit(&mut self, position: usize) -> Result<()> {
         let vm = &mut self.vms[position];
-        *vm.control.lock().unwrap_or_else(PoisonError::into_inner) = None;
+        *vm.announce_address
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = None;
         if let Some(mut node) = vm.node.take() {
-            node.ended().await.map_err(text)?;
+            node.wait_exit().await.map_err(error_text)?;
         }
         Ok(())
     }
 
     fn arguments(&self, position: usize) -> Vec<String> {
         let vm = &self.vms[position];
-        let mut arguments = self.leading.clone();
-        let mut set = |flag: &str, value: String| {
+        let mut arguments = self.base_arguments.clone();
+        let mut add_flag = |flag: &str, value: String| {
             arguments.push(format!("--{flag}"));
             arguments.push(value);
         };
-        set("config", vm.settings.display().to_string());
-        set("operator-listen", SocketAddr::new(vm.ip, 0).to_string());
-        set("dial-from", vm.ip.to_string());
-        set("peer-advertise", vm.front.address.to_string());
+        add_flag("config", vm.settings_file.display().to_string());
+        add_flag("operator-listen", SocketAddr::new(vm.ip, 0).to_string());
+        add_flag("dial-from", vm.ip.to_string());
+        add_flag("peer-advertise", vm.forwarder.address.to_string());
         let level = if self.plan.log_lines.is_some() {
             "info"
         } else {
             "warn"
         };
-        set("log-level", level.to_owned());
+        add_flag("log-level", level.to_owned());
         arguments
     }
 
@@ -329,19 +340,22 @@
     }
 
     /// Waits until all nodes of a data centre but one follow that one, and returns its position.
-    pub async fn lead_of(&self, data_centre: &str) -> usize {
+    pub async fn wait_lead(&self, data_centre: &str) -> usize {
         let vms = self.vms.iter().enumerate();
-        let here: Vec<usize> = vms
+        let local_positions: Vec<usize> = vms
             .filter(|(_, vm)| vm.data_centre.0 == data_centre)
             .map(|(position, _)| position)
             .collect();
         let mut readers = Vec::new();
-        let until = tokio::time::Instant::now() + LIMIT;
+        let deadline = tokio::time::Instant::now() + WAIT_TIMEOUT;
         while readers.len() != 1 {
-            assert!(tokio::time::Instant::now() < until, "readers: {readers:?}");
+            assert!(
+                tokio::time::Instant::now() < deadline,
+                "readers: {readers:?}"
+            );
             tokio::time::sleep(Duration::from_millis(20)).await;
             readers.clear();
-            for position in &here {
+            for position in &local_positions {
                 if self.status(*position).await["follows"].is_null() {
                     readers.push(*position);
                 }
@@ -356,8 +370,8 @@
             if self.vms[position].node.is_none() {
                 continue;
             }
-            let what = format!("version {version} at VM {position}");
-            wait_until(&what, LIMIT, || async {
+            let description = format!("version {version} at VM {position}");
+            wait_until(&description, WAIT_TIMEOUT, || async {
                 self.version_at(position).await >= version
             })
             .await;
@@ -367,16 +381,16 @@
     /// Waits until every running node knows of as many backend servers that serve as there are.
     pub async fn wait_serving(&self) {
         let serving = self.vms.iter().filter(|vm| {
-            let is_known = vm.node.is_some() && vm.backend.is_some();
-            is_known && vm.beats.is_some()
+            let is_running = vm.node.is_some() && vm.backend.is_some();
+            is_running && vm.announcements.is_some()
         });
         let expected = serving.count();
         for position in 0..self.vms.len() {
             if self.vms[position].node.is_none() {
                 continue;
             }
-            let what = format!("{expected} backend servers known at VM {position}");
-            wait_until(&what, LIMIT, || async {
+            let description = format!("{expected} backend servers known at VM {position}");
+            wait_until(&description, WAIT_TIMEOUT, || async {
                 let status = self.status(position).await;
                 let members = status["members"].as_array().cloned().unwrap_or_default();
                 let serves = |member: &&serde_json::Value| {
@@ -389,26 +403,30 @@
     }
 
     /// A caller's request through the node of a VM.
-    pub async fn ask(&self, position: usize, asked: &Asked<'_>) -> Result<Reply> {
-        let entry = self.vms[position].node().addresses.caller;
-        let deadline = asked.deadline_ms.to_string();
+    pub async fn send_request(
+        &self,
+        position: usize,
+        caller_request: &CallerRequest<'_>,
+    ) -> Result<Reply> {
+        let caller_listener = self.vms[position].node().addresses.caller;
+        let deadline = caller_request.deadline_ms.to_string();
         let headers = [
-            (REQUEST_ID, asked.id),
+            (REQUEST_ID, caller_request.id),
             ("x-dfw-deadline-ms", deadline.as_str()),
         ];
-        let method = asked.method.clone();
+        let method = caller_request.method.clone();
         request(
-            entry,
+            caller_listener,
             method,
-            asked.host,
-            asked.path,
+            caller_request.host,
+            caller_request.path,
             &headers,
-            asked.body.to_vec(),
+            caller_request.body.to_vec(),
         )
         .await
     }
 }
 
-fn text(error: impl std::fmt::Display) -> String {
+fn error_text(error: impl std::fmt::Display) -> String {
     error.to_string()
 }
--- a/crates/testkit/src/users/mesh/caller_request.rs
+++ b/crates/testkit/src/users/mesh/caller_request.rs
@@ -2,16 +2,16 @@
 
 use ::http::Method;
 
-use crate::users::configuration::HOST;
+use crate::users::configuration::DEFAULT_HOST;
 
 /// Header with the id of a request.
 pub const REQUEST_ID: &str = "x-dfw-attempt-id";
 /// Header by which a backend server says that an answer is its own.
-pub const SEAL: &str = "x-dfw-response-seal";
+pub const RESPONSE_SEAL: &str = "x-dfw-response-seal";
 
 /// A caller's request.
 #[derive(Clone, Debug)]
-pub struct Asked<'a> {
+pub struct CallerRequest<'a> {
     /// Method.
     pub method: Method,
     /// Host that it names.
@@ -26,12 +26,12 @@
     pub body: &'a [u8],
 }
 
-impl<'a> Asked<'a> {
+impl<'a> CallerRequest<'a> {
     /// A read of a path of the usual host.
     pub fn get(path: &'a str, id: &'a str) -> Self {
         Self {
             method: Method::GET,
-            host: HOST,
+            host: DEFAULT_HOST,
             path,
             id,
             deadline_ms: 5_000,
--- a/crates/testkit/src/users/mesh/vm.rs
+++ b/crates/testkit/src/users/mesh/vm.rs
@@ -8,12 +8,12 @@
 use tokio::task::JoinHandle;
 
 use super::DataCentre;
-use crate::network::{Front, Site};
+use crate::network::{Forwarder, Site};
 use crate::process::NodeProcess;
-use crate::users::backend::{Announced, Backend};
+use crate::users::backend::{AnnouncedState, Backend};
 
 /// Between two announcements of a backend server.
-const HEARTBEAT: Duration = Duration::from_millis(300);
+const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(300);
 
 /// One VM.
 #[derive(Debug)]
@@ -32,11 +32,11 @@
     pub backend_address: SocketAddr,
     /// Its backend server, unless it was taken away.
     pub backend: Option<Arc<Backend>>,
-    pub(super) beats: Option<Beats>,
-    pub(super) control: Arc<Mutex<Option<SocketAddr>>>,
-    pub(super) front: Front,
-    pub(super) settings: PathBuf,
-    pub(super) starts: u32,
+    pub(super) announcements: Option<AnnouncementTask>,
+    pub(super) announce_address: Arc<Mutex<Option<SocketAddr>>>,
+    pub(super) forwarder: Forwarder,
+    pub(super) settings_file: PathBuf,
+    pub(super) backend_restarts: u32,
 }
 
 impl Vm {
@@ -52,51 +52,55 @@
 
     /// Where other nodes reach its node, whichever process that is.
     pub fn peer_address(&self) -> SocketAddr {
-        self.front.address
+        self.forwarder.address
     }
 
     /// Where its node takes announcements.
-    pub fn control(&self) -> SocketAddr {
+    pub fn announce_address(&self) -> SocketAddr {
         let announce = self.node().addresses.announce;
         announce.expect("nodes of the platform take announcements")
     }
 
     /// What its backend server announces from now on.
-    pub fn set_announced(&self, announced: Announced) {
-        if let Some(beats) = &self.beats {
-            *beats
-                .announced
+    pub fn set_announced_state(&self, announced_state: AnnouncedState) {
+        if let Some(announcements) = &self.announcements {
+            *announcements
+                .announced_state
                 .lock()
-                .unwrap_or_else(PoisonError::into_inner) = announced;
+                .unwrap_or_else(PoisonError::into_inner) = announced_state;
         }
     }
 }
 
 /// A backend server's announcements, which end when dropped.
 #[derive(Debug)]
-pub(super) struct Beats {
-    pub(super) announced: Arc<Mutex<Announced>>,
+pub(super) struct AnnouncementTask {
+    pub(super) announced_state: Arc<Mutex<AnnouncedState>>,
     pub(super) task: JoinHandle<()>,
 }
 
-impl Drop for Beats {
+impl Drop for AnnouncementTask {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-pub(super) async fn beat(
+pub(super) async fn announce_periodically(
     backend: Arc<Backend>,
-    control: Arc<Mutex<Option<SocketAddr>>>,
-    announced: Arc<Mutex<Announced>>,
+    announce_address: Arc<Mutex<Option<SocketAddr>>>,
+    announced_state: Arc<Mutex<AnnouncedState>>,
 ) {
     loop {
-        let to = *control.lock().unwrap_or_else(PoisonError::into_inner);
-        let what = *announced.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(to) = to {
+        let address = *announce_address
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let state = *announced_state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some(address) = address {
             // One that is not acknowledged is followed by the next.
-            let _ = backend.announce(to, what).await;
+            let _ = backend.announce(address, state).await;
         }
-        tokio::time::sleep(HEARTBEAT).await;
+        tokio::time::sleep(ANNOUNCEMENT_INTERVAL).await;
     }
 }
--- a/crates/testkit/src/users/store.rs
+++ b/crates/testkit/src/users/store.rs
@@ -18,31 +18,31 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::http::{Body, Query, answer, serve_from};
-use crate::rate_limit::Bucket;
+use crate::http::{Body, Query, build_response, serve_with_peer};
+use crate::rate_limit::RateLimiter;
 
 mod rows;
 
 use self::rows::{Feed, Rows};
 
 /// Calls a second of all callers together, as the site files have them.
-const WRITES_PER_S: f64 = 400.0;
-const READS_PER_S: f64 = 2_000.0;
+const MAX_WRITES_PER_S: f64 = 400.0;
+const MAX_READS_PER_S: f64 = 2_000.0;
 
 /// How the store turns callers away.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Trouble {
+pub enum CallFault {
     /// It does not.
     #[default]
     None,
     /// 503: nothing was done.
-    Busy,
+    Unavailable,
     /// 429: above the rates, whatever the caller has used.
-    Many,
+    RateLimited,
     /// The connection breaks.
-    Reset,
+    Disconnect,
     /// No answer ever comes.
-    Silent,
+    NeverAnswer,
 }
 
 /// What goes wrong with transactions.
@@ -54,12 +54,12 @@
     /// They are done, and the answer is lost.
     AnswerLost,
     /// The answer is lost, and they are done so much later, if their condition still holds.
-    Late(Duration),
+    Delayed(Duration),
 }
 
 /// What was asked of the store.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
+pub struct RequestCounts {
     /// Reads, feeds included.
     pub reads: u64,
     /// Transactions and stored objects.
@@ -67,12 +67,12 @@
     /// Calls above the rates.
     pub refused: u64,
     /// Most rows that one answer of a feed held.
-    pub feed_rows_most: usize,
+    pub max_feed_rows: usize,
 }
 
-impl Counts {
-    fn note_feed(&mut self, rows: usize) {
-        self.feed_rows_most = self.feed_rows_most.max(rows);
+impl RequestCounts {
+    fn record_feed_rows(&mut self, rows: usize) {
+        self.max_feed_rows = self.max_feed_rows.max(rows);
     }
 }
 
@@ -80,14 +80,14 @@
 struct State {
     rows: Rows,
     objects: BTreeMap<String, Bytes>,
-    trouble: Trouble,
-    trouble_for: BTreeMap<IpAddr, Trouble>,
+    call_fault: CallFault,
+    call_faults_by_caller: BTreeMap<IpAddr, CallFault>,
     delay: Duration,
     write_fault: WriteFault,
-    counts: Counts,
-    reads_by: BTreeMap<IpAddr, u64>,
-    reads: Bucket,
-    writes: Bucket,
+    counts: RequestCounts,
+    configuration_reads: BTreeMap<IpAddr, u64>,
+    read_limiter: RateLimiter,
+    write_limiter: RateLimiter,
 }
 
 /// A running stand-in; it ends when dropped.
@@ -102,7 +102,7 @@
 #[derive(Debug)]
 struct Shared {
     state: Mutex<State>,
-    started: Instant,
+    started_at: Instant,
     /// Counts what feeds wait for: changes, and drops of history.
     changed: watch::Sender<u64>,
 }
@@ -122,25 +122,30 @@
             state: Mutex::new(State {
                 rows: Rows::default(),
                 objects: BTreeMap::new(),
-                trouble: Trouble::None,
-                trouble_for: BTreeMap::new(),
+                call_fault: CallFault::None,
+                call_faults_by_caller: BTreeMap::new(),
                 delay: Duration::ZERO,
                 write_fault: WriteFault::None,
-                counts: Counts::default(),
-                reads_by: BTreeMap::new(),
-                reads: Bucket::new(READS_PER_S),
-                writes: Bucket::new(WRITES_PER_S),
+                counts: RequestCounts::default(),
+                configuration_reads: BTreeMap::new(),
+                read_limiter: RateLimiter::new(MAX_READS_PER_S),
+                write_limiter: RateLimiter::new(MAX_WRITES_PER_S),
             }),
-            started: Instant::now(),
+            started_at: Instant::now(),
             changed: watch::Sender::new(0),
         });
         let stop = CancellationToken::new();
-        let handler = Arc::clone(&shared);
+        let handler_shared = Arc::clone(&shared);
         let handle = move |peer: SocketAddr, request| {
-            let shared = Arc::clone(&handler);
+            let shared = Arc::clone(&handler_shared);
             async move { shared.handle(peer.ip(), request).await }
         };
-        tokio::spawn(serve_from(listener, stop.clone(), Arc::default(), handle));
+        tokio::spawn(serve_with_peer(
+            listener,
+            stop.clone(),
+            Arc::default(),
+            handle,
+        ));
         Ok(Self {
             address,
             shared,
@@ -149,24 +154,24 @@
     }
 
     /// The operator writes a row of the table `op`; returns its version.
-    pub fn operator_writes(&self, key: &str, value: &[u8]) -> u64 {
+    pub fn write_operator_row(&self, key: &str, value: &[u8]) -> u64 {
         let version = self.shared.state().rows.put("op", "", key, value.to_vec());
-        self.shared.tell();
+        self.shared.wake_feeds();
         version
     }
 
     /// Turns everybody away from now on who has no trouble of their own.
-    pub fn set_trouble(&self, trouble: Trouble) {
-        self.shared.state().trouble = trouble;
-        self.shared.tell();
+    pub fn set_call_fault(&self, call_fault: CallFault) {
+        self.shared.state().call_fault = call_fault;
+        self.shared.wake_feeds();
     }
 
     /// Turns one caller away, or no longer.
-    pub fn set_trouble_for(&self, caller: IpAddr, trouble: Trouble) {
+    pub fn set_call_fault_for(&self, caller: IpAddr, call_fault: CallFault) {
         let mut state = self.shared.state();
-        state.trouble_for.insert(caller, trouble);
+        state.call_faults_by_caller.insert(caller, call_fault);
         drop(state);
-        self.shared.tell();
+        self.shared.wake_feeds();
     }
 
     /// Each answer takes so much longer.
@@ -182,18 +187,18 @@
     /// Drops the history up to now; feeds that wait are told so.
     pub fn drop_history(&self) {
         self.shared.state().rows.drop_history();
-        self.shared.tell();
+        self.shared.wake_feeds();
     }
 
     /// What was asked so far.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> RequestCounts {
         self.shared.state().counts
     }
 
     /// How often one caller has read what operators write, refused reads included.
     pub fn configuration_reads_of(&self, caller: IpAddr) -> u64 {
         let state = self.shared.state();
-        state.reads_by.get(&caller).copied().unwrap_or(0)
+        state.configuration_reads.get(&caller).copied().unwrap_or(0)
     }
 
     /// The value of a row of a part without a name.
@@ -203,17 +208,17 @@
 }
 
 /// What becomes of a call.
-enum Answer {
-    Now(Response<Body>),
-    Lost,
-    Never,
+enum CallOutcome {
+    Respond(Response<Body>),
+    Disconnect,
+    NeverAnswer,
 }
 
-impl From<Answer> for Option<Response<Body>> {
-    fn from(answer: Answer) -> Self {
-        match answer {
-            Answer::Now(response) => Some(response),
-            Answer::Lost | Answer::Never => None,
+impl From<CallOutcome> for Option<Response<Body>> {
+    fn from(outcome: CallOutcome) -> Self {
+        match outcome {
+            CallOutcome::Respond(response) => Some(response),
+            CallOutcome::Disconnect | CallOutcome::NeverAnswer => None,
         }
     }
 }
@@ -230,12 +235,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn tell(&self) {
+    fn wake_feeds(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    fn now(&self) -> String {
-        format!("{}ms", self.started.elapsed().as_millis())
+    fn elapsed_ms_text(&self) -> String {
+        format!("{}ms", self.started_at.elapsed().as_millis())
     }
 
     async fn handle(
@@ -247,17 +252,17 @@
         let body = body.collect().await.ok()?.to_bytes();
         let query = Query(parts.uri.query().unwrap_or(""));
         if query.get("tableName") == "op" {
-            *self.state().reads_by.entry(caller).or_default() += 1;
+            *self.state().configuration_reads.entry(caller).or_default() += 1;
         }
         let delay = self.state().delay;
         tokio::time::sleep(delay).await;
-        if let Some(turned_away) = self.turn_away(caller) {
-            return match turned_away {
-                Answer::Never => std::future::pending().await,
+        if let Some(outcome) = self.apply_call_fault(caller) {
+            return match outcome {
+                CallOutcome::NeverAnswer => std::future::pending().await,
                 other => other.into(),
             };
         }
-        if let Some(refused) = self.above_rates(&parts.method) {
+        if let Some(refused) = self.check_rate_limit(&parts.method) {
             return Some(refused);
         }
         match (&parts.method, parts.uri.path()) {
@@ -265,86 +270,93 @@
             (&Method::GET, "/-/rows-get") => Some(self.get(&query)),
             (&Method::GET, "/-/rows-parts") => Some(self.parts(&query)),
             (&Method::GET, "/-/rows-feed") => self.feed(caller, &query).await,
-            (method, path) => Some(self.state().object(method, path, &query, body)),
+            (method, path) => Some(self.state().access_object(method, path, &query, body)),
         }
     }
 
-    fn trouble_of(&self, caller: IpAddr) -> Trouble {
+    fn call_fault_of(&self, caller: IpAddr) -> CallFault {
         let state = self.state();
-        let own = state.trouble_for.get(&caller).copied().unwrap_or_default();
-        match own {
-            Trouble::None => state.trouble,
-            own => own,
+        let caller_fault = state
+            .call_faults_by_caller
+            .get(&caller)
+            .copied()
+            .unwrap_or_default();
+        match caller_fault {
+            CallFault::None => state.call_fault,
+            caller_fault => caller_fault,
         }
     }
 
-    fn turn_away(&self, caller: IpAddr) -> Option<Answer> {
-        let refuse = |status| Answer::Now(answer(status, "{}"));
-        match self.trouble_of(caller) {
-            Trouble::None => None,
-            Trouble::Busy => Some(refuse(StatusCode::SERVICE_UNAVAILABLE)),
-            Trouble::Many => Some(refuse(StatusCode::TOO_MANY_REQUESTS)),
-            Trouble::Reset => Some(Answer::Lost),
-            Trouble::Silent => Some(Answer::Never),
+    fn apply_call_fault(&self, caller: IpAddr) -> Option<CallOutcome> {
+        let refuse = |status| CallOutcome::Respond(build_response(status, "{}"));
+        match self.call_fault_of(caller) {
+            CallFault::None => None,
+            CallFault::Unavailable => Some(refuse(StatusCode::SERVICE_UNAVAILABLE)),
+            CallFault::RateLimited => Some(refuse(StatusCode::TOO_MANY_REQUESTS)),
+            CallFault::Disconnect => Some(CallOutcome::Disconnect),
+            CallFault::NeverAnswer => Some(CallOutcome::NeverAnswer),
         }
     }
 
-    fn above_rates(&self, method: &Method) -> Option<Response<Body>> {
+    fn check_rate_limit(&self, method: &Method) -> Option<Response<Body>> {
         let mut state = self.state();
         let allowed = match method == Method::GET {
             true => {
                 state.counts.reads += 1;
-                state.reads.take()
+                state.read_limiter.try_acquire()
             }
             false => {
                 state.counts.writes += 1;
-                state.writes.take()
+                state.write_limiter.try_acquire()
             }
         };
         if allowed {
             return None;
         }
         state.counts.refused += 1;
-        Some(answer(StatusCode::TOO_MANY_REQUESTS, "{}"))
+        Some(build_response(StatusCode::TOO_MANY_REQUESTS, "{}"))
     }
 
-    fn transact(self: &Arc<Self>, body: &[u8]) -> Answer {
+    fn transact(self: &Arc<Self>, body: &[u8]) -> CallOutcome {
         let Ok(transaction) = serde_json::from_slice(body) else {
-            return Answer::Now(answer(StatusCode::BAD_REQUEST, "not a transaction"));
+            return CallOutcome::Respond(build_response(
+                StatusCode::BAD_REQUEST,
+                "not a transaction",
+            ));
         };
         let fault = self.state().write_fault;
-        if let WriteFault::Late(pause) = fault {
+        if let WriteFault::Delayed(write_delay) = fault {
             let shared = Arc::clone(self);
             tokio::spawn(async move {
-                tokio::time::sleep(pause).await;
+                tokio::time::sleep(write_delay).await;
                 shared.state().rows.transact(&transaction);
-                shared.tell();
+                shared.wake_feeds();
             });
-            return Answer::Lost;
+            return CallOutcome::Disconnect;
         }
         let outcome = self.state().rows.transact(&transaction);
-        self.tell();
+        self.wake_feeds();
         if fault == WriteFault::AnswerLost {
-            return Answer::Lost;
+            return CallOutcome::Disconnect;
         }
-        let now = self.now();
-        Answer::Now(match outcome {
+        let now = self.elapsed_ms_text();
+        CallOutcome::Respond(match outcome {
             rows::Outcome::Committed(version) => json(
                 StatusCode::OK,
                 &serde_json::json!({"ver": version, "now": now}),
             ),
-            rows::Outcome::Refused(rows) => json(
+            rows::Outcome::ConditionFailed(rows) => json(
                 StatusCode::PRECONDITION_FAILED,
                 &serde_json::json!({"rows": rows, "now": now}),
             ),
-            rows::Outcome::Forbidden => answer(StatusCode::FORBIDDEN, "not yours"),
+            rows::Outcome::Forbidden => build_response(StatusCode::FORBIDDEN, "not yours"),
         })
     }
 
     fn get(&self, query: &Query<'_>) -> Response<Body> {
         let limit = query.get("limit").parse().unwrap_or(rows::PAGE_ROWS);
         let state = self.state();
-        let range = rows::Range {
+        let range = rows::RowRange {
             table: query.get("tableName"),
             part: query.get("part"),
             from: query.get("from"),
@@ -356,7 +368,7 @@
             StatusCode::OK,
             &serde_json::json!({
                 "rows": page.rows, "hasMore": page.has_more,
-                "ver": state.rows.version(), "now": self.now(),
+                "ver": state.rows.version(), "now": self.elapsed_ms_text(),
             }),
         )
     }
@@ -371,68 +383,68 @@
 
     async fn feed(&self, caller: IpAddr, query: &Query<'_>) -> Option<Response<Body>> {
         let number = |name| query.get(name).parse().unwrap_or(0);
-        let asked = FeedQuery {
+        let feed_query = FeedQuery {
             table: query.get("tableName").to_owned(),
             after: number("after"),
             wait: Duration::from_millis(number("waitMs")),
         };
         let mut changes = self.changed.subscribe();
-        let until = tokio::time::Instant::now() + asked.wait;
+        let deadline = tokio::time::Instant::now() + feed_query.wait;
         loop {
             // A call that waits is not spared when its caller's trouble begins.
-            if let Some(Answer::Lost) = self.turn_away(caller) {
+            if let Some(CallOutcome::Disconnect) = self.apply_call_fault(caller) {
                 return None;
             }
-            let told = self.state().rows.feed(&asked.table, asked.after);
-            let late = tokio::time::Instant::now() >= until;
-            match told {
-                Feed::Gone => return Some(answer(StatusCode::GONE, "{}")),
-                Feed::Changes(rows) if !rows.is_empty() || late => {
-                    self.state().counts.note_feed(rows.len());
-                    return Some(self.told(&rows));
+            let feed = self.state().rows.feed(&feed_query.table, feed_query.after);
+            let timed_out = tokio::time::Instant::now() >= deadline;
+            match feed {
+                Feed::HistoryDropped => return Some(build_response(StatusCode::GONE, "{}")),
+                Feed::Changes(rows) if !rows.is_empty() || timed_out => {
+                    self.state().counts.record_feed_rows(rows.len());
+                    return Some(self.feed_response(&rows));
                 }
                 Feed::Changes(_) => (),
             }
             // Either way the history is looked at again.
-            let _ = tokio::time::timeout_at(until, changes.changed()).await;
+            let _ = tokio::time::timeout_at(deadline, changes.changed()).await;
         }
     }
 
-    fn told(&self, rows: &[rows::WireRow]) -> Response<Body> {
+    fn feed_response(&self, rows: &[rows::WireRow]) -> Response<Body> {
         let version = self.state().rows.version();
         json(
             StatusCode::OK,
-            &serde_json::json!({"rows": rows, "ver": version, "now": self.now()}),
+            &serde_json::json!({"rows": rows, "ver": version, "now": self.elapsed_ms_text()}),
         )
     }
 }
 
 impl State {
-    fn object(
+    fn access_object(
         &mut self,
         method: &Method,
         path: &str,
         query: &Query<'_>,
         body: Bytes,
     ) -> Response<Body> {
-        let named = |prefix: &str| path.strip_prefix(prefix).map(str::to_owned);
-        if let Some(name) = named("/-/blob-put/") {
-            let known = self.objects.insert(name, body).is_some();
-            let status = match known {
+        let object_name = |prefix: &str| path.strip_prefix(prefix).map(str::to_owned);
+        if let Some(name) = object_name("/-/blob-put/") {
+            let exists = self.objects.insert(name, body).is_some();
+            let status = match exists {
                 true => StatusCode::PRECONDITION_FAILED,
                 false => StatusCode::OK,
             };
-            return answer(status, "");
+            return build_response(status, "");
         }
-        if let Some(name) = named("/-/blob-get/") {
+        if let Some(name) = object_name("/-/blob-get/") {
             return match self.objects.get(&name) {
-                Some(bytes) => answer(StatusCode::OK, bytes.clone()),
-                None => answer(StatusCode::NOT_FOUND, ""),
+                Some(bytes) => build_response(StatusCode::OK, bytes.clone()),
+                None => build_response(StatusCode::NOT_FOUND, ""),
             };
         }
-        if let Some(name) = named("/-/blob-drop/") {
+        if let Some(name) = object_name("/-/blob-drop/") {
             self.objects.remove(&name);
-            return answer(StatusCode::OK, "");
+            return build_response(StatusCode::OK, "");
         }
         if (method, path) == (&Method::GET, "/-/blob-list") {
             let prefix = query.get("prefix");
@@ -446,11 +458,11 @@
                 &serde_json::json!({"names": names, "hasMore": false}),
             );
         }
-        answer(StatusCode::NOT_FOUND, "no such call")
+        build_response(StatusCode::NOT_FOUND, "no such call")
     }
 }
 
 fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     let body = serde_json::to_vec(value).expect("rows always encode");
-    answer(status, body)
+    build_response(status, body)
 }
--- a/crates/testkit/src/users/store/rows.rs
+++ b/crates/testkit/src/users/store/rows.rs
@@ -10,10 +10,10 @@
 pub(super) const PAGE_ROWS: usize = 500;
 
 /// Tables that only operators write.
-const OPERATORS_TABLES: [&str; 2] = ["op", "servers"];
+const OPERATOR_TABLES: [&str; 2] = ["op", "servers"];
 
 /// Table, part and key of a row.
-type Name = (String, String, String);
+type RowName = (String, String, String);
 
 /// A row as it travels.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -32,7 +32,7 @@
 }
 
 impl WireRow {
-    fn name(&self) -> Name {
+    fn name(&self) -> RowName {
         (self.table.clone(), self.part.clone(), self.key.clone())
     }
 }
@@ -51,18 +51,18 @@
 pub(super) enum Outcome {
     Committed(u64),
     /// The rows of its conditions as they are.
-    Refused(Vec<WireRow>),
+    ConditionFailed(Vec<WireRow>),
     Forbidden,
 }
 
 /// What a feed has to tell.
 pub(super) enum Feed {
     Changes(Vec<WireRow>),
-    Gone,
+    HistoryDropped,
 }
 
 /// Which rows are asked for.
-pub(super) struct Range<'a> {
+pub(super) struct RowRange<'a> {
     pub(super) table: &'a str,
     pub(super) part: &'a str,
     pub(super) from: &'a str,
@@ -77,19 +77,19 @@
 }
 
 #[derive(Clone, Debug)]
-struct Stored {
+struct StoredRow {
     value: Vec<u8>,
     version: u64,
 }
 
 #[derive(Debug, Default)]
 pub(super) struct Rows {
-    rows: BTreeMap<Name, Stored>,
+    rows: BTreeMap<RowName, StoredRow>,
     version: u64,
     /// Changes in their order.
     history: Vec<WireRow>,
     /// Changes up to this version are no longer known.
-    dropped: u64,
+    history_dropped_to: u64,
 }
 
 impl Rows {
@@ -105,20 +105,20 @@
     pub(super) fn put(&mut self, table: &str, part: &str, key: &str, value: Vec<u8>) -> u64 {
         self.version += 1;
         let name = (table.to_owned(), part.to_owned(), key.to_owned());
-        self.store(name, value);
+        self.insert(name, value);
         self.version
     }
 
-    fn store(&mut self, name: Name, value: Vec<u8>) {
-        let stored = Stored {
+    fn insert(&mut self, name: RowName, value: Vec<u8>) {
+        let stored = StoredRow {
             value,
             version: self.version,
         };
-        self.history.push(wire(&name, &stored));
+        self.history.push(to_wire(&name, &stored));
         self.rows.insert(name, stored);
     }
 
-    fn remove(&mut self, name: Name) {
+    fn remove(&mut self, name: RowName) {
         if self.rows.remove(&name).is_none() {
             return;
         }
@@ -135,19 +135,19 @@
 
     pub(super) fn transact(&mut self, transaction: &Transaction) -> Outcome {
         let mut touched = transaction.writes.iter().chain(&transaction.remove);
-        if touched.any(|row| OPERATORS_TABLES.contains(&row.table.as_str())) {
+        if touched.any(|row| OPERATOR_TABLES.contains(&row.table.as_str())) {
             return Outcome::Forbidden;
         }
         let version_of = |row: &WireRow| self.rows.get(&row.name()).map_or(0, |row| row.version);
         let mut conditions = transaction.conditions.iter();
         if !conditions.all(|condition| version_of(condition) == condition.ver) {
-            return Outcome::Refused(self.named(&transaction.conditions));
+            return Outcome::ConditionFailed(self.current_rows(&transaction.conditions));
         }
         self.version += 1;
         for row in &transaction.writes {
             let value = row.value.as_deref().unwrap_or("");
             // What cannot be read is kept as nothing: the product never sends it.
-            self.store(row.name(), BASE64.decode(value).unwrap_or_default());
+            self.insert(row.name(), BASE64.decode(value).unwrap_or_default());
         }
         for row in &transaction.remove {
             self.remove(row.name());
@@ -155,16 +155,16 @@
         Outcome::Committed(self.version)
     }
 
-    fn named(&self, rows: &[WireRow]) -> Vec<WireRow> {
+    fn current_rows(&self, rows: &[WireRow]) -> Vec<WireRow> {
         let known = rows.iter().filter_map(|row| {
             let name = row.name();
-            self.rows.get(&name).map(|stored| wire(&name, stored))
+            self.rows.get(&name).map(|stored| to_wire(&name, stored))
         });
         known.collect()
     }
 
-    pub(super) fn page(&self, range: &Range<'_>) -> Page {
-        let in_range = |name: &Name| {
+    pub(super) fn page(&self, range: &RowRange<'_>) -> Page {
+        let in_range = |name: &RowName| {
             name.0 == range.table
                 && name.1 == range.part
                 && name.2.as_str() >= range.from
@@ -173,7 +173,7 @@
         let mut found = self.rows.iter().filter(|(name, _)| in_range(name));
         let limit = range.limit.min(PAGE_ROWS);
         let rows = found.by_ref().take(limit);
-        let rows = rows.map(|(name, stored)| wire(name, stored)).collect();
+        let rows = rows.map(|(name, stored)| to_wire(name, stored)).collect();
         Page {
             rows,
             has_more: found.next().is_some(),
@@ -186,25 +186,25 @@
     }
 
     pub(super) fn feed(&self, table: &str, after: u64) -> Feed {
-        if after < self.dropped {
-            return Feed::Gone;
+        if after < self.history_dropped_to {
+            return Feed::HistoryDropped;
         }
-        let news = self
+        let changes = self
             .history
             .iter()
             .filter(|row| row.table == table && row.ver > after);
-        Feed::Changes(news.cloned().collect())
+        Feed::Changes(changes.cloned().collect())
     }
 
     pub(super) fn drop_history(&mut self) {
         // Whoever has read all of it is told as well.
         self.version += 1;
-        self.dropped = self.version;
+        self.history_dropped_to = self.version;
         self.history.clear();
     }
 }
 
-fn wire(name: &Name, stored: &Stored) -> WireRow {
+fn to_wire(name: &RowName, stored: &StoredRow) -> WireRow {
     let (table, part, key) = name.clone();
     WireRow {
         table,
--- a/tests/testsuite/logs.rs
+++ b/tests/testsuite/logs.rs
@@ -10,7 +10,7 @@
 use testkit::platform::Faults;
 use testkit::process::{Addresses, LogLine, Signal};
 use testkit::users::mesh::Plan;
-use testkit::users::store::Trouble;
+use testkit::users::store::CallFault;
 use tokio::sync::mpsc;
 
 use crate::support::{
@@ -34,7 +34,7 @@
     });
     let mut victim = mesh.vms[VICTIM].node.take().expect("it runs");
     victim.signal(Signal::Kill);
-    victim.ended().await.expect("it ends");
+    victim.wait_exit().await.expect("it ends");
     wait_for_line(&mut lines, |line| line.text.contains("member is dead")).await;
     mesh.start_node(VICTIM).await.expect("it starts");
     // Others look too, but some of them seldom; a node that starts looks about every second.
@@ -120,7 +120,7 @@
     plan.data_centres.truncate(1);
     plan.log_lines = Some(sender);
     let mesh = start_users_serving(plan).await;
-    mesh.store.set_trouble(Trouble::Reset);
+    mesh.store.set_call_fault(CallFault::Disconnect);
     let is_failed_read = |line: &LogLine| line.text.contains("reading the store failed");
     let fields = fields(&wait_for_line(&mut lines, is_failed_read).await);
     assert!(fields["took_ms"].is_u64(), "{fields}");
--- a/tests/testsuite/operator_commands.rs
+++ b/tests/testsuite/operator_commands.rs
@@ -9,7 +9,7 @@
 use dragonflywall::ops::query::progress::{from_status, from_statuses};
 use http::{Method, StatusCode};
 use serde_json::Value;
-use testkit::http::{answer, serve};
+use testkit::http::{build_response, serve};
 use testkit::mesh::Deployment;
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
@@ -104,14 +104,14 @@
         let in_flight_left = Arc::clone(&in_flight_left);
         async move {
             if request.method() != Method::POST || request.uri().path() != "/drain" {
-                return Some(answer(StatusCode::NOT_FOUND, ""));
+                return Some(build_response(StatusCode::NOT_FOUND, ""));
             }
             let decremented = |in_flight_left: u64| Some(in_flight_left.saturating_sub(1));
             let remaining =
                 in_flight_left.fetch_update(Ordering::SeqCst, Ordering::SeqCst, decremented);
             let remaining = remaining.unwrap_or_default();
             let body = format!("{{\"draining\":true,\"in_flight\":{remaining}}}");
-            Some(answer(StatusCode::OK, body))
+            Some(build_response(StatusCode::OK, body))
         }
     }));
     (address, stop)
--- a/tests/testsuite/payment_faults.rs
+++ b/tests/testsuite/payment_faults.rs
@@ -209,7 +209,7 @@
     // Work for both data centres: the near one alone is not to suffice.
     for position in vms_of(&mesh, "cobros") {
         let behaviour = Behaviour {
-            work: Duration::from_millis(5),
+            default_work_time: Duration::from_millis(5),
             ..Behaviour::default()
         };
         mesh.vms[position].backend.set_behaviour(behaviour);
--- a/tests/testsuite/requests_answers.rs
+++ b/tests/testsuite/requests_answers.rs
@@ -152,7 +152,7 @@
     }
     let backend = &mesh.vms[target].backend;
     wait_until("all slots are taken", LIMIT, || async {
-        backend.record().peak == 20
+        backend.record().peak_running == 20
     })
     .await;
     let disconnecting = tokio::spawn(ask(entry, Method::POST, "cobros", "/payments", "gone-1"));
@@ -177,7 +177,7 @@
     })
     .await;
     assert_eq!(
-        backend.record().peak,
+        backend.record().peak_running,
         20,
         "more than the slots ran at a time"
     );
@@ -251,7 +251,11 @@
     }
     callers.join_all().await;
     let record = mesh.vms[0].backend.record();
-    assert!(record.peak <= 2, "{} at a time", record.peak);
+    assert!(
+        record.peak_running <= 2,
+        "{} at a time",
+        record.peak_running
+    );
     assert!(
         record.peak_connections <= 2,
         "{} connections",
--- a/tests/testsuite/requests_chain.rs
+++ b/tests/testsuite/requests_chain.rs
@@ -11,7 +11,7 @@
     let mesh = start_chatarras(small(&["tablon", "hemeroteca"], 1)).await;
     for vm in &mesh.vms {
         vm.backend.set_behaviour(Behaviour {
-            entry: Some(vm.node().addresses.caller),
+            caller_listener: Some(vm.node().addresses.caller),
             ..Behaviour::default()
         });
     }
--- a/tests/testsuite/requests_drain.rs
+++ b/tests/testsuite/requests_drain.rs
@@ -192,14 +192,14 @@
     let reply = long.await.expect("no panic").expect("the node answers");
     assert_eq!(reply.status, 200);
     let node = mesh.vms[victim].node.as_mut().expect("it is there");
-    let ended = tokio::time::timeout(LIMIT, node.ended()).await;
+    let ended = tokio::time::timeout(LIMIT, node.wait_exit()).await;
     let ended = ended.expect("it leaves").expect("it is a child");
     assert!(ended.success(), "{ended:?}");
     let exited = mesh.vms[victim].node.take();
     drop(exited);
     let failures = collect_failures(callers, &stop).await;
     assert!(failures.is_empty(), "{failures:?}");
-    let last_begun = mesh.vms[victim].backend.record().last_begun;
+    let last_begun = mesh.vms[victim].backend.record().last_run_start;
     let lag = last_begun.map(|at| at.saturating_duration_since(terminated_at));
     println!("last new request {lag:?} after the signal");
 }
@@ -286,7 +286,7 @@
     }
     let backend = &mesh.vms[first].backend;
     wait_until("all slots are taken", LIMIT, || async {
-        backend.record().peak == 20
+        backend.record().peak_running == 20
     })
     .await;
     let bundle = vec![9; BYTES];
--- a/tests/testsuite/requests_http2.rs
+++ b/tests/testsuite/requests_http2.rs
@@ -2,7 +2,7 @@
 
 use http::Method;
 use testkit::backend::expected_answer_digest;
-use testkit::http::Http2;
+use testkit::http::Http2Connection;
 use testkit::process::Signal;
 use tokio::task::JoinSet;
 
@@ -14,7 +14,7 @@
 async fn responses_on_one_connection_do_not_mix() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     let entry = mesh.vms[vms_of(&mesh, "cobros")[0]].node();
-    let connection = Http2::connect(entry.addresses.caller).await;
+    let connection = Http2Connection::connect(entry.addresses.caller).await;
     let connection = connection.expect("it listens");
     let path = "/prices/zinc?answer_bytes=100000&break_after=50000";
     let truncated = connection.request(Method::GET, "tablon", path, "broken-1");
@@ -41,7 +41,7 @@
     let mut mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     let position = vms_of(&mesh, "tablon")[0];
     let entry = mesh.vms[position].node().addresses.caller;
-    let connection = Http2::connect(entry).await.expect("it listens");
+    let connection = Http2Connection::connect(entry).await.expect("it listens");
     let path = "/payments?work_ms=1500";
     let payment = connection.request(Method::POST, "cobros", path, "pay-1");
     let payment = tokio::spawn(payment);
@@ -49,9 +49,9 @@
     mesh.vms[position].node().signal(Signal::Terminate);
     let reply = payment.await.expect("no panic").expect("the node answers");
     assert_eq!(reply.status, 200);
-    let closed = tokio::time::timeout(LIMIT, connection.closed()).await;
+    let closed = tokio::time::timeout(LIMIT, connection.wait_closed()).await;
     assert!(closed.is_ok(), "the connection stays open");
     let node = mesh.vms[position].node.as_mut().expect("it is there");
-    let ended = node.ended().await.expect("it is a child");
+    let ended = node.wait_exit().await.expect("it is a child");
     assert!(ended.success(), "{ended:?}");
 }
--- a/tests/testsuite/requests_imposter.rs
+++ b/tests/testsuite/requests_imposter.rs
@@ -18,7 +18,7 @@
     let mut node = mesh.vms[replaced].node.take().expect("it runs");
     let address = node.addresses.peer;
     node.signal(Signal::Kill);
-    node.ended().await.expect("it ends");
+    node.wait_exit().await.expect("it ends");
     let imposter = Backend::start(address, "imposter", Behaviour::default()).await;
     let imposter = imposter.expect("the address is free");
 
--- a/tests/testsuite/requests_pipeline.rs
+++ b/tests/testsuite/requests_pipeline.rs
@@ -70,7 +70,7 @@
     let ids = response_ids(&mut stream, 3).await;
     assert_eq!(ids, ["slow", "second", "third"]);
     let record = mesh.vms[target].backend.record();
-    assert_eq!(record.peak, 3, "they ran one after the other");
+    assert_eq!(record.peak_running, 3, "they ran one after the other");
     assert_eq!(record.runs.len(), 3);
 }
 
--- a/tests/testsuite/requests_untrusted.rs
+++ b/tests/testsuite/requests_untrusted.rs
@@ -144,7 +144,7 @@
         streams.push(send(entry, LONG_REQUEST).await);
     }
     wait_until("four long requests run", LIMIT, || async {
-        mesh.vms[0].backend.record().peak == 4
+        mesh.vms[0].backend.record().peak_running == 4
     })
     .await;
     let fifth = exchange_raw(entry, QUICK_REQUEST).await;
--- a/tests/testsuite/requests_uploads.rs
+++ b/tests/testsuite/requests_uploads.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use http::Method;
-use testkit::http::{Http2, Reply, wait_until};
+use testkit::http::{Http2Connection, Reply, wait_until};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
@@ -64,7 +64,9 @@
 /// Asks the gate at `peer` for a turn for an upload of 60 KB that does not wait for one. Each time on a
 /// connection of its own: on one connection the gate would find the later ones held up on their way.
 async fn reserve(peer: SocketAddr, id: &str) -> Reply {
-    let connection = Http2::connect(peer).await.expect("the node listens");
+    let connection = Http2Connection::connect(peer)
+        .await
+        .expect("the node listens");
     let headers = [
         ("x-request-id", id),
         ("x-dragonflywall-data", "1"),
@@ -74,7 +76,8 @@
         ("x-dragonflywall-deadline-ms", "5000"),
         ("x-dragonflywall-reserve", "60000"),
     ];
-    let reservation = connection.request_with(Method::PUT, "bascula", "/bundles/1", &headers);
+    let reservation =
+        connection.request_with_headers(Method::PUT, "bascula", "/bundles/1", &headers);
     reservation.await.expect("the gate answers")
 }
 
--- a/tests/testsuite/spread_failures.rs
+++ b/tests/testsuite/spread_failures.rs
@@ -41,7 +41,7 @@
     }
     for position in positions {
         let node = mesh.vms[*position].node.take();
-        let ended = node.expect("it ran").ended().await;
+        let ended = node.expect("it ran").wait_exit().await;
         ended.expect("it ended");
     }
 }
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -9,7 +9,7 @@
 use testkit::http::{Reply, request, wait_until};
 use testkit::mesh::{Deployment, Mesh};
 use testkit::users;
-use testkit::users::configuration::{Kind, Route};
+use testkit::users::configuration::{Route, RouteKind};
 
 pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_dragonflywall");
 
@@ -132,9 +132,9 @@
 /// Routes to both of [`SERVICES`]: reads and uploads to the first one, payments to the second.
 pub(crate) fn users_routes() -> Vec<Route> {
     vec![
-        Route::new("/stock/", Kind::Idempotent, SERVICES[0]),
-        Route::new("/sheets/", Kind::Upload, SERVICES[0]),
-        Route::new("/book/", Kind::NonIdempotent, SERVICES[1]),
+        Route::new("/stock/", RouteKind::Idempotent, SERVICES[0]),
+        Route::new("/sheets/", RouteKind::Upload, SERVICES[0]),
+        Route::new("/book/", RouteKind::NonIdempotent, SERVICES[1]),
     ]
 }
 
@@ -155,8 +155,8 @@
     routes: &[Route],
     services: &[&str],
 ) {
-    let text = users::configuration::text(version, routes, services);
-    mesh.store.operator_writes("config", text.as_bytes());
+    let text = users::configuration::json_text(version, routes, services);
+    mesh.store.write_operator_row("config", text.as_bytes());
 }
 
 /// The VMs at whose backend servers a request ran, one entry for each run.
--- a/tests/testsuite/token.rs
+++ b/tests/testsuite/token.rs
@@ -5,7 +5,7 @@
 
 use http::Method;
 use testkit::backend::{Backend, Behaviour};
-use testkit::http::{Http2, request};
+use testkit::http::{Http2Connection, request};
 use testkit::platform::Platform;
 use testkit::process::NodeProcess;
 
@@ -50,8 +50,8 @@
         ("x-dragonflywall-service", "cobros"),
     ];
     let peer = node.addresses.peer;
-    let client = Http2::connect(peer).await.expect("it listens");
-    let reply = client.request_with(Method::POST, "cobros", "/payments", &forged_headers);
+    let client = Http2Connection::connect(peer).await.expect("it listens");
+    let reply = client.request_with_headers(Method::POST, "cobros", "/payments", &forged_headers);
     let reply = reply.await.expect("an answer");
     assert_eq!(reply.status, 401);
     assert_eq!(reply.header(VERDICT), "not-run");
--- a/tests/testsuite/users_configuration.rs
+++ b/tests/testsuite/users_configuration.rs
@@ -5,9 +5,9 @@
 use http::{Method, StatusCode};
 use testkit::http::wait_until;
 use testkit::process::Signal;
-use testkit::users::configuration::{HOST, Kind, Route, text_with_idle_timeout};
-use testkit::users::mesh::{Asked, Mesh, Plan};
-use testkit::users::store::Trouble;
+use testkit::users::configuration::{DEFAULT_HOST, Route, RouteKind, json_text_with_idle_timeout};
+use testkit::users::mesh::{CallerRequest, Mesh, Plan};
+use testkit::users::store::CallFault;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -16,7 +16,9 @@
 };
 
 async fn status_of(mesh: &Mesh, position: usize, path: &str) -> StatusCode {
-    let reply = mesh.ask(position, &Asked::get(path, "probe")).await;
+    let reply = mesh
+        .send_request(position, &CallerRequest::get(path, "probe"))
+        .await;
     reply.expect("the node answers").status
 }
 
@@ -26,13 +28,15 @@
 async fn every_node_enforces_all_changes_of_a_version() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let mut routes = users_routes();
-    routes[0].to = vec![(SERVICES[1].to_owned(), 100)];
+    routes[0].destinations = vec![(SERVICES[1].to_owned(), 100)];
     routes[1].prefix = "/scans/".to_owned();
     write_routes(&mesh, 2, &routes, &SERVICES);
     mesh.wait_enforced(2).await;
     for position in 0..mesh.vms.len() {
         let id = format!("moved-{position}");
-        let reply = mesh.ask(position, &Asked::get("/stock/1", &id)).await;
+        let reply = mesh
+            .send_request(position, &CallerRequest::get("/stock/1", &id))
+            .await;
         assert_eq!(reply.expect("it is answered").status, 200);
         let runs = users_runs(&mesh, &id);
         assert_eq!(mesh.vms[runs[0]].service, SERVICES[1]);
@@ -45,18 +49,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn host_and_longest_prefix_select_the_route() {
     let mesh = start_users(Plan::new(&SERVICES)).await;
-    let mut elsewhere = Route::new("/stock/salt/fine/", Kind::Idempotent, SERVICES[0]);
+    let mut elsewhere = Route::new("/stock/salt/fine/", RouteKind::Idempotent, SERVICES[0]);
     elsewhere.host = "other.example".to_owned();
     let routes = [
-        Route::new("/stock/", Kind::Idempotent, SERVICES[0]),
-        Route::new("/stock/salt/", Kind::Idempotent, SERVICES[1]),
+        Route::new("/stock/", RouteKind::Idempotent, SERVICES[0]),
+        Route::new("/stock/salt/", RouteKind::Idempotent, SERVICES[1]),
         elsewhere,
     ];
     write_routes(&mesh, 1, &routes, &SERVICES);
     mesh.wait_enforced(1).await;
     mesh.wait_serving().await;
     let service_that_ran = async |path: &str, id: &str| {
-        let reply = mesh.ask(0, &Asked::get(path, id)).await;
+        let reply = mesh.send_request(0, &CallerRequest::get(path, id)).await;
         assert_eq!(reply.expect("it is answered").status, 200);
         mesh.vms[users_runs(&mesh, id)[0]].service.clone()
     };
@@ -73,15 +77,17 @@
 async fn split_route_follows_its_weights() {
     const REQUESTS: usize = 60;
     let mesh = start_users(Plan::new(&SERVICES)).await;
-    let mut route = Route::new("/stock/", Kind::Idempotent, SERVICES[0]);
-    route.to = vec![(SERVICES[0].to_owned(), 90), (SERVICES[1].to_owned(), 10)];
+    let mut route = Route::new("/stock/", RouteKind::Idempotent, SERVICES[0]);
+    route.destinations = vec![(SERVICES[0].to_owned(), 90), (SERVICES[1].to_owned(), 10)];
     write_routes(&mesh, 1, &[route], &SERVICES);
     mesh.wait_enforced(1).await;
     mesh.wait_serving().await;
     let mut canary = 0;
     for number in 0..REQUESTS {
         let id = format!("split-{number}");
-        let reply = mesh.ask(0, &Asked::get("/stock/1", &id)).await;
+        let reply = mesh
+            .send_request(0, &CallerRequest::get("/stock/1", &id))
+            .await;
         assert_eq!(reply.expect("it is answered").status, 200);
         let ran = users_runs(&mesh, &id)[0];
         canary += usize::from(mesh.vms[ran].service == SERVICES[1]);
@@ -94,22 +100,22 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_refused_by_the_store_receive_new_versions() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
-    let troubles = [
-        Trouble::Busy,
-        Trouble::Many,
-        Trouble::Reset,
-        Trouble::Silent,
+    let faults = [
+        CallFault::Unavailable,
+        CallFault::RateLimited,
+        CallFault::Disconnect,
+        CallFault::NeverAnswer,
     ];
-    for (number, trouble) in troubles.into_iter().enumerate() {
+    for (number, fault) in faults.into_iter().enumerate() {
         // One of the two VMs of each data centre; each of the two in turn.
         for vm in mesh.vms.iter().skip(number % 2).step_by(2) {
-            mesh.store.set_trouble_for(vm.ip, trouble);
+            mesh.store.set_call_fault_for(vm.ip, fault);
         }
         let version = number as u64 + 2;
         write_routes(&mesh, version, &users_routes(), &SERVICES);
         mesh.wait_enforced(version).await;
         for vm in &mesh.vms {
-            mesh.store.set_trouble_for(vm.ip, Trouble::None);
+            mesh.store.set_call_fault_for(vm.ip, CallFault::None);
         }
     }
 }
@@ -125,7 +131,7 @@
         .collect();
     for position in &refused {
         mesh.store
-            .set_trouble_for(mesh.vms[*position].ip, Trouble::Busy);
+            .set_call_fault_for(mesh.vms[*position].ip, CallFault::Unavailable);
     }
     let started = Instant::now();
     for version in 2.. {
@@ -153,8 +159,9 @@
     plan.data_centres.truncate(1);
     plan.vms_per_service = 3;
     let mesh = start_users_serving(plan).await;
-    let lead = mesh.lead_of("gijon").await;
-    mesh.store.set_trouble_for(mesh.vms[lead].ip, Trouble::Busy);
+    let lead = mesh.wait_lead("gijon").await;
+    mesh.store
+        .set_call_fault_for(mesh.vms[lead].ip, CallFault::Unavailable);
     let others: Vec<usize> = (0..mesh.vms.len())
         .filter(|position| *position != lead)
         .collect();
@@ -194,17 +201,18 @@
         write_routes(&mesh, version, &users_routes(), &SERVICES);
         mesh.wait_enforced(version).await;
     }
-    let lead = mesh.lead_of("gijon").await;
+    let lead = mesh.wait_lead("gijon").await;
     let other = 1 - lead;
     let reads = mesh.store.configuration_reads_of(mesh.vms[other].ip);
-    mesh.store.set_trouble_for(mesh.vms[lead].ip, Trouble::Busy);
+    mesh.store
+        .set_call_fault_for(mesh.vms[lead].ip, CallFault::Unavailable);
     wait_until("the other node reads the store", LIMIT, || async {
         mesh.store.configuration_reads_of(mesh.vms[other].ip) > reads
     })
     .await;
     write_routes(&mesh, LAST + 1, &users_routes(), &SERVICES);
     mesh.wait_enforced(LAST + 1).await;
-    let rows = mesh.store.counts().feed_rows_most;
+    let rows = mesh.store.counts().max_feed_rows;
     assert!(rows < LEAST_ROWS_OF_HISTORY, "{rows} rows in one answer");
 }
 
@@ -226,14 +234,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_configuration_is_not_enforced() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
-    let valid_text = testkit::users::configuration::text(2, &users_routes(), &SERVICES);
+    let valid_text = testkit::users::configuration::json_text(2, &users_routes(), &SERVICES);
     let invalid_texts = [
         valid_text[..valid_text.len() / 2].to_owned(),
         valid_text.replace(SERVICES[1], "nobody"),
         valid_text.replace("\"5000ms\"", "\"-5000ms\""),
     ];
     for text in invalid_texts {
-        mesh.store.operator_writes("config", text.as_bytes());
+        mesh.store.write_operator_row("config", text.as_bytes());
     }
     write_routes(&mesh, 3, &users_routes(), &SERVICES);
     mesh.wait_enforced(3).await;
@@ -268,18 +276,20 @@
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     write_routes(&mesh, 2, &users_routes(), &SERVICES);
     mesh.wait_enforced(2).await;
-    for trouble in [Trouble::Busy, Trouble::Silent] {
-        mesh.store.set_trouble(trouble);
+    for fault in [CallFault::Unavailable, CallFault::NeverAnswer] {
+        mesh.store.set_call_fault(fault);
         mesh.kill_node(0).await.expect("it ends");
         mesh.start_node(0).await.expect("it starts");
         wait_until("the node serves again", LIMIT, || async {
-            let reply = mesh.ask(0, &Asked::get("/stock/1", "again")).await;
+            let reply = mesh
+                .send_request(0, &CallerRequest::get("/stock/1", "again"))
+                .await;
             reply.is_ok_and(|reply| reply.status == 200)
         })
         .await;
         assert!(mesh.version_at(0).await >= 2);
     }
-    mesh.store.set_trouble(Trouble::None);
+    mesh.store.set_call_fault(CallFault::None);
     write_routes(&mesh, 3, &users_routes(), &SERVICES);
     mesh.wait_enforced(3).await;
 }
@@ -290,12 +300,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn node_restarted_during_a_store_outage_is_rediscovered_by_peers() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
-    mesh.store.set_trouble(Trouble::Silent);
+    mesh.store.set_call_fault(CallFault::NeverAnswer);
     mesh.vms[0].node().signal(Signal::Terminate);
-    mesh.end_node(0).await.expect("it ends");
+    mesh.wait_node_exit(0).await.expect("it ends");
     mesh.start_node(0).await.expect("it starts");
     wait_until("the node serves again", LIMIT, || async {
-        let reply = mesh.ask(0, &Asked::get("/stock/1", "again")).await;
+        let reply = mesh
+            .send_request(0, &CallerRequest::get("/stock/1", "again"))
+            .await;
         reply.is_ok_and(|reply| reply.status == 200)
     })
     .await;
@@ -307,7 +319,9 @@
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
     let mesh = start_users(plan).await;
-    let reply = mesh.ask(0, &Asked::get("/stock/1", "early")).await;
+    let reply = mesh
+        .send_request(0, &CallerRequest::get("/stock/1", "early"))
+        .await;
     let reply = reply.expect("it is answered");
     assert_eq!(reply.status, 503);
     let seconds: f64 = reply.header("retry-after").parse().expect("it is told");
@@ -323,7 +337,7 @@
 
 /// Asks on an open connection; false if it is closed instead of answered.
 async fn answers(stream: &mut TcpStream) -> bool {
-    let request = format!("GET /stock/1?bytes=10 HTTP/1.1\r\nhost: {HOST}\r\n\r\n");
+    let request = format!("GET /stock/1?bytes=10 HTTP/1.1\r\nhost: {DEFAULT_HOST}\r\n\r\n");
     if stream.write_all(request.as_bytes()).await.is_err() {
         return false;
     }
@@ -339,8 +353,8 @@
     const OLD_MS: u32 = 3_000;
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let write = |version, idle_ms| {
-        let text = text_with_idle_timeout(version, &users_routes(), &SERVICES, idle_ms);
-        mesh.store.operator_writes("config", text.as_bytes());
+        let text = json_text_with_idle_timeout(version, &users_routes(), &SERVICES, idle_ms);
+        mesh.store.write_operator_row("config", text.as_bytes());
     };
     write(2, OLD_MS);
     mesh.wait_enforced(2).await;
--- a/tests/testsuite/users_requests.rs
+++ b/tests/testsuite/users_requests.rs
@@ -4,8 +4,8 @@
 
 use http::StatusCode;
 use testkit::http::{Reply, wait_until};
-use testkit::users::backend::{Answering, Behaviour, OnFull, seal_of};
-use testkit::users::mesh::{Asked, Mesh, Plan, REQUEST_ID, SEAL};
+use testkit::users::backend::{Behaviour, OverloadAction, ResponseMode, response_seal};
+use testkit::users::mesh::{CallerRequest, Mesh, Plan, REQUEST_ID, RESPONSE_SEAL};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -23,12 +23,18 @@
 fn assert_own_answer(reply: &Reply, id: &str, bytes: u64) {
     assert_eq!(reply.status, 200, "{id}");
     assert_eq!(reply.header(REQUEST_ID), id);
-    assert_eq!(reply.header(SEAL), seal_of(id, bytes), "{id}");
+    assert_eq!(
+        reply.header(RESPONSE_SEAL),
+        response_seal(id, bytes),
+        "{id}"
+    );
     assert_eq!(reply.body.len() as u64, bytes, "{id}");
 }
 
-async fn send(mesh: &Mesh, request: &Asked<'_>) -> Reply {
-    mesh.ask(0, request).await.expect("the node answers")
+async fn send(mesh: &Mesh, request: &CallerRequest<'_>) -> Reply {
+    mesh.send_request(0, request)
+        .await
+        .expect("the node answers")
 }
 
 /// A backend server answers some requests twice, the second time at once or when the connection may carry
@@ -39,14 +45,14 @@
     let mut served = 0;
     for number in 0..60 {
         let mode = match number % 3 {
-            0 => Answering::Extra.word(),
-            1 => Answering::ExtraLate.word(),
-            _ => Answering::Whole.word(),
+            0 => ResponseMode::Duplicated.query_value(),
+            1 => ResponseMode::DuplicatedLate.query_value(),
+            _ => ResponseMode::Complete.query_value(),
         };
         let bytes = 100 + number;
         let path = format!("/stock/{number}?bytes={bytes}&answer={mode}");
         let id = format!("twice-{number}");
-        let reply = send(&mesh, &Asked::get(&path, &id)).await;
+        let reply = send(&mesh, &CallerRequest::get(&path, &id)).await;
         // Whose place the other answer took may have run, and is tried again only so often.
         if reply.status != StatusCode::BAD_GATEWAY {
             assert_own_answer(&reply, &id, bytes);
@@ -61,11 +67,19 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_response_without_length_is_whole_and_a_truncated_one_fails() {
     let mesh = start_users_serving(small()).await;
-    let path = format!("/stock/1?bytes=5000&answer={}", Answering::Unframed.word());
-    let reply = send(&mesh, &Asked::get(&path, "unframed")).await;
+    let path = format!(
+        "/stock/1?bytes=5000&answer={}",
+        ResponseMode::WithoutLength.query_value()
+    );
+    let reply = send(&mesh, &CallerRequest::get(&path, "unframed")).await;
     assert_own_answer(&reply, "unframed", 5_000);
-    let path = format!("/book/1?bytes=5000&answer={}", Answering::Cut.word());
-    let reply = mesh.ask(0, &Asked::post(&path, "cut")).await;
+    let path = format!(
+        "/book/1?bytes=5000&answer={}",
+        ResponseMode::Truncated.query_value()
+    );
+    let reply = mesh
+        .send_request(0, &CallerRequest::post(&path, "cut"))
+        .await;
     let whole = reply.is_ok_and(|reply| reply.status == 200);
     assert!(!whole, "a cut answer looked whole");
 }
@@ -75,8 +89,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_whose_response_is_lost_runs_once() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
-    let path = format!("/book/1?answer={}", Answering::Lost.word());
-    let reply = send(&mesh, &Asked::post(&path, "lost")).await;
+    let path = format!("/book/1?answer={}", ResponseMode::Closed.query_value());
+    let reply = send(&mesh, &CallerRequest::post(&path, "lost")).await;
     assert_eq!(reply.status, StatusCode::BAD_GATEWAY);
     assert_eq!(users_runs(&mesh, "lost").len(), 1);
 }
@@ -86,8 +100,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lookup_whose_response_is_lost_is_retried_elsewhere() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
-    let path = format!("/stock/1?answer={}", Answering::Lost.word());
-    let reply = send(&mesh, &Asked::get(&path, "lost")).await;
+    let path = format!("/stock/1?answer={}", ResponseMode::Closed.query_value());
+    let reply = send(&mesh, &CallerRequest::get(&path, "lost")).await;
     assert_eq!(reply.status, StatusCode::BAD_GATEWAY);
     let runs = users_runs(&mesh, "lost");
     assert_eq!(runs.len(), 2);
@@ -109,7 +123,7 @@
         let mesh = &mesh;
         async move {
             let path = "/book/1?work_ms=900";
-            let mut request = Asked::post(path, &id);
+            let mut request = CallerRequest::post(path, &id);
             request.deadline_ms = 1_000;
             (send(mesh, &request).await, users_runs(mesh, &id).len())
         }
@@ -166,8 +180,12 @@
         .await
         .expect("the address is free");
     // It has not announced itself where it stands now.
-    mesh.mute_backend(position);
-    let reply = send(&mesh, &Asked::post("/sheets/1", "meant-for-the-last")).await;
+    mesh.stop_announcements(position);
+    let reply = send(
+        &mesh,
+        &CallerRequest::post("/sheets/1", "meant-for-the-last"),
+    )
+    .await;
     assert_eq!(reply.status, 503);
     assert!(users_runs(&mesh, "meant-for-the-last").is_empty());
 }
@@ -179,10 +197,10 @@
     let path = "/stock/1?work_ms=60000";
     for position in 0..mesh.vms.len() {
         let id = format!("left-{position}");
-        let mut request = Asked::get(path, &id);
+        let mut request = CallerRequest::get(path, &id);
         request.deadline_ms = 60_000;
         {
-            let pending = mesh.ask(position, &request);
+            let pending = mesh.send_request(position, &request);
             let running = wait_until("it runs", LIMIT, || async {
                 !users_runs(&mesh, &id).is_empty()
             });
@@ -204,7 +222,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_backend_server_receives_remaining_time_and_calling_service() {
     let mesh = start_users_serving(small()).await;
-    let mut request = Asked::get("/stock/1?work_ms=5000", "hasty");
+    let mut request = CallerRequest::get("/stock/1?work_ms=5000", "hasty");
     request.deadline_ms = 300;
     let reply = send(&mesh, &request).await;
     assert_eq!(reply.status, StatusCode::GATEWAY_TIMEOUT);
@@ -222,21 +240,24 @@
     let mesh = start_users_serving(small()).await;
     let body = vec![7; 300_000];
     for number in 0..10 {
-        let path = format!("/sheets/{number}?answer={}", Answering::Early.word());
+        let path = format!(
+            "/sheets/{number}?answer={}",
+            ResponseMode::EarlyFailure.query_value()
+        );
         let id = format!("early-{number}");
-        let request = Asked {
+        let request = CallerRequest {
             body: &body,
-            ..Asked::post(&path, &id)
+            ..CallerRequest::post(&path, &id)
         };
         // It may break off as the answer comes before its end.
-        if let Ok(reply) = mesh.ask(0, &request).await {
+        if let Ok(reply) = mesh.send_request(0, &request).await {
             assert_eq!(reply.status, 500);
         }
         let path = format!("/sheets/{number}");
         let id = format!("whole-{number}");
-        let request = Asked {
+        let request = CallerRequest {
             body: &body,
-            ..Asked::post(&path, &id)
+            ..CallerRequest::post(&path, &id)
         };
         let reply = send(&mesh, &request).await;
         assert_own_answer(&reply, &id, 64);
@@ -250,19 +271,19 @@
 /// it keeps count of its slots, so that neither happens however many ask.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_backend_server_is_never_sent_more_than_its_slots() {
-    for on_full in [OnFull::Reset, OnFull::Mute] {
+    for overload_action in [OverloadAction::Reset, OverloadAction::NeverAnswer] {
         let mut plan = small();
         plan.behaviour = Behaviour {
             slots: 2,
-            queue: 0,
-            work: Duration::from_millis(20),
-            on_full,
+            queue_len: 0,
+            default_work_time: Duration::from_millis(20),
+            overload_action,
             ..Behaviour::default()
         };
         let mesh = start_users_serving(plan).await;
         let ids: Vec<String> = (0..40).map(|number| format!("full-{number}")).collect();
         let requests = ids.iter().map(|id| async {
-            let reply = send(&mesh, &Asked::get("/stock/1", id)).await;
+            let reply = send(&mesh, &CallerRequest::get("/stock/1", id)).await;
             reply.status
         });
         for status in join_all(requests.collect()).await {
@@ -272,10 +293,10 @@
 }
 
 /// Asks again and again, each time after the backend server has forgotten its idle connections.
-async fn request_over_dropped_connections(new_request: for<'a> fn(&'a str) -> Asked<'a>) {
+async fn request_over_dropped_connections(new_request: for<'a> fn(&'a str) -> CallerRequest<'a>) {
     let mut plan = small();
     plan.behaviour = Behaviour {
-        forgets_idle: Some(Duration::from_millis(200)),
+        forgets_idle_after: Some(Duration::from_millis(200)),
         ..Behaviour::default()
     };
     let mesh = start_users_serving(plan).await;
@@ -292,13 +313,13 @@
 /// on such a connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dropped_idle_connection_fails_no_booking() {
-    request_over_dropped_connections(|id| Asked::post("/book/1", id)).await;
+    request_over_dropped_connections(|id| CallerRequest::post("/book/1", id)).await;
 }
 
 /// Guards against reads that fail on a connection which the backend server has forgotten.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dropped_idle_connection_fails_no_read() {
-    request_over_dropped_connections(|id| Asked::get("/stock/1", id)).await;
+    request_over_dropped_connections(|id| CallerRequest::get("/stock/1", id)).await;
 }
 
 /// Guards against a new connection to the backend server for each read of a quiet time.
@@ -314,7 +335,7 @@
     let before = connections();
     for number in 0..READS {
         let id = format!("quiet-{number}");
-        let reply = send(&mesh, &Asked::get("/stock/1", &id)).await;
+        let reply = send(&mesh, &CallerRequest::get("/stock/1", &id)).await;
         assert_own_answer(&reply, &id, 64);
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
@@ -350,7 +371,7 @@
     let started_at = |number: usize| {
         let id = format!("order-{number}");
         let ran = users_runs(&mesh, &id)[0];
-        mesh.vms[ran].backend().record().runs[&id][0].began
+        mesh.vms[ran].backend().record().runs[&id][0].started_at
     };
     assert!(started_at(2) < started_at(0) + Duration::from_millis(200));
 }
@@ -360,7 +381,7 @@
 async fn calls_of_a_backend_server_go_through_its_node() {
     let mesh = start_users_serving(small()).await;
     let path = "/book/1?call=mesh.example/stock/7";
-    let reply = send(&mesh, &Asked::post(path, "chain")).await;
+    let reply = send(&mesh, &CallerRequest::post(path, "chain")).await;
     assert_own_answer(&reply, "chain", 64);
     let called = users_runs(&mesh, "chain.call");
     assert_eq!(called.len(), 1);
@@ -399,7 +420,7 @@
     };
     let read = |id: &'static str, path: &'static str| {
         let mesh = &mesh;
-        let mut request = Asked::get(path, id);
+        let mut request = CallerRequest::get(path, id);
         request.deadline_ms = 60_000;
         async move {
             let reply = send(mesh, &request).await;
@@ -414,12 +435,12 @@
             async {
                 waiting(2).await;
                 let path = "/book/1?call=mesh.example/stock/7";
-                send(&mesh, &Asked::post(path, "booking")).await
+                send(&mesh, &CallerRequest::post(path, "booking")).await
             },
         )
     };
     tokio::join!(read("long", "/stock/1?work_ms=1500"), others);
-    let started_at = |id: &str| mesh.vms[ledger].backend().record().runs[id][0].began;
+    let started_at = |id: &str| mesh.vms[ledger].backend().record().runs[id][0].started_at;
     assert!(started_at("booking.call") < started_at("keeper-1"));
     assert!(started_at("booking.call") < started_at("keeper-2"));
 }
@@ -429,7 +450,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_id_that_extends_no_running_request_is_not_a_call() {
     let mesh = start_users_serving(small()).await;
-    let reply = send(&mesh, &Asked::get("/stock/1", "nobody.call")).await;
+    let reply = send(&mesh, &CallerRequest::get("/stock/1", "nobody.call")).await;
     assert_own_answer(&reply, "nobody.call", 64);
     let ran = users_runs(&mesh, "nobody.call")[0];
     let run = mesh.vms[ran].backend().record().runs["nobody.call"][0].clone();
@@ -440,10 +461,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_failure_response_of_the_backend_server_is_passed_on() {
     let mesh = start_users_serving(small()).await;
-    let path = format!("/book/1?answer={}", Answering::Failure.word());
-    let reply = send(&mesh, &Asked::post(&path, "failed")).await;
+    let path = format!("/book/1?answer={}", ResponseMode::Failure.query_value());
+    let reply = send(&mesh, &CallerRequest::post(&path, "failed")).await;
     assert_eq!(reply.status, StatusCode::INTERNAL_SERVER_ERROR);
-    assert_eq!(reply.header(SEAL), "failure.failed");
+    assert_eq!(reply.header(RESPONSE_SEAL), "failure.failed");
     let ran = users_runs(&mesh, "failed")[0];
     let run = mesh.vms[ran].backend().record().runs["failed"][0].clone();
     assert_eq!(run.target, format!("POST mesh.example{path}"));
--- a/tests/testsuite/users_settings.rs
+++ b/tests/testsuite/users_settings.rs
@@ -3,7 +3,7 @@
 use dragonflywall::node::{self, Settings};
 use testkit::http::wait_until;
 use testkit::process::{LogLine, Signal};
-use testkit::users::mesh::{Asked, Mesh, Plan};
+use testkit::users::mesh::{CallerRequest, Mesh, Plan};
 use tokio::sync::mpsc;
 
 use crate::support::{LIMIT, SERVICES, command, start_users_serving};
@@ -110,7 +110,9 @@
 }
 
 async fn serves(mesh: &Mesh) -> bool {
-    let reply = mesh.ask(0, &Asked::get("/stock/1", "after")).await;
+    let reply = mesh
+        .send_request(0, &CallerRequest::get("/stock/1", "after"))
+        .await;
     reply.is_ok_and(|reply| reply.status == 200)
 }
 
--- a/tests/testsuite/users_stops.rs
+++ b/tests/testsuite/users_stops.rs
@@ -6,9 +6,9 @@
 
 use testkit::http::wait_until;
 use testkit::process::Signal;
-use testkit::users::backend::Announced;
-use testkit::users::mesh::{Asked, Mesh, Plan};
-use testkit::users::store::Trouble;
+use testkit::users::backend::AnnouncedState;
+use testkit::users::mesh::{CallerRequest, Mesh, Plan};
+use testkit::users::store::CallFault;
 
 use crate::support::{LIMIT, SERVICES, start_users_serving, users_runs};
 
@@ -25,7 +25,7 @@
         }
         let id = format!("steady-{number}");
         let reply = mesh
-            .ask(position, &Asked::post("/book/1?work_ms=5", &id))
+            .send_request(position, &CallerRequest::post("/book/1?work_ms=5", &id))
             .await;
         if !reply.is_ok_and(|reply| reply.status == 200) {
             failed.push(id);
@@ -45,20 +45,20 @@
         tokio::join!(send_until_stopped(&mesh, usize::MAX, &stop), async {
             let vm = &mesh.vms[leaving];
             wait_until("it has work", LIMIT, || async {
-                vm.backend().record().last_reached.is_some()
+                vm.backend().record().last_arrival.is_some()
             })
             .await;
-            vm.set_announced(Announced::Draining);
+            vm.set_announced_state(AnnouncedState::Draining);
             let acknowledged = vm
                 .backend()
-                .announce(vm.control(), Announced::Draining)
+                .announce(vm.announce_address(), AnnouncedState::Draining)
                 .await;
             assert!(acknowledged);
             let acknowledged_at = Instant::now();
             wait_until("others have work", LIMIT, || async {
                 let others = mesh.vms_of(SERVICES[1]).into_iter().skip(1);
                 let mut reached =
-                    others.map(|other| mesh.vms[other].backend().record().last_reached);
+                    others.map(|other| mesh.vms[other].backend().record().last_arrival);
                 let after = |at: Option<Instant>| at.is_some_and(|at| at > acknowledged_at);
                 reached.all(after)
             })
@@ -67,7 +67,7 @@
             acknowledged_at
         });
     assert_eq!(failed, Vec::<String>::new());
-    let last = mesh.vms[leaving].backend().record().last_reached;
+    let last = mesh.vms[leaving].backend().record().last_arrival;
     // What was admitted before the acknowledgement may still be on its way over the loopback.
     let loopback_delay = Duration::from_millis(100);
     assert!(last.is_some_and(|last| last < acknowledged_at + loopback_delay));
@@ -79,10 +79,10 @@
 async fn backend_server_that_leaves_without_draining_finishes_its_requests() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
-    mesh.mute_backend(leaving);
+    mesh.stop_announcements(leaving);
     let mesh = mesh;
-    let booking = Asked::post("/book/1?work_ms=500", "before");
-    let pending_booking = mesh.ask(leaving, &booking);
+    let booking = CallerRequest::post("/book/1?work_ms=500", "before");
+    let pending_booking = mesh.send_request(leaving, &booking);
     let leaves = async {
         wait_until("it runs", LIMIT, || async {
             !users_runs(&mesh, "before").is_empty()
@@ -90,9 +90,11 @@
         .await;
         let at = users_runs(&mesh, "before")[0];
         let vm = &mesh.vms[at];
-        assert!(vm.backend().leave(vm.control()).await);
+        assert!(vm.backend().leave(vm.announce_address()).await);
         let id = "after";
-        let reply = mesh.ask(leaving, &Asked::post("/book/1", id)).await;
+        let reply = mesh
+            .send_request(leaving, &CallerRequest::post("/book/1", id))
+            .await;
         assert_eq!(reply.expect("it is answered").status, 200);
         assert_ne!(users_runs(&mesh, id)[0], at);
     };
@@ -106,19 +108,24 @@
 async fn delayed_ready_announcement_does_not_reopen_admission() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
-    mesh.mute_backend(leaving);
+    mesh.stop_announcements(leaving);
     let vm = &mesh.vms[leaving];
-    let delayed = vm.backend().next_announcement(Announced::Ready);
+    let delayed = vm.backend().next_announcement(AnnouncedState::Ready);
     assert!(
         vm.backend()
-            .announce(vm.control(), Announced::Draining)
+            .announce(vm.announce_address(), AnnouncedState::Draining)
             .await
     );
-    let late_reply = vm.backend().send_announcement(vm.control(), delayed).await;
+    let late_reply = vm
+        .backend()
+        .send_announcement(vm.announce_address(), delayed)
+        .await;
     assert!(late_reply.expect("it is answered").status.is_success());
     for number in 0..20 {
         let id = format!("after-{number}");
-        let reply = mesh.ask(leaving, &Asked::post("/book/1", &id)).await;
+        let reply = mesh
+            .send_request(leaving, &CallerRequest::post("/book/1", &id))
+            .await;
         assert_eq!(reply.expect("it is answered").status, 200);
         assert_ne!(users_runs(&mesh, &id), [leaving]);
     }
@@ -130,7 +137,7 @@
 async fn invalid_announcement_is_rejected() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let vm = &mesh.vms[0];
-    let valid = vm.backend().next_announcement(Announced::Ready);
+    let valid = vm.backend().next_announcement(AnnouncedState::Ready);
     let invalid = [
         "\u{0}\u{1}".to_owned(),
         valid.replace("\"ready\"", "\"asleep\""),
@@ -139,10 +146,15 @@
         "[]".to_owned(),
     ];
     for text in invalid {
-        let reply = vm.backend().send_announcement(vm.control(), text).await;
+        let reply = vm
+            .backend()
+            .send_announcement(vm.announce_address(), text)
+            .await;
         assert!(!reply.expect("it is answered").status.is_success());
     }
-    let reply = mesh.ask(0, &Asked::get("/stock/1", "still")).await;
+    let reply = mesh
+        .send_request(0, &CallerRequest::get("/stock/1", "still"))
+        .await;
     assert_eq!(reply.expect("it is answered").status, 200);
 }
 
@@ -167,7 +179,7 @@
                     ("x-dfw-deadline-ms", "5000"),
                 ];
                 let path = "/book/1?work_ms=400";
-                let host = testkit::users::configuration::HOST;
+                let host = testkit::users::configuration::DEFAULT_HOST;
                 let method = http::Method::POST;
                 let reply = testkit::http::request(caller, method, host, path, &headers, "").await;
                 reply.map(|reply| reply.status.as_u16())
@@ -179,7 +191,7 @@
         .await;
         node.signal(Signal::Terminate);
         let local_bookings = local_bookings.join_all().await;
-        node.ended().await.expect("it ends");
+        node.wait_exit().await.expect("it ends");
         stop.store(true, Ordering::Release);
         local_bookings
     });
@@ -203,7 +215,9 @@
     mesh.wait_serving().await;
     for position in 0..mesh.vms.len() {
         let id = format!("again-{position}");
-        let reply = mesh.ask(position, &Asked::post("/book/1", &id)).await;
+        let reply = mesh
+            .send_request(position, &CallerRequest::post("/book/1", &id))
+            .await;
         assert_eq!(reply.expect("it is answered").status, 200);
         assert_eq!(users_runs(&mesh, &id).len(), 1);
     }
@@ -228,8 +242,8 @@
     let position = mesh.vms_of(SERVICES[0])[0];
     let other = mesh.vms_of(SERVICES[0])[1];
     let before = member(&mesh, other, position).await["incarnation_us"].clone();
-    mesh.mute_backend(position);
-    mesh.store.set_trouble(Trouble::Busy);
+    mesh.stop_announcements(position);
+    mesh.store.set_call_fault(CallFault::Unavailable);
     mesh.kill_node(position).await.expect("it ends");
     mesh.start_node(position).await.expect("it starts");
     wait_until("the restart is known", LIMIT, || async {
@@ -239,7 +253,10 @@
     .await;
     assert_eq!(member(&mesh, other, position).await["backend"], "gone");
     let vm = &mesh.vms[position];
-    let acknowledged = vm.backend().announce(vm.control(), Announced::Ready).await;
+    let acknowledged = vm
+        .backend()
+        .announce(vm.announce_address(), AnnouncedState::Ready)
+        .await;
     assert!(acknowledged);
     wait_until("it serves again", LIMIT, || async {
         member(&mesh, other, position).await["backend"] == "serving"
@@ -268,7 +285,7 @@
     })
     .await;
     for position in all.clone() {
-        mesh.mute_backend(position);
+        mesh.stop_announcements(position);
         mesh.kill_node(position).await.expect("it ends");
     }
     for position in all {
@@ -284,7 +301,7 @@
 }
 
 async fn is_served(mesh: &Mesh, path: &str, id: &str) -> bool {
-    let reply = mesh.ask(0, &Asked::get(path, id)).await;
+    let reply = mesh.send_request(0, &CallerRequest::get(path, id)).await;
     reply.is_ok_and(|reply| reply.status == 200)
 }
 
@@ -298,11 +315,11 @@
         row_names_backend(&mesh, leaving)
     })
     .await;
-    mesh.mute_backend(leaving);
+    mesh.stop_announcements(leaving);
     let vm = &mesh.vms[leaving];
     let acknowledged = vm
         .backend()
-        .announce(vm.control(), Announced::Draining)
+        .announce(vm.announce_address(), AnnouncedState::Draining)
         .await;
     assert!(acknowledged);
     wait_until("its row names it no more", LIMIT, || async {
@@ -313,16 +330,20 @@
     mesh.start_node(leaving).await.expect("it starts");
     mesh.wait_enforced(1).await;
     wait_until("it knows the others", LIMIT, || async {
-        let reply = mesh.ask(leaving, &Asked::get("/book/1", "first")).await;
+        let reply = mesh
+            .send_request(leaving, &CallerRequest::get("/book/1", "first"))
+            .await;
         reply.is_ok_and(|reply| reply.status == 200)
     })
     .await;
     for number in 0..8 {
         let id = format!("elsewhere-{number}");
-        let reply = mesh.ask(leaving, &Asked::post("/book/1", &id)).await;
+        let reply = mesh
+            .send_request(leaving, &CallerRequest::post("/book/1", &id))
+            .await;
         assert_eq!(reply.expect("the node answers").status, 200);
     }
-    assert_eq!(mesh.vms[leaving].backend().record().last_reached, None);
+    assert_eq!(mesh.vms[leaving].backend().record().last_arrival, None);
 }
 
 /// A backend server leaves, which its node acknowledges; then the node is killed and started again while
@@ -332,25 +353,33 @@
 async fn delayed_ready_announcement_does_not_open_admission_after_restart() {
     let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
-    mesh.mute_backend(leaving);
+    mesh.stop_announcements(leaving);
     let vm = &mesh.vms[leaving];
-    vm.backend().set_leaving();
-    assert!(vm.backend().leave(vm.control()).await);
-    mesh.store.set_trouble(Trouble::Busy);
+    vm.backend().set_draining();
+    assert!(vm.backend().leave(vm.announce_address()).await);
+    mesh.store.set_call_fault(CallFault::Unavailable);
     mesh.kill_node(leaving).await.expect("it ends");
     mesh.start_node(leaving).await.expect("it starts");
     wait_until("it serves as an entry", LIMIT, || async {
-        let reply = mesh.ask(leaving, &Asked::get("/book/1", "first")).await;
+        let reply = mesh
+            .send_request(leaving, &CallerRequest::get("/book/1", "first"))
+            .await;
         reply.is_ok_and(|reply| reply.status == 200)
     })
     .await;
     let vm = &mesh.vms[leaving];
-    let before = vm.backend().record().last_reached;
-    assert!(vm.backend().announce(vm.control(), Announced::Ready).await);
+    let before = vm.backend().record().last_arrival;
+    assert!(
+        vm.backend()
+            .announce(vm.announce_address(), AnnouncedState::Ready)
+            .await
+    );
     for number in 0..8 {
         let id = format!("elsewhere-{number}");
-        let reply = mesh.ask(leaving, &Asked::post("/book/1", &id)).await;
+        let reply = mesh
+            .send_request(leaving, &CallerRequest::post("/book/1", &id))
+            .await;
         assert_eq!(reply.expect("the node answers").status, 200);
     }
-    assert_eq!(mesh.vms[leaving].backend().record().last_reached, before);
+    assert_eq!(mesh.vms[leaving].backend().record().last_arrival, before);
 }
--- a/tests/testsuite/users_store.rs
+++ b/tests/testsuite/users_store.rs
@@ -7,8 +7,8 @@
 use dragonflywall::platform::store::Client;
 use dragonflywall::store::{Condition, Error, Feed, Outcome, Position, Table, Transaction};
 use testkit::http::wait_until;
-use testkit::users::configuration::text;
-use testkit::users::store::{Store, Trouble, WriteFault};
+use testkit::users::configuration::json_text;
+use testkit::users::store::{CallFault, Store, WriteFault};
 
 use crate::support::{LIMIT, SERVICES, users_routes};
 
@@ -77,20 +77,20 @@
 #[tokio::test]
 async fn a_refusal_and_a_lost_answer_are_told_apart() {
     let (store, client) = start().await;
-    store.set_trouble(Trouble::Busy);
+    store.set_call_fault(CallFault::Unavailable);
     let busy = client.transact(&put("a", "1", Vec::new())).await;
     assert!(matches!(busy, Err(Error::Unavailable { .. })), "{busy:?}");
-    store.set_trouble(Trouble::Many);
+    store.set_call_fault(CallFault::RateLimited);
     let many = client.transact(&put("a", "1", Vec::new())).await;
     assert!(matches!(many, Err(Error::Busy)), "{many:?}");
-    store.set_trouble(Trouble::Reset);
+    store.set_call_fault(CallFault::Disconnect);
     let lost = client.transact(&put("a", "1", Vec::new())).await;
     assert!(
         matches!(lost, Err(Error::OutcomeUnknown { .. })),
         "{lost:?}"
     );
     assert_eq!(store.value(TABLE, "a"), None);
-    store.set_trouble(Trouble::None);
+    store.set_call_fault(CallFault::None);
     store.set_write_fault(WriteFault::AnswerLost);
     let lost = client.transact(&put("a", "1", Vec::new())).await;
     assert!(
@@ -105,7 +105,7 @@
 #[tokio::test]
 async fn a_write_may_be_done_later() {
     let (store, client) = start().await;
-    store.set_write_fault(WriteFault::Late(Duration::from_millis(200)));
+    store.set_write_fault(WriteFault::Delayed(Duration::from_millis(200)));
     let lost = client.transact(&put("a", "1", Vec::new())).await;
     assert!(
         matches!(lost, Err(Error::OutcomeUnknown { .. })),
@@ -124,8 +124,8 @@
 async fn a_feed_whose_history_is_gone_says_so() {
     let (store, client) = start().await;
     let write = |version| {
-        let text = text(version, &users_routes(), &SERVICES);
-        store.operator_writes("config", text.as_bytes())
+        let text = json_text(version, &users_routes(), &SERVICES);
+        store.write_operator_row("config", text.as_bytes())
     };
     write(1);
     let told = client.newest(ANSWER).await.expect("it answers");
@@ -152,8 +152,8 @@
         let hour = Duration::from_secs(3_600);
         client.after(Position(0), hour, ANSWER).await
     });
-    let text = text(5, &users_routes(), &SERVICES);
-    store.operator_writes("config", text.as_bytes());
+    let text = json_text(5, &users_routes(), &SERVICES);
+    store.write_operator_row("config", text.as_bytes());
     let told = waiting.await.expect("it ends").expect("it answers");
     assert_eq!(told.configuration.expect("it is new").version.0, 5);
 }
@@ -163,7 +163,7 @@
 #[tokio::test]
 async fn an_unreadable_configuration_is_none() {
     let (store, client) = start().await;
-    store.operator_writes("config", b"\xff\xfe not a configuration");
+    store.write_operator_row("config", b"\xff\xfe not a configuration");
     let told = client.newest(ANSWER).await.expect("it answers");
     assert!(told.configuration.is_none());
 }
