--- /dev/null
+++ b/crates/testkit/src/users/backend/connection.rs
@@ -0,0 +1,457 @@
+//! Connections of a backend server, byte by byte: what it does wrong no library would send.
+
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::{Duration, Instant};
+
+use ::http::Method;
+use bytes::{Buf, BytesMut};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio_util::sync::CancellationToken;
+
+use super::{OverloadAction, ResponseMode, Run, Shared, lock};
+use crate::backend::generated_body;
+use crate::http::{Query, request};
+
+const MAX_HEADERS: usize = 64;
+/// After this the connection may have been given to the next request.
+const DUPLICATE_DELAY: Duration = Duration::from_millis(40);
+
+pub(super) async fn serve(listener: TcpListener, shared: Arc<Shared>, stop: CancellationToken) {
+    loop {
+        let accepted = tokio::select! {
+            () = stop.cancelled() => return,
+            accepted = listener.accept() => accepted,
+        };
+        let Ok((stream, _)) = accepted else { continue };
+        shared.record().connections += 1;
+        let _ = stream.set_nodelay(true);
+        let connection = Connection {
+            stream,
+            buffer: BytesMut::new(),
+            shared: Arc::clone(&shared),
+        };
+        let stop = stop.clone();
+        tokio::spawn(async move {
+            // How a connection ends is seen by the other side.
+            stop.run_until_cancelled(connection.serve()).await;
+        });
+    }
+}
+
+/// The seal of the answer to a request: it names the request and the answer's bytes.
+pub fn response_seal(id: &str, bytes: u64) -> String {
+    let digest = blake3::hash(&generated_body(id, bytes)).to_hex();
+    format!("{id}.{bytes}.{digest}")
+}
+
+/// The head of a request.
+struct RequestHead {
+    method: String,
+    target: String,
+    id: String,
+    host: String,
+    expected_instance: Option<String>,
+    deadline_ms: Option<u64>,
+    caller: String,
+    body_length: BodyLength,
+}
+
+#[derive(Clone, Copy)]
+enum BodyLength {
+    Known(usize),
+    Chunked,
+}
+
+impl RequestHead {
+    fn query(&self) -> Query<'_> {
+        let query = self.target.split_once('?');
+        Query(query.map_or("", |(_, query)| query))
+    }
+
+    fn number(&self, name: &str) -> Option<u64> {
+        self.query().get(name).parse().ok()
+    }
+}
+
+/// What goes on after a request.
+enum NextStep {
+    Request,
+    Close,
+    /// Nothing is answered any more.
+    NeverAnswer,
+}
+
+struct Connection {
+    stream: TcpStream,
+    buffer: BytesMut,
+    shared: Arc<Shared>,
+}
+
+impl Connection {
+    async fn serve(mut self) {
+        loop {
+            let next = match self.serve_request().await {
+                Ok(next) => next,
+                Err(_) => return,
+            };
+            match next {
+                NextStep::Request => (),
+                NextStep::Close => return,
+                NextStep::NeverAnswer => return self.discard_input().await,
+            }
+        }
+    }
+
+    async fn send_health(&mut self) -> io::Result<()> {
+        let draining = self.shared.draining.load(Ordering::Acquire);
+        let status = if draining { 503 } else { 200 };
+        let instance = format!("X-Dfw-Instance: {}\r\n", self.shared.identity.instance);
+        self.write_response(status, "", &instance, b"").await
+    }
+
+    async fn serve_request(&mut self) -> io::Result<NextStep> {
+        let Some(head) = self.read_head().await? else {
+            return Ok(NextStep::Close);
+        };
+        if head.target == "/healthz" {
+            self.send_health().await?;
+            return Ok(NextStep::Request);
+        }
+        let arrived_at = Instant::now();
+        self.shared.record().last_arrival = Some(arrived_at);
+        if let Some(refused) = self.reject_misaddressed(&head).await? {
+            return Ok(refused);
+        }
+        let response_mode = ResponseMode::from_query_value(head.query().get("answer"));
+        if response_mode == ResponseMode::EarlyFailure {
+            self.record_run(&head, arrived_at, "");
+            self.send_failure(&head, 500).await?;
+            self.read_body(head.body_length).await?;
+            return Ok(NextStep::Request);
+        }
+        let body = self.read_body(head.body_length).await?;
+        let Some(slot) = self.acquire_slot(&head).await? else {
+            return self.reject_overload(&head).await;
+        };
+        self.record_run(&head, arrived_at, &blake3::hash(&body).to_hex());
+        let result = self.run(&head).await;
+        drop(slot);
+        self.shared.record().running -= 1;
+        match result {
+            Ok(()) => self.send_response(&head, response_mode).await,
+            Err(error) => {
+                self.shared.record().abandoned += 1;
+                Err(error)
+            }
+        }
+    }
+
+    /// Requests without an id, and those for another instance.
+    async fn reject_misaddressed(&mut self, head: &RequestHead) -> io::Result<Option<NextStep>> {
+        let identity = &self.shared.identity;
+        let is_misdirected = head
+            .expected_instance
+            .as_ref()
+            .is_some_and(|id| *id != identity.instance);
+        let status = match (head.id.is_empty(), is_misdirected) {
+            (true, _) => 400,
+            (_, true) => 421,
+            _ => return Ok(None),
+        };
+        if is_misdirected {
+            self.shared.record().misdirected += 1;
+        }
+        let headers = format!(
+            "X-Dfw-Not-Executed: 1\r\nX-Dfw-Instance: {}\r\n",
+            identity.instance
+        );
+        self.read_body(head.body_length).await?;
+        self.write_response(status, &head.id, &headers, b"").await?;
+        Ok(Some(NextStep::Request))
+    }
+
+    /// A slot, if there is one or the queue has room.
+    async fn acquire_slot(
+        &mut self,
+        head: &RequestHead,
+    ) -> io::Result<Option<tokio::sync::OwnedSemaphorePermit>> {
+        let shared = Arc::clone(&self.shared);
+        let queue = u64::from(self.shared.behaviour().queue_len);
+        let waiting = shared.waiting.fetch_add(1, Ordering::AcqRel);
+        let has_room = shared.slots.available_permits() > 0 || waiting < queue;
+        let time_left = Duration::from_millis(head.deadline_ms.unwrap_or(60_000));
+        let acquired = match has_room {
+            true => {
+                tokio::time::timeout(time_left, Arc::clone(&self.shared.slots).acquire_owned())
+                    .await
+            }
+            false => {
+                shared.waiting.fetch_sub(1, Ordering::AcqRel);
+                return Ok(None);
+            }
+        };
+        shared.waiting.fetch_sub(1, Ordering::AcqRel);
+        Ok(acquired.ok().and_then(Result::ok))
+    }
+
+    async fn reject_overload(&mut self, head: &RequestHead) -> io::Result<NextStep> {
+        match self.shared.behaviour().overload_action {
+            OverloadAction::Refuse => {
+                self.shared.record().refused += 1;
+                self.write_response(503, &head.id, "X-Dfw-Not-Executed: 1\r\n", b"")
+                    .await?;
+                Ok(NextStep::Request)
+            }
+            OverloadAction::Reset => Err(io::ErrorKind::ConnectionReset.into()),
+            OverloadAction::NeverAnswer => Ok(NextStep::NeverAnswer),
+        }
+    }
+
+    fn record_run(&self, head: &RequestHead, arrived_at: Instant, body_digest: &str) {
+        let mut record = self.shared.record();
+        record.running += 1;
+        let runs = record.runs.entry(head.id.clone()).or_default();
+        runs.push(Run {
+            started_at: Instant::now(),
+            arrived_at,
+            caller: head.caller.clone(),
+            deadline_ms: head.deadline_ms,
+            target: format!("{} {}{}", head.method, head.host, head.target),
+            body_digest: body_digest.to_owned(),
+        });
+    }
+
+    /// Works until the request is done; an error if its sender has gone.
+    async fn run(&mut self, head: &RequestHead) -> io::Result<()> {
+        let work = head.number("work_ms").map(Duration::from_millis);
+        let work = work.unwrap_or(self.shared.behaviour().default_work_time);
+        let call = head.query().get("call").to_owned();
+        let shared = Arc::clone(&self.shared);
+        let working = async move {
+            tokio::time::sleep(work).await;
+            if !call.is_empty() {
+                let caller_listener = *lock(&shared.caller_listener);
+                call_service(caller_listener, &call, &head.id).await;
+            }
+        };
+        tokio::select! {
+            () = working => Ok(()),
+            error = wait_disconnect(&mut self.stream, &mut self.buffer) => Err(error),
+        }
+    }
+
+    async fn send_response(
+        &mut self,
+        head: &RequestHead,
+        response_mode: ResponseMode,
+    ) -> io::Result<NextStep> {
+        let bytes = head.number("bytes").unwrap_or(64);
+        let body = generated_body(&head.id, bytes);
+        let seal = format!(
+            "X-Dfw-Response-Seal: {}\r\n",
+            response_seal(&head.id, bytes)
+        );
+        match response_mode {
+            ResponseMode::Closed => return Ok(NextStep::Close),
+            ResponseMode::Failure | ResponseMode::EarlyFailure => {
+                self.send_failure(head, 500).await?
+            }
+            ResponseMode::Truncated => {
+                let text = format_response_head(200, &head.id, &seal, Some(body.len()), false);
+                self.stream.write_all(text.as_bytes()).await?;
+                self.stream.write_all(&body[..body.len() / 2]).await?;
+                return Ok(NextStep::Close);
+            }
+            ResponseMode::WithoutLength => {
+                let text = format_response_head(200, &head.id, &seal, None, true);
+                self.stream.write_all(text.as_bytes()).await?;
+                self.stream.write_all(&body).await?;
+                self.stream.shutdown().await?;
+                return Ok(NextStep::Close);
+            }
+            ResponseMode::Complete => self.write_response(200, &head.id, &seal, &body).await?,
+            ResponseMode::Duplicated | ResponseMode::DuplicatedLate => {
+                self.write_response(200, &head.id, &seal, &body).await?;
+                if response_mode == ResponseMode::DuplicatedLate {
+                    tokio::time::sleep(DUPLICATE_DELAY).await;
+                }
+                self.write_response(200, &head.id, &seal, &body).await?;
+            }
+        }
+        let draining = self.shared.draining.load(Ordering::Acquire);
+        Ok(match draining {
+            true => NextStep::Close,
+            false => NextStep::Request,
+        })
+    }
+
+    async fn send_failure(&mut self, head: &RequestHead, status: u16) -> io::Result<()> {
+        let seal = format!("X-Dfw-Response-Seal: failure.{}\r\n", head.id);
+        self.write_response(status, &head.id, &seal, b"failed")
+            .await
+    }
+
+    async fn write_response(
+        &mut self,
+        status: u16,
+        id: &str,
+        headers: &str,
+        body: &[u8],
+    ) -> io::Result<()> {
+        let draining = self.shared.draining.load(Ordering::Acquire);
+        let mut bytes =
+            format_response_head(status, id, headers, Some(body.len()), draining).into_bytes();
+        bytes.extend_from_slice(body);
+        self.stream.write_all(&bytes).await
+    }
+
+    /// Reads whatever comes and answers nothing.
+    async fn discard_input(mut self) {
+        let mut discarded = [0; 1_024];
+        while self
+            .stream
+            .read(&mut discarded)
+            .await
+            .is_ok_and(|len| len > 0)
+        {}
+    }
+
+    async fn read_head(&mut self) -> io::Result<Option<RequestHead>> {
+        loop {
+            if let Some((head, len)) = parse_head(&self.buffer)? {
+                self.buffer.advance(len);
+                return Ok(Some(head));
+            }
+            let idle_since = Instant::now();
+            if !self.read_more().await? {
+                return Ok(None);
+            }
+            let forgets_after = self.shared.behaviour().forgets_idle_after;
+            if forgets_after.is_some_and(|after| idle_since.elapsed() > after) {
+                self.stream.set_zero_linger()?;
+                return Err(io::ErrorKind::ConnectionReset.into());
+            }
+        }
+    }
+
+    async fn read_more(&mut self) -> io::Result<bool> {
+        Ok(self.stream.read_buf(&mut self.buffer).await? > 0)
+    }
+
+    async fn read_body(&mut self, length: BodyLength) -> io::Result<Vec<u8>> {
+        match length {
+            BodyLength::Known(len) => self.read_exactly(len).await,
+            BodyLength::Chunked => self.read_chunked_body().await,
+        }
+    }
+
+    async fn read_exactly(&mut self, len: usize) -> io::Result<Vec<u8>> {
+        while self.buffer.len() < len {
+            if !self.read_more().await? {
+                return Err(io::ErrorKind::UnexpectedEof.into());
+            }
+        }
+        Ok(self.buffer.split_to(len).to_vec())
+    }
+
+    async fn read_chunked_body(&mut self) -> io::Result<Vec<u8>> {
+        let mut body = Vec::new();
+        loop {
+            let (start, len) = loop {
+                match httparse::parse_chunk_size(&self.buffer) {
+                    Ok(httparse::Status::Complete((start, len))) => break (start, len),
+                    Ok(httparse::Status::Partial) => {
+                        if !self.read_more().await? {
+                            return Err(io::ErrorKind::UnexpectedEof.into());
+                        }
+                    }
+                    Err(_) => return Err(io::ErrorKind::InvalidData.into()),
+                }
+            };
+            self.buffer.advance(start);
+            let len = usize::try_from(len).map_err(|_| io::ErrorKind::InvalidData)?;
+            // With the line break behind it.
+            let chunk = self.read_exactly(len + 2).await?;
+            if len == 0 {
+                return Ok(body);
+            }
+            body.extend_from_slice(&chunk[..len]);
+        }
+    }
+}
+
+/// Ready once the other side has closed; what it sends meanwhile is kept.
+async fn wait_disconnect(stream: &mut TcpStream, buffer: &mut BytesMut) -> io::Error {
+    loop {
+        match stream.read_buf(buffer).await {
+            Ok(0) => return io::ErrorKind::UnexpectedEof.into(),
+            Ok(_) => (),
+            Err(error) => return error,
+        }
+    }
+}
+
+async fn call_service(listener: Option<SocketAddr>, target: &str, id: &str) {
+    let Some(listener) = listener else { return };
+    let (host, path) = target.split_once('/').unwrap_or((target, ""));
+    let id = format!("{id}.call");
+    let headers = [
+        ("x-dfw-attempt-id", id.as_str()),
+        ("x-dfw-deadline-ms", "10000"),
+    ];
+    let path = format!("/{path}");
+    // What became of it is in the record of whoever ran it.
+    let _ = request(listener, Method::GET, host, &path, &headers, "").await;
+}
+
+fn format_response_head(
+    status: u16,
+    id: &str,
+    headers: &str,
+    len: Option<usize>,
+    close: bool,
+) -> String {
+    let id = match id {
+        "" => String::new(),
+        id => format!("X-Dfw-Attempt-Id: {id}\r\n"),
+    };
+    let len = len.map_or_else(String::new, |len| format!("Content-Length: {len}\r\n"));
+    let close = if close { "Connection: close\r\n" } else { "" };
+    format!("HTTP/1.1 {status} Status\r\n{id}{headers}{len}{close}\r\n")
+}
+
+fn parse_head(bytes: &[u8]) -> io::Result<Option<(RequestHead, usize)>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut parsed = httparse::Request::new(&mut headers);
+    let len = match parsed.parse(bytes) {
+        Ok(httparse::Status::Complete(len)) => len,
+        Ok(httparse::Status::Partial) => return Ok(None),
+        Err(_) => return Err(io::ErrorKind::InvalidData.into()),
+    };
+    let header = |name: &str| {
+        let mut headers = parsed.headers.iter();
+        let header = headers.find(|header| header.name.eq_ignore_ascii_case(name))?;
+        std::str::from_utf8(header.value).ok().map(str::to_owned)
+    };
+    let number = |name: &str| header(name).and_then(|text| text.parse().ok());
+    let chunked = header("transfer-encoding").is_some();
+    let body_length = match chunked {
+        true => BodyLength::Chunked,
+        false => BodyLength::Known(number("content-length").unwrap_or(0)),
+    };
+    let head = RequestHead {
+        method: parsed.method.unwrap_or("").to_owned(),
+        target: parsed.path.unwrap_or("").to_owned(),
+        id: header("x-dfw-attempt-id").unwrap_or_default(),
+        host: header("host").unwrap_or_default(),
+        expected_instance: header("x-dfw-expected-instance"),
+        deadline_ms: number("x-dfw-deadline-ms").map(|ms| ms as u64),
+        caller: header("x-dfw-caller").unwrap_or_default(),
+        body_length,
+    };
+    Ok(Some((head, len)))
+}
--- a/tests/testsuite/spread_failures.rs
+++ b/tests/testsuite/spread_failures.rs
@@ -45,7 +45,7 @@
     }
     for position in positions {
         let node = mesh.vms[*position].node.take();
-        let ended = node.expect("the node runs").ended().await;
+        let ended = node.expect("the node runs").wait_exit().await;
         ended.expect("the process ends");
     }
 }
--- a/tests/testsuite/users_store.rs
+++ b/tests/testsuite/users_store.rs
@@ -7,8 +7,8 @@
 use dragonflywall::platform::store::PlatformStore;
 use dragonflywall::store::{Condition, Error, Feed, Outcome, Position, Table, Transaction};
 use testkit::http::wait_until;
-use testkit::users::configuration::text;
-use testkit::users::store::{Store, Trouble, WriteFault};
+use testkit::users::configuration::json_text;
+use testkit::users::store::{CallFault, Store, WriteFault};
 
 use crate::support::{SERVICES, WAIT_TIMEOUT, users_routes};
 
@@ -77,26 +77,26 @@
 #[tokio::test]
 async fn refused_and_lost_writes_return_different_errors() {
     let (store, client) = start().await;
-    store.set_trouble(Trouble::Busy);
+    store.set_call_fault(CallFault::Unavailable);
     let unavailable = client.transact(&put("a", "1", Vec::new())).await;
     assert!(
         matches!(unavailable, Err(Error::Unavailable { .. })),
         "{unavailable:?}"
     );
-    store.set_trouble(Trouble::Many);
+    store.set_call_fault(CallFault::RateLimited);
     let rate_limited = client.transact(&put("a", "1", Vec::new())).await;
     assert!(
         matches!(rate_limited, Err(Error::RateLimited)),
         "{rate_limited:?}"
     );
-    store.set_trouble(Trouble::Reset);
+    store.set_call_fault(CallFault::Disconnect);
     let lost = client.transact(&put("a", "1", Vec::new())).await;
     assert!(
         matches!(lost, Err(Error::OutcomeUnknown { .. })),
         "{lost:?}"
     );
     assert_eq!(store.value(TABLE, "a"), None);
-    store.set_trouble(Trouble::None);
+    store.set_call_fault(CallFault::None);
     store.set_write_fault(WriteFault::AnswerLost);
     let lost = client.transact(&put("a", "1", Vec::new())).await;
     assert!(
@@ -111,7 +111,7 @@
 #[tokio::test]
 async fn write_may_take_effect_after_its_response_was_lost() {
     let (store, client) = start().await;
-    store.set_write_fault(WriteFault::Late(Duration::from_millis(200)));
+    store.set_write_fault(WriteFault::Delayed(Duration::from_millis(200)));
     let lost = client.transact(&put("a", "1", Vec::new())).await;
     assert!(
         matches!(lost, Err(Error::OutcomeUnknown { .. })),
@@ -130,8 +130,8 @@
 async fn feed_reports_dropped_history() {
     let (store, client) = start().await;
     let write = |version| {
-        let text = text(version, &users_routes(), &SERVICES);
-        store.operator_writes("config", text.as_bytes())
+        let text = json_text(version, &users_routes(), &SERVICES);
+        store.write_operator_row("config", text.as_bytes())
     };
     write(1);
     let update = client.newest(RESPONSE_TIMEOUT).await.expect("it answers");
@@ -166,8 +166,8 @@
             .newest_after(Position(0), hour, RESPONSE_TIMEOUT)
             .await
     });
-    let text = text(5, &users_routes(), &SERVICES);
-    store.operator_writes("config", text.as_bytes());
+    let text = json_text(5, &users_routes(), &SERVICES);
+    store.write_operator_row("config", text.as_bytes());
     let update = waiting.await.expect("it ends").expect("it answers");
     assert_eq!(update.configuration.expect("it is new").version.0, 5);
 }
@@ -177,7 +177,7 @@
 #[tokio::test]
 async fn undecodable_configuration_is_skipped() {
     let (store, client) = start().await;
-    store.operator_writes("config", b"\xff\xfe not a configuration");
+    store.write_operator_row("config", b"\xff\xfe not a configuration");
     let update = client.newest(RESPONSE_TIMEOUT).await.expect("it answers");
     assert!(update.configuration.is_none());
 }
