--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,4 +1,6 @@
-//! Decisions under load: plain functions and structs, time an argument, no sockets.
+//! Decisions of the request path: admission, load balancing, retries, backoff.
+//!
+//! They are plain functions and structs without I/O; the current time is an argument.
 
 pub mod admission;
 pub mod announcements;
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,10 +1,10 @@
-//! Whether a backend server's own node lets a request in, makes it wait, or refuses it.
+//! Admission control of one backend server: a request gets a slot, waits in a queue, or is refused.
 //!
-//! The node is the only gate to its backend server, so what is counted here is exact. A request
-//! asks with [`Admission::admit`]; whoever holds a slot gives it back with
-//! [`Admission::release`]. After every change the driver takes from [`Admission::end_next_wait`] what
-//! became of waiting requests and wakes them; between two changes nothing can have happened, so
-//! no one polls.
+//! All requests to a backend server pass through the node on its VM, so the node's count of slots
+//! in use is exact. A request asks for a slot with [`Admission::admit`] and returns it with
+//! [`Admission::release`]. After every change of state the caller of this module drains
+//! [`Admission::end_next_wait`] and wakes the requests that it returns. The state does not change
+//! in between, so nothing has to poll.
 
 mod class_queue;
 
@@ -20,53 +20,54 @@
 use crate::core::names::ResourceName;
 
 new_key_type! {
-    /// Names a waiting request.
+    /// Identifies a waiting request.
     pub struct Ticket;
 }
 
-/// How much one backend server takes.
+/// Capacity of one backend server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Limits {
-    /// Requests that run at a time.
+    /// Maximum number of requests that run concurrently.
     pub slots: u32,
-    /// Requests that wait, all classes together.
+    /// Maximum number of waiting requests, all classes together.
     pub queue_len: u32,
 }
 
-/// Which requests of a class go first.
+/// Priority of a request among those of its class; the smallest value goes first.
 ///
-/// A call goes before callers' requests: whoever made it holds a slot of its own service meanwhile, and what
-/// it has done is lost if the call is refused.
+/// A nested call goes before requests of callers, because the request that made it occupies a slot
+/// of its own service until the call returns, and its work is lost if the call is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// A call that a running request waits for.
+    /// A call made by a request that is running at another backend server.
     NestedCall,
-    /// A caller's request.
+    /// A request that no other request in the mesh waits for.
     CallerRequest {
-        /// 0 first.
+        /// Configured priority; 0 goes first.
         rank: u8,
     },
 }
 
-/// What a request asks of a gate.
+/// A request for a slot. Times are microseconds of the clock that [`Admission`] is called with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotRequest {
-    /// Which queue it waits in.
+    /// Class of work, which selects the queue.
     pub class: Class,
-    /// How urgent it is among the requests of that queue.
+    /// Priority within that queue.
     pub priority: Priority,
-    /// Until when its answer is worth most; among those as urgent the earliest goes first.
+    /// When the target latency ends. Among requests of the same priority the earliest goes first.
     pub due_us: u64,
-    /// How long it will hold its slot, if that is known; else it is taken for average.
+    /// Expected time that the request holds its slot; the mean of its class if unknown.
     pub service_time_us: Option<u64>,
-    /// When it is to have been answered, by the clock of the gate's calls.
+    /// When the response is no longer of use to the caller.
     pub deadline_us: u64,
-    /// How long it is willing to wait for its slot; a longer wait is refused at once.
+    /// Maximum wait for a slot. The request is refused at once if the estimated wait is longer.
     pub max_wait_us: u64,
 }
 
 impl SlotRequest {
-    /// A request of the default rank, of average length, that waits as long as its deadline allows.
+    /// Returns a caller's request of default rank and unknown service time, whose wait is limited
+    /// by its deadline alone.
     pub fn new(class: Class, deadline_us: u64) -> Self {
         Self {
             class,
@@ -100,69 +101,71 @@
     }
 }
 
-/// Why a request was refused. Each is proof that it did not run.
+/// Why a request was refused. Each cause proves that the request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalCause {
-    /// The queue has no room.
+    /// The queue is full.
     QueueFull,
-    /// Its deadline would pass before its answer.
+    /// The response is expected after the deadline.
     DeadlineTooSoon,
-    /// It would wait for longer than it is willing to.
+    /// The estimated wait exceeds [`SlotRequest::max_wait_us`].
     WaitTooLong,
-    /// The backend server takes no new work.
+    /// The backend server accepts no new requests.
     Closed,
 }
 
-/// A refusal, and when asking again may help.
+/// A refusal, with advice on when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub cause: RefusalCause,
-    /// Estimated wait of a request that came now, in milliseconds.
+    /// Estimated wait of a new request, in milliseconds.
     pub retry_after_ms: u64,
 }
 
-/// What became of a request at the gate.
+/// Result of [`Admission::admit`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmitOutcome {
-    /// It holds a slot; give it back with [`Admission::release`].
+    /// The request has a slot, which [`Admission::release`] returns.
     Slot,
-    /// It waits; [`Admission::end_next_wait`] will bring its turn unless [`Admission::cancel`] is first.
+    /// The request waits until [`Admission::end_next_wait`] returns it or [`Admission::cancel`]
+    /// removes it.
     Queued(Ticket),
-    /// It is refused.
+    /// The request does not run here.
     Refused(Refusal),
 }
 
-/// How the wait of a request ended.
+/// How the wait of a queued request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitOutcome {
-    /// It holds a slot now.
+    /// The request has a slot, which [`Admission::release`] returns.
     Slot,
-    /// It is refused after all.
+    /// The request was refused while it waited.
     Refused(Refusal),
 }
 
-/// Interactive requests let in before a waiting bulk request has its turn, so that bulk work is not starved.
+/// Interactive requests of callers that get a slot in succession before a waiting bulk request goes
+/// next, so that bulk work is not starved.
 const INTERACTIVE_STREAK_MAX: u32 = 3;
 
-/// One of so many slots is kept free of bulk work, so that a short read need not wait for the end of a long
-/// one. Fewer slots than this are not divided.
+/// One in this many slots is reserved for interactive requests, so that a short request does not
+/// wait for a long one to end. With fewer slots than this there is no reserve.
 const BULK_RESERVE_DIVISOR: u32 = 4;
 
-/// How long after the last interactive request the reserve is kept; a service that only does bulk work has all
-/// of its slots then.
+/// How long after the last interactive request the reserve stays in force, in microseconds. Later
+/// on, a service that has only bulk requests uses all of its slots for them.
 const BULK_RESERVE_TIMEOUT_US: u64 = 10_000_000;
 
 #[derive(Debug)]
 struct WaitingRequest<W> {
     wake: W,
     request: SlotRequest,
-    /// Number of its arrival in its lane.
+    /// Sequence number in the queue of its class.
     arrival: u64,
 }
 
-/// Slots and queues of one backend server. `W` is what wakes a waiting request. Times are
-/// microseconds of any steady clock.
+/// Slots and queues of one backend server. `W` is a handle that wakes a waiting request. Times are
+/// microseconds of any monotonic clock.
 #[derive(Debug)]
 pub struct Admission<W> {
     switches: MechanismSwitches,
@@ -171,40 +174,42 @@
     waiting: SlotMap<Ticket, WaitingRequest<W>>,
     interactive: ClassQueue,
     bulk: ClassQueue,
-    /// Interactive requests of callers let in since the last bulk one.
+    /// Interactive requests of callers that got a slot since the last bulk request did.
     interactive_streak: u32,
-    /// Waiting requests that were refused and have not been told yet.
+    /// Refused requests that [`Self::end_next_wait`] has not returned yet.
     refused: VecDeque<(W, Refusal)>,
     service_times: ServiceTimes,
-    /// Sum of the times at which the requests that hold a slot got it.
+    /// Sum of the start times of the running requests, for their mean age.
     slot_start_sum_us: u64,
 }
 
-/// A slot that is given back.
+/// A slot that is returned.
 #[derive(Clone, Copy, Debug)]
 pub struct ReleasedSlot<'a> {
-    /// Class of the request that held it.
+    /// Class of the request that held the slot.
     pub class: Class,
-    /// What the request asked for.
+    /// Resource that the request asked for.
     pub resource: &'a ResourceName,
-    /// For how long it held the slot.
+    /// How long the request held the slot, in microseconds.
     pub service_time_us: u64,
-    /// Whether it was answered, or given up before.
+    /// Whether the backend server responded; false if the request was abandoned before.
     pub answered: bool,
 }
 
-/// Resources whose times go with the answer to a request for another one. Long work differs most between endpoints,
-/// and is asked for least.
+/// Number of resources whose service times are reported with the response to a request for another
+/// resource. The longest are reported: they differ most between endpoints and are requested least
+/// often, so entry nodes would seldom learn them otherwise.
 const OTHER_SERVICE_TIMES_MAX: usize = 3;
-/// Times that were learnt longer ago are not told: a backend server that was slow would never be tried again.
+/// Service times measured longer ago than this, in microseconds, are not reported. Repeated reports
+/// of an old time would keep entry nodes away from a backend server that is no longer slow.
 const OTHER_SERVICE_TIMES_AGE_MAX_US: u64 = 1_000_000;
 
-/// Requests that must have been running for long before the times of finished ones are taken for
-/// out of date: half of the slots. A single long request is no slow backend server.
+/// A slowdown is detected only while at least one in this many slots is in use. A single long
+/// request does not show that the backend server is slow.
 const SLOWDOWN_RUNNING_DIVISOR: u32 = 2;
-/// How much longer than finished ones those must have been running on average. In a steady state
-/// both are about equal, as work scatters like an exponential; a few long requests among nine running
-/// ones easily double the average.
+/// Ratio of the mean age of running requests to the mean service time above which the backend
+/// server counts as slowed down. Service times are roughly exponential, so the two are about equal
+/// in a steady state; a few long requests among nine running ones easily double the mean age.
 const SLOWDOWN_FACTOR: u64 = 4;
 
 impl<W> Default for Admission<W> {
@@ -214,7 +219,8 @@
 }
 
 impl<W> Admission<W> {
-    /// No slots yet.
+    /// Returns an admission control without slots, which refuses requests until
+    /// [`Self::set_limits`].
     pub fn new(switches: MechanismSwitches) -> Self {
         Self {
             switches,
@@ -230,8 +236,8 @@
         }
     }
 
-    /// Sets the limits; requests already in keep their slots and places. Without slots the
-    /// service is not offered here any more, and what waits is refused.
+    /// Sets the limits. Running requests keep their slots and waiting ones their places in the
+    /// queue. With no slots the service is no longer offered here, so waiting requests are refused.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
         if limits.slots == 0 {
@@ -239,7 +245,7 @@
         }
     }
 
-    /// Takes no new work, and refuses what waits: it may still run elsewhere.
+    /// Stops accepting requests and refuses the waiting ones, which may still run elsewhere.
     pub fn close(&mut self) {
         self.closed = true;
         self.refuse_waiting();
@@ -257,16 +263,16 @@
             .extend(refused.map(|(_, waiting_request)| (waiting_request.wake, refusal)));
     }
 
-    /// Takes new work again.
+    /// Accepts requests again after [`Self::close`].
     pub fn open(&mut self) {
         self.closed = false;
     }
 
-    /// A request asks for a slot; `wake` is called only if it has to wait.
+    /// Grants a slot to a request, queues it, or refuses it. `wake` is called only if it is queued.
     ///
-    /// It is refused if the queue is full or if its deadline or its patience passes before its turn: a longer
-    /// queue would only make answers late. Among requests that are as urgent the one whose answer is due first
-    /// goes first.
+    /// The request is refused if the queue is full, if the response is expected after the deadline,
+    /// or if the estimated wait exceeds the maximum: a longer queue would only make responses late.
+    /// Among requests of the same priority the one that is due first goes first.
     pub fn admit(
         &mut self,
         now_us: u64,
@@ -278,7 +284,8 @@
         }
         let class = request.class;
         self.queue_mut(class).last_request_us = Some(now_us);
-        // Whoever waits while a slot is free may not take it (the reserve), so nobody is overtaken.
+        // A request that waits while a slot is free is excluded from it by the bulk reserve, so the
+        // new request overtakes nothing that could run.
         if self.queue(class).is_empty() && self.has_slot_for(now_us, class) {
             self.occupy_slot(now_us, request);
             return AdmitOutcome::Slot;
@@ -302,7 +309,8 @@
         AdmitOutcome::Queued(ticket)
     }
 
-    /// Whether a request that came now would be refused: its body is not worth its way.
+    /// Returns the refusal that a new request would get, without queueing it. It lets a node refuse
+    /// a request before its body is transferred.
     pub fn would_refuse(&self, now_us: u64, request: &SlotRequest) -> Option<Refusal> {
         if self.closed || self.limits.slots == 0 {
             return Some(self.refusal(RefusalCause::Closed, request));
@@ -314,7 +322,7 @@
         Some(self.refusal(cause, request))
     }
 
-    /// Why it is of no use to wait, if it is not.
+    /// Returns why a request would be refused if it had to wait; none if it may wait.
     fn refusal_cause(&self, now_us: u64, request: &SlotRequest) -> Option<RefusalCause> {
         let wait_us = self.estimated_wait_us(request);
         let response_us = now_us + wait_us + self.service_time_us(request);
@@ -324,8 +332,9 @@
         (wait_us > request.max_wait_us).then_some(RefusalCause::WaitTooLong)
     }
 
-    /// Takes a request out of the queue. False if its turn has come before; then [`Self::end_next_wait`]
-    /// has given its answer, and a slot that it got is to be released.
+    /// Removes a request from the queue. Returns false if its wait has already ended; then
+    /// [`Self::end_next_wait`] has returned or will return its outcome, and a slot that it got must
+    /// be released.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let Some(waiting_request) = self.waiting.remove(ticket) else {
             return false;
@@ -338,7 +347,7 @@
         true
     }
 
-    /// Gives a slot back.
+    /// Returns a slot and records how long it was held.
     pub fn release(&mut self, now_us: u64, released: &ReleasedSlot<'_>) {
         let ReleasedSlot {
             class,
@@ -359,7 +368,8 @@
         }
     }
 
-    /// What entries are told with the answer to a request that asked for `resource`.
+    /// Returns the load that is reported to an entry node with the response to a request for
+    /// `resource`.
     pub fn load_report(
         &self,
         now_us: u64,
@@ -381,8 +391,8 @@
         }
     }
 
-    /// How long requests for other resources than `resource` hold a slot, the longest first: entries that ask
-    /// for them seldom learn it with answers to others.
+    /// Returns recent service times of resources other than `resource`, the longest first. They are
+    /// reported with responses for `resource`, for entry nodes that seldom request the others.
     pub fn other_service_times(
         &self,
         now_us: u64,
@@ -393,8 +403,9 @@
             .longest(OTHER_SERVICE_TIMES_MAX, resource, since_us)
     }
 
-    /// How long the requests that run now have been running on average, if that shows that the backend server has
-    /// become slow; else 0. Without it entries would go by the answers of before until the first slow one.
+    /// Returns the mean age of the running requests if it shows that the backend server has slowed
+    /// down, else 0. Finished requests show a slowdown only when the first slow one has ended; until
+    /// then entry nodes would rely on outdated service times.
     fn slowdown_age_us(&self, now_us: u64) -> u64 {
         let running = self.in_use();
         if running == 0 || running * SLOWDOWN_RUNNING_DIVISOR < self.limits.slots {
@@ -407,7 +418,7 @@
         }
     }
 
-    /// A waiting request whose wait is over, if there is one.
+    /// Ends the wait of one request, if one can get a slot or has to be refused.
     pub fn end_next_wait(&mut self, now_us: u64) -> Option<(W, WaitOutcome)> {
         if let Some((wake, refusal)) = self.refused.pop_front() {
             return Some((wake, WaitOutcome::Refused(refusal)));
@@ -425,30 +436,31 @@
         Some((waiting_request.wake, WaitOutcome::Slot))
     }
 
-    /// Slots in use.
+    /// Returns the number of running requests.
     pub fn in_use(&self) -> u32 {
         self.interactive.in_use + self.bulk.in_use
     }
 
-    /// Requests waiting.
+    /// Returns the number of queued requests of both classes.
     pub fn waiting(&self) -> u32 {
         self.interactive.len() + self.bulk.len()
     }
 
-    /// How long a request will hold its slot.
+    /// Returns the expected time that a request holds its slot.
     pub fn service_time_us(&self, request: &SlotRequest) -> u64 {
         request
             .service_time_us
             .unwrap_or(self.queue(request.class).service_time.mean_us())
     }
 
-    /// How long requests for `resource` hold their slots; none if that is not known.
+    /// Returns the mean service time for `resource`, or of all requests if it has none of its own;
+    /// none before the first request has ended.
     pub fn known_service_time_us(&self, resource: &ResourceName) -> Option<u64> {
         Some(self.service_times.resource_us(resource))
             .filter(|service_time_us| *service_time_us > 0)
     }
 
-    /// Waiting requests that would go before one that came now, of its class and of the other.
+    /// Returns the waiting work that goes before a new request: of its own class, and of the other.
     fn ahead(&self, request: &SlotRequest) -> (QueuedWork, QueuedWork) {
         let own = self.queue(request.class).ahead(self.queue_key(request));
         let other = self.queue(other_class(request.class)).queued_work();
@@ -459,8 +471,8 @@
         (own, other)
     }
 
-    /// Estimated wait of a request that came now, from the service times seen: until one of those
-    /// that run ends, and all that go before it have had their turn.
+    /// Estimates how long a new request would wait, from measured service times: until a running
+    /// request has ended and all requests ahead in the queues have got their slots.
     pub fn estimated_wait_us(&self, request: &SlotRequest) -> u64 {
         let (own, other_ahead) = self.ahead(request);
         let average_us = self.queue(request.class).service_time.mean_us();
@@ -549,8 +561,9 @@
         }
     }
 
-    /// Finds room in the queue for one more of `class`. Half of the queue is each class's own; what the other has
-    /// borrowed of it is given back from its end.
+    /// Makes room in the queue for one more request of `class`; returns false if there is none. Each
+    /// class is entitled to half of the queue. If the other class exceeds its half, its last
+    /// request is evicted.
     fn make_room(&mut self, class: Class) -> bool {
         if self.waiting() < self.limits.queue_len {
             return true;
--- a/src/decide/admission/class_queue.rs
+++ b/src/decide/admission/class_queue.rs
@@ -1,4 +1,4 @@
-//! One class of work at a gate: what of it runs, and what waits, by urgency and by when it is due.
+//! Queue of one class of work, ordered by priority and then by due time.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -6,26 +6,27 @@
 use super::{Priority, Ticket};
 use crate::decide::service_times::RunningMean;
 
-/// Requests of more urgent ranks let in before a waiting one of a lower rank has its turn, so that it is not
-/// starved.
+/// Requests of higher ranks that get a slot in succession before a waiting one of the lowest rank
+/// goes next, so that the lowest rank is not starved.
 const HIGHER_RANK_STREAK_MAX: u32 = 7;
 
-/// Calls let in before a waiting caller's request has its turn, so that it is not starved.
+/// Nested calls that get a slot in succession before a waiting request of a caller goes next, so that
+/// callers are not starved.
 const NESTED_CALL_STREAK_MAX: u32 = 15;
 
-/// Where a request stands in its queue.
+/// Position of a request in its queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct QueueKey {
     pub(super) priority: Priority,
-    /// Until when its answer is worth most; among those as urgent the earliest goes first.
+    /// When the target latency ends; orders requests of the same priority.
     pub(super) due_us: u64,
 }
 
-/// Requests that wait, and how long they will hold a slot together.
+/// A number of waiting requests and their total service time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct QueuedWork {
     pub(super) count: u32,
-    /// Of those of which it is known.
+    /// Sum over the requests whose service time is known.
     known_service_time_us: u64,
     unknown_count: u32,
 }
@@ -41,13 +42,14 @@
         }
     }
 
-    /// How long they hold a slot together, if those that are not known do for `average_us`.
+    /// Returns the total service time, with `average_us` for each request of unknown service time.
     pub(super) fn total_service_time_us(self, average_us: u64) -> u64 {
         let unknown_us = average_us.saturating_mul(u64::from(self.unknown_count));
         self.known_service_time_us.saturating_add(unknown_us)
     }
 
-    /// A part of them, of average length.
+    /// Returns the share of this work that `count` requests of average length make up, at most all
+    /// of it.
     pub(super) fn limited_to(self, count: u32) -> Self {
         if count >= self.count {
             return self;
@@ -71,33 +73,33 @@
     }
 }
 
-/// When a waiting request is due, and the number of its arrival, which parts those due at one moment.
+/// Due time and arrival number. The arrival number orders requests that are due at the same time.
 type QueuePosition = (u64, u64);
 
 /// A waiting request.
 #[derive(Clone, Copy, Debug)]
 struct QueueEntry {
     ticket: Ticket,
-    /// How long it will hold its slot, if that is known.
+    /// Expected time that the request holds its slot, if known.
     service_time_us: Option<u64>,
 }
 
-/// Waiting requests that are as urgent as each other, by when they are due.
+/// Waiting requests of the same priority, in the order in which they get slots.
 type SamePriority = BTreeMap<QueuePosition, QueueEntry>;
 
-/// One class of work.
+/// Waiting requests of one class, and statistics of its running requests.
 #[derive(Debug, Default)]
 pub(super) struct ClassQueue {
-    /// The most urgent first; none of them is empty.
+    /// Highest priority first. Empty entries are removed.
     by_priority: BTreeMap<Priority, SamePriority>,
     count: u32,
     arrivals: u64,
-    /// More urgent requests let in since the last one that was not the most urgent waiting.
+    /// Requests of callers that got a slot since the last one that had the lowest waiting priority.
     higher_rank_streak: u32,
-    /// Calls let in since the last request of a caller.
+    /// Nested calls that got a slot since the last request of a caller did.
     nested_call_streak: u32,
     pub(super) in_use: u32,
-    /// Time that a request holds its slot.
+    /// Mean time that requests of this class hold a slot.
     pub(super) service_time: RunningMean,
     pub(super) last_request_us: Option<u64>,
 }
@@ -111,17 +113,18 @@
         self.count == 0
     }
 
-    /// All that wait.
+    /// Returns all waiting work.
     pub(super) fn queued_work(&self) -> QueuedWork {
         sum_work(self.by_priority.values().flat_map(BTreeMap::values))
     }
 
-    /// Whether a call has the next turn.
+    /// Whether [`Self::pop`] would return a nested call.
     pub(super) fn nested_call_is_next(&self) -> bool {
         self.next_priority() == Some(Priority::NestedCall)
     }
 
-    /// Waiting requests that go before a new one at `key`.
+    /// Returns the waiting work that goes before a new request at `key`: all work of higher priority
+    /// or earlier due time, and the work of lower priority that the starvation limits let pass.
     pub(super) fn ahead(&self, key: QueueKey) -> QueuedWork {
         let work_before_key = |(priority, same_priority): (&Priority, &SamePriority)| {
             let latest_due_us = match *priority == key.priority {
@@ -144,7 +147,7 @@
         higher.plus(lower.limited_to(higher.count / streak_max))
     }
 
-    /// Puts a request into its place; returns the number of its arrival.
+    /// Adds a request and returns its arrival number, which [`Self::remove`] needs.
     pub(super) fn push(
         &mut self,
         key: QueueKey,
@@ -164,7 +167,7 @@
         self.arrivals
     }
 
-    /// The request whose turn it is among those of this class.
+    /// Removes and returns the request that gets the next slot of this class.
     pub(super) fn pop(&mut self) -> Option<Ticket> {
         let priority = self.next_priority()?;
         match priority {
@@ -182,7 +185,7 @@
         removed.map(|(_, entry)| entry.ticket)
     }
 
-    /// Which of the waiting have the next turn.
+    /// Returns the priority from which the next request is taken.
     fn next_priority(&self) -> Option<Priority> {
         let caller_ranks = Priority::CallerRequest { rank: 0 }..;
         let first_caller = self.by_priority.range(caller_ranks).next();
@@ -201,7 +204,7 @@
         self.by_priority.keys().next_back().copied()
     }
 
-    /// Of the least urgent the one that is due last.
+    /// Removes and returns the request that is due last among those of the lowest priority.
     pub(super) fn pop_last(&mut self) -> Option<Ticket> {
         let last = self.lowest_priority()?;
         let removed = self.by_priority.get_mut(&last)?.pop_last();
@@ -221,7 +224,7 @@
         self.count = 0;
     }
 
-    /// Counts anew after one was taken.
+    /// Drops an entry that has become empty and updates the count.
     fn update_after_removal(&mut self, priority: Priority) {
         if self
             .by_priority
--- a/src/decide/announcements.rs
+++ b/src/decide/announcements.rs
@@ -1,8 +1,8 @@
-//! Which announcement of a backend server holds at its own node.
+//! Orders the announcements that a node receives from its own backend server.
 //!
-//! Announcements may come late: delayed on the way, or from a backend server that has crashed since
-//! and whose address another one has. Those that carry a name are ordered here; the newest start
-//! holds, and of one start the highest sequence.
+//! An announcement may arrive late: it was delayed in the network, or its sender has crashed and
+//! another backend server has its address now. Announcements with an instance name are ordered by
+//! the start time of the instance, and then by sequence number; the newest one is in effect.
 
 use std::collections::VecDeque;
 
@@ -10,29 +10,30 @@
 use crate::core::names::InstanceName;
 use crate::core::status::Announcement;
 
-/// Instances that have left and are remembered: a few that follow each other at one address, for as
-/// long as their late announcements may be under way.
+/// Number of departed instances that are remembered: enough for several that follow each other at one
+/// address, as long as their delayed announcements may still arrive.
 const DEPARTED_STARTS_MAX: usize = 16;
 
-/// What becomes of an announcement.
+/// What the node does with an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnouncementOutcome {
-    /// It holds from now on.
+    /// The announcement is now in effect.
     Accepted,
-    /// It may be from before this process: the backend server is to be asked before it holds.
+    /// The announcement may date from before this process started. The backend server must confirm
+    /// it first.
     Unconfirmed,
-    /// It says nothing new of the backend server that holds.
+    /// The announcement repeats the one in effect.
     Duplicate,
-    /// A later announcement, or a later start, is known.
+    /// A later announcement or a later instance is known.
     Outdated,
 }
 
-/// Announcements of one start, each later than the one before, after which it is believed that it takes
-/// work although it says otherwise when it is asked. One that leaves says so, or nothing any more, and of
-/// what was held up on its way hardly ever so many come.
+/// Number of ready announcements of one start, each with a higher sequence than the one before, that
+/// replace the confirmation by the backend server. A backend server that leaves announces that or
+/// stops announcing, and this many delayed announcements of it hardly ever arrive.
 const CONFIRMING_ANNOUNCEMENTS: u32 = 3;
 
-/// One start of a backend server.
+/// Identifies one start of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct BackendStart {
     instance: InstanceName,
@@ -46,22 +47,23 @@
     announcement: Announcement,
 }
 
-/// The announcements that a node has heard of its own backend server.
+/// Announcements that a node has received from its own backend server.
 #[derive(Clone, Debug, Default)]
 pub struct Announcements {
     current: Option<Current>,
     departed: VecDeque<BackendStart>,
-    /// The first "ready" of this process needs an answer of the backend server itself.
+    /// Whether a ready announcement still has to be confirmed by the backend server.
     unconfirmed: bool,
-    /// Announcements since, each later than the one before.
+    /// Unconfirmed ready announcements of the current start, each with a higher sequence.
     later_announcements: u32,
 }
 
 impl Announcements {
-    /// None yet, of backend servers that can be asked themselves whether they take work.
+    /// Returns an empty state in which the first ready announcement needs confirmation. It is for
+    /// backend servers that can be asked whether they accept requests.
     ///
-    /// A "ready" from before, held up on its way, may reach a process whose predecessor has acknowledged that the
-    /// backend server left. So the first one is believed only once the backend server confirms it.
+    /// A delayed ready announcement may reach this process after the process before it has
+    /// acknowledged that the backend server left.
     pub fn requiring_confirmation() -> Self {
         Self {
             unconfirmed: true,
@@ -69,8 +71,8 @@
         }
     }
 
-    /// The backend server said itself that it takes work; what it has announced, if that was said by
-    /// the same one.
+    /// Records that `instance` has confirmed that it accepts requests. Returns its announcement if
+    /// the latest one is of that instance and announces that it is ready.
     pub fn confirm(&mut self, instance: &InstanceName) -> Option<&Announcement> {
         let current = self.current.as_ref()?;
         if current.start.instance != *instance {
@@ -80,14 +82,13 @@
         self.serving()
     }
 
-    /// Takes in an announcement.
+    /// Applies an announcement, unless a newer one is known.
     ///
-    /// One that is older than what is known is refused: it may be of a backend server that has left since, or of
-    /// one that had the address before. Those that have left are remembered longer than an announcement is
-    /// under way.
+    /// An older announcement may be of a backend server that has left, or of one that had the address
+    /// before. Departed instances are remembered for longer than an announcement can be delayed.
     pub fn apply(&mut self, announcement: &Announcement) -> AnnouncementOutcome {
         let Some(instance) = &announcement.instance else {
-            // Without a name there is nothing to order by: the last word holds.
+            // Announcements without an instance name cannot be ordered: the last one is in effect.
             self.current = None;
             return AnnouncementOutcome::Accepted;
         };
@@ -120,7 +121,7 @@
         }
     }
 
-    /// What becomes of a "ready" that nobody has confirmed yet, and that came after `previous`.
+    /// Decides on an unconfirmed ready announcement that replaced `previous`.
     fn apply_unconfirmed(
         &mut self,
         previous: Option<&Current>,
@@ -140,12 +141,12 @@
         }
     }
 
-    /// Whether nothing has been heard yet.
+    /// Whether no instance is known, neither current nor departed.
     pub fn is_empty(&self) -> bool {
         self.current.is_none() && self.departed.is_empty()
     }
 
-    /// What the backend server said last, if it takes work.
+    /// Returns the announcement in effect if the backend server accepts requests.
     pub fn serving(&self) -> Option<&Announcement> {
         let current = self.current.as_ref().filter(|_| !self.unconfirmed);
         let announcement = current.map(|current| &current.announcement);
@@ -154,7 +155,7 @@
 
     fn apply_departure(&mut self, start: BackendStart) -> AnnouncementOutcome {
         let current = self.current.as_ref();
-        // One that leaves need not say when it started.
+        // A departure announcement may lack the start time.
         let matching = current.filter(|current| current.start.instance == start.instance);
         let departed_start = matching.map_or(start, |current| current.start.clone());
         let outcome = match (matching, current) {
--- a/src/decide/connections.rs
+++ b/src/decide/connections.rs
@@ -1,4 +1,4 @@
-//! How many connections of callers a node keeps, and which one it gives up for a new one.
+//! Limits on callers' connections to a node, and which idle one is closed to admit a new one.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::IpAddr;
@@ -6,31 +6,31 @@
 use slotmap::{SlotMap, new_key_type};
 
 new_key_type! {
-    /// Names an open connection.
+    /// Identifies an open connection.
     pub struct ConnectionKey;
 }
 
-/// Part of the process's descriptors that callers may take, in quarters. The rest is for other nodes,
-/// the backend server, the platform and files.
+/// Share of the process's file descriptors that connections of callers may use. The rest is for other
+/// nodes, the backend server, the platform and files.
 const CALLER_SHARE_NUMERATOR: u32 = 3;
 const CALLER_SHARE_DENOMINATOR: u32 = 4;
 
-/// Memory set aside for each connection: above what one takes with a request in hand, and twice
-/// that of the idle ones among them.
+/// Memory budget of each connection, in KiB. It is above what a connection uses while it has a
+/// request, and twice what an idle one uses.
 const CONNECTION_MEMORY_KB: u32 = 64;
 
-/// How many connections callers may have.
+/// Maximum numbers of open connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// All together.
+    /// Of all callers together.
     pub max_total: u32,
-    /// From one address.
+    /// From one IP address.
     pub max_per_address: u32,
 }
 
 impl ConnectionLimits {
-    /// For a process that may open so many descriptors and use so much memory; none if it is not
-    /// limited.
+    /// Derives the limits from the maximum number of file descriptors and the memory of the process
+    /// in MiB, none if memory is not limited. `max_per_address` is configured; the total caps it.
     pub fn for_process(descriptors: u32, memory_mb: Option<u32>, max_per_address: u32) -> Self {
         let by_descriptors = descriptors / CALLER_SHARE_DENOMINATOR * CALLER_SHARE_NUMERATOR;
         let by_memory = memory_mb.map_or(u32::MAX, |mb| {
@@ -44,39 +44,40 @@
     }
 }
 
-/// A connection that was let in.
+/// A connection that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Accepted {
     /// The new connection.
     pub connection: ConnectionKey,
-    /// The one that is closed for it.
+    /// The idle connection that has to be closed for it, if any.
     pub closed: Option<ConnectionKey>,
 }
 
 #[derive(Debug)]
 struct OpenConnection {
     caller: IpAddr,
-    /// Its number among the idle ones while it is idle.
+    /// Key in [`ConnectionTable::idle_connections`] while the connection is idle.
     idle_sequence: Option<u64>,
 }
 
-/// The connections of all callers.
+/// Open connections of all callers.
 ///
-/// At the limit the longest idle one is closed for a new one: its caller is the least likely to use it now, and
-/// a request that crosses the close was not read, so it may be sent again. An address that opens connection
-/// after connection loses its own first.
+/// At the limit the connection that has been idle longest is closed for a new one, since its caller
+/// is the least likely to use it soon. A request that the caller sends during the close was not read,
+/// so the caller may retry it. If an address is at its own limit, one of its own connections is
+/// closed.
 #[derive(Debug)]
 pub struct ConnectionTable {
     limits: ConnectionLimits,
     open: SlotMap<ConnectionKey, OpenConnection>,
     count_by_address: HashMap<IpAddr, u32>,
-    /// The longest idle first.
+    /// Idle connections by the number of the idle period, the one that has been idle longest first.
     idle_connections: BTreeMap<u64, ConnectionKey>,
     last_idle_sequence: u64,
 }
 
 impl ConnectionTable {
-    /// None yet.
+    /// Returns an empty table.
     pub fn new(limits: ConnectionLimits) -> Self {
         Self {
             limits,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// A connection of `caller` has come; none if there is no room for it.
+    /// Adds a connection of `caller`; returns none if it must be refused.
     pub fn accept(&mut self, caller: IpAddr) -> Option<Accepted> {
         let closed = match self.has_room(caller) {
             true => None,
@@ -104,7 +105,7 @@
         Some(Accepted { connection, closed })
     }
 
-    /// The connection waits for its caller's next request.
+    /// Records that the connection waits for the next request.
     pub fn mark_idle(&mut self, connection: ConnectionKey) {
         let Some(open) = self.open.get_mut(connection) else {
             return;
@@ -117,7 +118,8 @@
             .insert(self.last_idle_sequence, connection);
     }
 
-    /// A request has come on the connection. False if it is being closed.
+    /// Records that a request has arrived on the connection. Returns false if the connection is
+    /// being closed.
     pub fn mark_active(&mut self, connection: ConnectionKey) -> bool {
         let Some(open) = self.open.get_mut(connection) else {
             return false;
@@ -128,7 +130,7 @@
         true
     }
 
-    /// The connection has ended; nothing changes if it was closed for another one.
+    /// Removes a connection that has ended. Does nothing if it was already closed for another one.
     pub fn remove(&mut self, connection: ConnectionKey) {
         let Some(open) = self.open.remove(connection) else {
             return;
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Open connections.
+    /// Returns the number of open connections.
     pub fn count(&self) -> usize {
         self.open.len()
     }
@@ -158,7 +160,8 @@
         count >= self.limits.max_per_address
     }
 
-    /// What is closed for a connection of `caller`: one of its own if it has too many itself.
+    /// Returns the connection to close for a new one of `caller`: the one that has been idle longest,
+    /// among its own if `caller` is at its limit. None if no such connection is idle.
     fn connection_to_close(&self, caller: IpAddr) -> Option<ConnectionKey> {
         let own_only = self.is_at_limit(caller);
         let may_close = |key: &&ConnectionKey| {
--- a/src/decide/load_balancing.rs
+++ b/src/decide/load_balancing.rs
@@ -1,7 +1,8 @@
-//! Which endpoint a request goes to.
+//! Load balancing: an entry node chooses the endpoint of a service that a request is sent to.
 //!
-//! [`RankedEndpoints`] holds the endpoints of one service as one entry node ranks them. [`Balancer`] holds
-//! what the entry has seen of endpoints with its own calls, which outweighs what gossip says.
+//! An entry node is the node at which a request enters the mesh. [`RankedEndpoints`] holds the
+//! endpoints of one service in the order of one entry node. [`Balancer`] holds what the entry node has
+//! measured of endpoints with its own requests, which takes precedence over their state in gossip.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -26,46 +27,47 @@
 pub use self::endpoint_stats::{AttemptOutcome, LoadReport};
 pub use self::free_slot_search::FreeSlotSearch;
 
-/// Endpoints of one service and distance that an entry uses at a time: each connection costs memory at both
-/// ends, and a choice among few spreads load nearly as well as one among all.
+/// Number of endpoints per service and distance that an entry node uses. Each connection costs memory at
+/// both ends, and a choice among a few endpoints spreads load nearly as well as a choice among all.
 const SUBSET_SIZE: usize = 8;
 
-/// Spread of the noise that parts entries which see endpoints as equal; below the least
-/// difference that matters, the crossing to another data centre.
+/// Maximum random cost, which spreads the requests of entry nodes over endpoints of equal cost. It is
+/// below the smallest cost difference that matters, the transfer to another data centre.
 const TIE_BREAK_NOISE: f64 = 0.004;
 
-/// Length that an answer is taken to have before there was one: a short list.
+/// Assumed length of a response for a resource without measurements: a short list.
 const INITIAL_RESPONSE_BYTES: f64 = 2_000.0;
-/// Gain of the running mean of lengths: one in so many.
+/// Weight of the newest sample in the mean response length, as a divisor.
 const RESPONSE_BYTES_DIVISOR: f64 = 16.0;
-/// Resources whose answers are measured: above those that a node calls under load.
+/// Number of resources whose response length is measured: above the number that a node requests under
+/// load.
 const RESPONSE_RESOURCES_MAX: usize = 256;
 
-/// Time that a request is taken to hold a slot before any endpoint has said it: short work.
+/// Assumed service time before any endpoint has reported one, in microseconds: that of short requests.
 const INITIAL_SERVICE_TIME_US: u64 = 20_000;
 
-/// Endpoints remembered before the ones not used lately are forgotten.
+/// Number of endpoints with statistics above which those not used recently are removed.
 const TRACKED_ENDPOINTS_MAX: usize = 2_048;
 
 /// One endpoint of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Its node.
+    /// Node in front of the backend server.
     pub node: NodeId,
-    /// Where to dial.
+    /// Address at which the entry node connects to it.
     pub address: SocketAddr,
-    /// Start of its process, so that a restart is seen.
+    /// Start time of the node's process, which distinguishes restarts.
     pub incarnation_us: u64,
 }
 
-/// The endpoints of one service, by distance and then in the entry's own order.
+/// Endpoints of one service, by distance and then in the rendezvous order of one entry node.
 #[derive(Clone, Debug, Default)]
 pub struct RankedEndpoints {
     by_distance: [Vec<Endpoint>; 3],
 }
 
 impl RankedEndpoints {
-    /// Adds a member as seen by the entry `entry_node` at `entry_place`.
+    /// Adds a member to the ranking of `entry_node`, which is located at `entry_place`.
     pub fn add(&mut self, entry_node: NodeId, entry_place: &Place, member: &Member) {
         let distance_index = entry_place.distance_to(&member.place) as usize;
         self.by_distance[distance_index].push(Endpoint {
@@ -73,8 +75,9 @@
             address: member.dial_address(entry_place),
             incarnation_us: member.incarnation_us,
         });
-        // Rendezvous hashing: an endpoint that comes or goes changes one place of a few entries'
-        // subsets and leaves all other connections as they are; the next in order is the spare.
+        // Rendezvous hashing: an added or removed endpoint changes one member of the subsets of a
+        // few entry nodes and leaves all other connections unchanged. The next endpoint in the
+        // order replaces one that is not available.
         self.by_distance[distance_index]
             .sort_by_cached_key(|endpoint| Reverse(rendezvous_weight(entry_node, endpoint.node)));
     }
@@ -91,59 +94,59 @@
     hasher.finish()
 }
 
-/// What a request needs of its endpoint.
+/// Properties of a request that its endpoint is chosen by.
 #[derive(Clone, Copy, Debug)]
 pub struct Requirements<'a> {
-    /// How far away it may run.
+    /// Maximum distance of the endpoint.
     pub spill: Spill,
-    /// Slots of an endpoint that has not said how many it has.
+    /// Assumed number of slots of an endpoint that has not reported it.
     pub default_slots: u32,
-    /// What it asks for.
+    /// Requested resource.
     pub resource: &'a ResourceName,
-    /// Until when its answer is of use.
+    /// Target latency and deadline of the response.
     pub limits: TimeLimits,
-    /// Length of its body.
+    /// Length of the request body.
     pub body_bytes: u64,
-    /// Endpoints that have failed it before.
+    /// Endpoints at which an earlier attempt of the request failed.
     pub tried: &'a [NodeId],
 }
 
-/// What an entry believes of one endpoint.
+/// Estimated state of one endpoint, for the log.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointEstimate {
-    /// Requests that are running or waiting there.
+    /// Requests running or waiting at the endpoint.
     pub in_flight: f64,
-    /// Requests that run there at a time.
+    /// Maximum number of concurrently running requests.
     pub slots: f64,
-    /// How long a request to the same resource holds a slot there, in microseconds, if it has said so
-    /// lately.
+    /// Reported service time of requests for the same resource, in microseconds, if any. It decreases
+    /// with the age of the report.
     pub service_time_us: Option<u64>,
-    /// Part of its requests that failed lately.
+    /// Share of recent requests that failed.
     pub failure_rate: f64,
-    /// How long ago it last said its load, in microseconds; none if never.
+    /// Age of the last load report in microseconds; none if there was none.
     pub report_age_us: Option<u64>,
 }
 
-/// Which endpoints are looked at.
+/// Selects the endpoints among which a request is placed.
 #[derive(Clone, Copy)]
 struct EndpointFilter<'a> {
-    /// Not these.
+    /// Endpoints to exclude.
     tried: &'a [NodeId],
-    /// Also those that are thought to be draining.
+    /// Whether endpoints that recently refused requests as draining are included.
     include_draining: bool,
 }
 
-/// What one entry has seen of endpoints. Times are microseconds of any steady clock.
+/// Measurements of endpoints by one entry node. Times are microseconds of any monotonic clock.
 #[derive(Debug, Default)]
 pub struct Balancer {
     switches: MechanismSwitches,
     stats_by_node: HashMap<NodeId, EndpointStats>,
-    /// Mean length of answers, by resource.
+    /// Mean length of responses, by resource.
     response_bytes: HashMap<ResourceName, f64>,
 }
 
 impl Balancer {
-    /// Nothing seen yet.
+    /// Returns a balancer without measurements.
     pub fn new(switches: MechanismSwitches) -> Self {
         Self {
             switches,
@@ -151,11 +154,12 @@
         }
     }
 
-    /// Picks the endpoint that is likely to serve the request best; see [`cost`].
+    /// Chooses the endpoint with the lowest expected cost for the request; see [`cost`].
     ///
-    /// Reports are some answers old, and many entries go by the same ones. So each counts what it has sent there
-    /// since, and a little noise parts those that see endpoints as equal. An endpoint that failed this request
-    /// is asked again only if there is no other.
+    /// Load reports arrive only with responses, and many entry nodes act on the same reports. So an
+    /// entry node adds the requests that it has sent since the report, and a little random noise
+    /// breaks ties. An endpoint at which the request has failed is chosen again only if there is no
+    /// other.
     pub fn choose(
         &mut self,
         now_us: u64,
@@ -176,7 +180,7 @@
                     ..filter
                 })
             })
-            // It may have been told to serve again since it refused.
+            // The endpoint may accept requests again since it refused one as draining.
             .or_else(|| {
                 choose_filtered(EndpointFilter {
                     tried: &[],
@@ -227,11 +231,12 @@
         best
     }
 
-    /// How long a request like this one is taken to hold a slot where that is not known: between the shortest
-    /// known time and the mean of those known.
+    /// Returns the service time to assume for endpoints without a measurement: midway between the
+    /// shortest measured time and the mean of the measured times.
     ///
-    /// An entry that has found a fast endpoint goes on using it. Were unknown endpoints taken for quicker, an
-    /// entry with few requests would spend most of them on finding out, and half of those on slow endpoints.
+    /// With this value an entry node that has found a fast endpoint keeps using it. With a shorter
+    /// value, an entry node with few requests would spend most of them on measuring endpoints, and
+    /// half of those on slow ones.
     fn default_service_time_us(
         &self,
         now_us: u64,
@@ -289,7 +294,8 @@
         }
     }
 
-    /// How long the body of the request takes to come in.
+    /// Returns the expected upload time of the request body; 0 if the body is small or nothing is
+    /// reported.
     fn upload_time_us(
         &self,
         stats: Option<&EndpointStats>,
@@ -307,7 +313,7 @@
         (requirements.body_bytes as f64 + mean_bytes) / 1_000.0
     }
 
-    /// What this entry goes by when it weighs `endpoint`; for whoever explains the choice.
+    /// Returns the estimate that [`Self::choose`] uses for `endpoint`, so that the choice can be logged.
     pub fn estimate(
         &self,
         now_us: u64,
@@ -332,7 +338,7 @@
         }
     }
 
-    /// An answer for `resource` is so long.
+    /// Records the length of a response for `resource`.
     pub fn record_response_size(&mut self, resource: &ResourceName, bytes: u64) {
         let bytes = bytes as f64;
         if let Some(mean) = self.response_bytes.get_mut(resource) {
@@ -342,7 +348,7 @@
         }
     }
 
-    /// The request goes to `endpoint`.
+    /// Records that a request is sent to `endpoint`.
     pub fn record_start(&mut self, now_us: u64, endpoint: &Endpoint) {
         if self.stats_by_node.len() >= TRACKED_ENDPOINTS_MAX {
             let cutoff_us = now_us.saturating_sub(EJECTION_MAX_US);
@@ -355,14 +361,14 @@
         stats.last_used_us = now_us;
     }
 
-    /// The request no longer occupies the endpoint.
+    /// Records that a request no longer occupies the endpoint.
     pub fn record_end(&mut self, node: NodeId) {
         if let Some(stats) = self.stats_by_node.get_mut(&node) {
             stats.outstanding = stats.outstanding.saturating_sub(1);
         }
     }
 
-    /// The endpoint reported its load with an answer to a request for `resource`.
+    /// Records a load report that came with the response to a request for `resource`.
     pub fn record_load(
         &mut self,
         now_us: u64,
@@ -375,7 +381,8 @@
         }
     }
 
-    /// The endpoint reported, with an answer to another request, how long requests for `resource` hold a slot.
+    /// Records the service time of `resource` that came with the response to a request for another
+    /// resource.
     pub fn record_service_time(
         &mut self,
         now_us: u64,
@@ -388,21 +395,22 @@
         }
     }
 
-    /// An attempt ended.
+    /// Records the outcome of an attempt, which may eject the endpoint.
     pub fn record_outcome(&mut self, now_us: u64, node: NodeId, outcome: AttemptOutcome) {
         if let Some(stats) = self.stats_by_node.get_mut(&node) {
             stats.record_outcome(now_us, outcome);
         }
     }
 
-    /// Whether an endpoint is left out for now.
+    /// Whether an endpoint is ejected at `now_us`.
     pub fn is_ejected(&self, now_us: u64, node: NodeId) -> bool {
         let stats = self.stats_by_node.get(&node);
         stats.is_some_and(|stats| stats.is_ejected(now_us))
     }
 
-    /// The part of a ring that may be used, in the entry's order: endpoints that fail or are slow are left out. With
-    /// more than half left out the fault is hardly the endpoints' own, so all are used.
+    /// Returns the endpoints of one distance that may be used, in the order of the entry node, without
+    /// ejected ones. If more than half are ejected, the fault is probably not their own, so all are
+    /// used.
     fn eligible_endpoints<'a>(
         &self,
         now_us: u64,
@@ -445,7 +453,7 @@
         let stats = self.stats_by_node.entry(endpoint.node);
         let stats = stats.or_insert_with(|| EndpointStats::new(now_us, endpoint));
         if stats.incarnation_us != endpoint.incarnation_us {
-            // Another process has the address now: nothing of the old one holds for it.
+            // Another process has the address now, so the statistics of the old one do not apply.
             let outstanding = stats.outstanding;
             *stats = EndpointStats::new(now_us, endpoint);
             stats.outstanding = outstanding;
--- a/src/decide/load_balancing/cost.rs
+++ b/src/decide/load_balancing/cost.rs
@@ -1,77 +1,83 @@
-//! What it costs a caller, and the mesh, to send a request to an endpoint.
+//! Cost function that compares the endpoints a request may be sent to.
 //!
-//! Costs are compared with each other and mean little alone: 1 is a request that is not answered.
+//! A cost has no unit and is only compared with other costs. The base is the harm to the caller of a
+//! late or missing response, see [`LATE_COST`] and [`LOST_COST`].
 
 use crate::core::mechanism::{Mechanism, MechanismSwitches};
 use crate::core::member::Distance;
 
-/// A late answer is worth about a third of one in time to the users, who weigh it so themselves.
+/// Cost of a response after the target latency. Users value a late response at about a third of a
+/// timely one.
 const LATE_COST: f64 = 0.7;
-/// A request whose deadline passes has cost its caller the whole wait, too, and users count what is
-/// served at all several times as much as what is served in time.
+/// Additional cost of a response after the deadline. The caller has then waited in vain, and users weigh
+/// whether a request is served at all several times as much as whether it is served in time.
 const LOST_COST: f64 = 3.0;
 
-/// Crossing to another data centre of the region, for each kilobyte of request and answer.
+/// Cost of a transfer to another data centre of the region, per kilobyte of request and response.
 const OTHER_DATA_CENTRE_COST_PER_KB: f64 = 0.015;
-/// The same for the link between regions, which costs four times as much.
+/// Cost of a transfer to another region, per kilobyte. The link between regions costs four times as
+/// much as the one between data centres.
 const OTHER_REGION_COST_PER_KB: f64 = 0.06;
-/// Least size that is reckoned with: heads, and packets of their own.
+/// Minimum size of a transfer, which covers headers and packet overhead.
 const MIN_SIZE_KB: f64 = 1.0;
 
-/// Waiting for as long as one request holds a slot. It counts more than that one wait, as everyone behind in the
-/// queue waits as well.
+/// Cost of a wait of one service time. It exceeds the delay of the request itself, because requests
+/// behind it in the queue wait as well.
 const WAIT_COST: f64 = 0.25;
 
-/// Slots that are all in use. Requests come in clumps and backend servers slow down when nearly
-/// full, so an endpoint with room to spare goes before one that is about to be full.
+/// Cost of an endpoint whose slots are all in use. Requests arrive in bursts and backend servers slow
+/// down when nearly full, so an endpoint with spare capacity is preferred to one that is nearly full.
 const BUSY_COST: f64 = 0.02;
 
-/// An endpoint whose answers are all failures. A request there may be tried again elsewhere, which
-/// costs another attempt.
+/// Cost of an endpoint at which all requests fail. A failed request may be retried at another endpoint,
+/// which costs another attempt.
 const FAILURE_COST: f64 = 0.5;
 
-/// Each request that is outstanding at an endpoint of which nothing is known: it may be cold, so few find out.
+/// Cost per outstanding request at an endpoint without measurements. The endpoint may be cold, so only
+/// few requests at a time are sent there to measure it.
 const UNMEASURED_COST: f64 = 0.1;
 
-/// Time to an endpoint and back, in microseconds: the users' 1 ms between data centres and 20 ms between
-/// regions, each way.
+/// Network round trip by distance, in microseconds. It is based on the users' networks: 1 ms between data
+/// centres and 20 ms between regions, each way.
 const ROUND_TRIP_US: [u64; 3] = [300, 2_000, 41_000];
 
-/// What is known of one choice. Times are microseconds.
+/// An endpoint to which a request may be sent. Times are microseconds.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
     pub(super) distance: Distance,
-    /// Requests that are running or waiting there.
+    /// Requests running or waiting at the endpoint.
     pub(super) in_flight: f64,
-    /// Requests that run there at a time.
+    /// Maximum number of concurrently running requests.
     pub(super) slots: f64,
-    /// How long a request like this one holds a slot there, on average.
+    /// Mean service time of requests for the same resource.
     pub(super) service_time_us: f64,
-    /// How long any request does, on average.
+    /// Mean service time of all requests.
     pub(super) mean_service_time_us: f64,
-    /// How long the body of the request takes to come in there, with its wait.
+    /// Expected time to upload the request body, including the wait for the upload to start.
     pub(super) upload_time_us: f64,
-    /// Part of its requests that failed lately.
+    /// Share of recent requests that failed.
     pub(super) failure_rate: f64,
     /// Kilobytes of the request and its answer.
     pub(super) size_kb: f64,
-    /// Requests of this entry that are outstanding at an endpoint whose times it does not know.
+    /// Requests of this entry node that are outstanding at the endpoint if its service time is unknown,
+    /// else 0.
     pub(super) unmeasured_outstanding: f64,
 }
 
-/// Until when an answer is of use. Times are microseconds from now.
+/// Remaining time of a request, in microseconds from now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeLimits {
-    /// Until then it is worth most.
+    /// Time until the target latency ends; a later response is late.
     pub target_us: u64,
-    /// After it nobody waits any more.
+    /// Time until the deadline, after which the response is of no use.
     pub deadline_us: u64,
 }
 
-/// The cost of a choice; the lowest is best.
+/// Returns the cost of sending a request to `candidate`; the lowest cost is best.
 ///
-/// How long work takes scatters like an exponential, so the part that comes too late is taken from one with
-/// the endpoint's mean. The nearest endpoint does not go first by itself: a fast one elsewhere may answer sooner.
+/// Service times are roughly exponential, so the probability of a late response is that of an
+/// exponential distribution with the endpoint's mean. The nearest endpoint has no precedence as such,
+/// since a faster one further away may respond sooner.
 pub(super) fn of_candidate(
     candidate: &Candidate,
     limits: TimeLimits,
@@ -88,7 +94,7 @@
         (-available_us.max(0.0) / candidate.service_time_us.max(1.0)).exp()
     };
     let utilisation = (candidate.in_flight / slots).min(1.0);
-    // A link that is busy costs those behind this body as much as a queue for a slot does.
+    // A busy link delays the uploads behind this one just as a queue for a slot delays requests.
     let queue_rounds = queue_rounds + candidate.upload_time_us / candidate.service_time_us.max(1.0);
     let transfer = transfer_cost_per_kb(candidate.distance) * candidate.size_kb.max(MIN_SIZE_KB);
     let terms = [
--- a/src/decide/load_balancing/endpoint_stats.rs
+++ b/src/decide/load_balancing/endpoint_stats.rs
@@ -1,84 +1,90 @@
-//! What one entry has seen of one endpoint with its own calls.
+//! Statistics of one endpoint, from the requests of one entry node and the load reports in responses.
 
 use super::Endpoint;
 use crate::core::names::ResourceName;
 
-/// How long a reported load counts in full: some service times of short work.
+/// How long a load report counts in full, in microseconds: several service times of short requests.
 const LOAD_FRESH_US: u64 = 200_000;
-/// After so much longer it counts for nothing: what was in hand then has long become free.
+/// Additional time after which a load report counts for nothing, in microseconds. By then the requests
+/// that it counted have ended.
 const LOAD_DECAY_US: u64 = 800_000;
 
-/// For so long the times that an endpoint has reported count in full.
+/// How long a reported service time counts in full, in microseconds.
 const SERVICE_TIME_FRESH_US: u64 = 5_000_000;
-/// After that they are taken for shorter and shorter, to a third in this time, so that an endpoint that was slow
-/// for a moment is tried again.
+/// Time constant of the exponential decay of a reported service time after that, in microseconds: to
+/// about a third in this time. The decay makes sure that an endpoint that was slow for a moment is
+/// tried again.
 const SERVICE_TIME_DECAY_US: f64 = 10_000_000.0;
 
-/// Strikes that eject an endpoint. A lost connection is two, an answer of 5xx one; an answer
-/// that is none clears them.
+/// Error score at which an endpoint is ejected. A lost connection adds [`LOST_ERROR_SCORE`] and a 5xx
+/// response 1; any other response resets the score.
 const ERROR_SCORE_MAX: u32 = 5;
 const LOST_ERROR_SCORE: u32 = 2;
+/// Duration of the first ejection, in microseconds. It doubles with each further one.
 const EJECTION_FIRST_US: u64 = 1_000_000;
+/// Maximum duration of an ejection, in microseconds.
 pub(super) const EJECTION_MAX_US: u64 = 30_000_000;
 
-/// A draining endpoint is left alone for so long; by then gossip says the same.
+/// How long an endpoint is avoided after it refused a request as draining, in microseconds. By then
+/// gossip has spread that state.
 const DRAINING_US: u64 = 5_000_000;
 
-/// Gain of the running share of failures: one in so many.
+/// Weight of the newest sample in the failure rate, as a divisor.
 const FAILURE_RATE_DIVISOR: f64 = 16.0;
-/// A share of failures is forgotten at this pace, so that an endpoint that has recovered is found
-/// out: to a third in this time.
+/// Time constant of the exponential decay of the failure rate, in microseconds: to about a third in this
+/// time. The decay makes sure that a recovered endpoint is tried again.
 const FAILURE_RATE_DECAY_US: f64 = 5_000_000.0;
 
-/// Resources whose times are remembered for one endpoint: above those that a service has under
-/// load; the oldest goes first.
+/// Number of resources with statistics per endpoint: above the number that a service has under load. The
+/// one that was added first is removed to make room.
 const RESOURCES_MAX: usize = 16;
 
-/// How an attempt ended, as far as it tells of its endpoint.
+/// How an attempt ended, as far as that indicates the state of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// An answer.
+    /// The backend server responded.
     Answered {
-        /// Whether the backend server answered 5xx.
+        /// Whether the status of the response was 5xx.
         server_error: bool,
     },
-    /// Refused for load.
+    /// The node refused the request, for load or another reason that is no fault of the endpoint.
     Refused,
-    /// Its backend server did not take it.
+    /// The backend server rejected the request without running it.
     Rejected,
-    /// Refused because it is draining.
+    /// The node refused the request because the endpoint is draining.
     Draining,
-    /// Not reached.
+    /// The node could not be reached, or it could not reach its backend server.
     Unreachable,
-    /// Connection lost, or no answer in time.
+    /// The connection was lost, or no response came in time.
     Lost,
 }
 
-/// What a gate says of its backend server with each answer.
+/// Load of a backend server, which its node reports with each response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that are running.
+    /// Running requests.
     pub in_use: u32,
-    /// Waiting requests that would go before another one like the request that is answered.
+    /// Waiting requests that would go before a new request like the answered one.
     pub ahead: u32,
-    /// Requests that run at a time.
+    /// Maximum number of concurrently running requests.
     pub slots: u32,
-    /// How long a request holds its slot on average, in microseconds; 0 before the first.
+    /// Mean service time of all requests, in microseconds; 0 before the first.
     pub mean_service_time_us: u64,
-    /// The same for requests to the resource of the request that is answered.
+    /// Mean service time of requests for the resource of the answered request, in microseconds.
     pub resource_service_time_us: u64,
-    /// How long a large body takes to come in there, in microseconds, with its wait; 0 before the first.
+    /// Expected time to upload a large body, in microseconds, including the wait for the upload to
+    /// start; 0 before the first.
     pub upload_time_us: u64,
 }
 
-/// What one entry has seen of one endpoint.
+/// Statistics of one endpoint, kept by one entry node.
 #[derive(Clone, Debug)]
 pub(super) struct EndpointStats {
     pub(super) incarnation_us: u64,
     pub(super) last_used_us: u64,
     pub(super) outstanding: u32,
     report: Option<ReceivedReport>,
-    /// Time that a request holds a slot, by resource.
+    /// Statistics by resource, in the order in which they were added.
     resources: Vec<ResourceStats>,
     failure_rate: f64,
     failure_rate_updated_us: u64,
@@ -88,7 +94,7 @@
     draining_until_us: u64,
 }
 
-/// How long a request to a resource holds a slot, and how many like it wait.
+/// Service time of a resource, and the number of waiting requests that go before a new one for it.
 #[derive(Clone, Debug)]
 pub(super) struct ResourceStats {
     resource: ResourceName,
@@ -102,11 +108,11 @@
 struct ReceivedReport {
     load: LoadReport,
     received_us: u64,
-    /// Requests of this entry that were outstanding then.
+    /// Requests of this entry node that were outstanding when the report arrived.
     outstanding: u32,
 }
 
-/// How much a load still counts that was reported at `at_us`.
+/// Returns the weight, from 1 down to 0, of a load that was reported at `at_us`.
 fn load_weight(now_us: u64, at_us: u64) -> f64 {
     let age_us = now_us.saturating_sub(at_us);
     let stale_us = age_us.saturating_sub(LOAD_FRESH_US) as f64;
@@ -130,8 +136,8 @@
         }
     }
 
-    /// Requests in hand at the endpoint: its own word while it is fresh, corrected by what this
-    /// entry has begun and ended since, and never less than what this entry has there.
+    /// Estimates the requests running or waiting at the endpoint: the outstanding ones of this entry
+    /// node, plus those of other entry nodes from the last load report, weighted by its age.
     pub(super) fn in_flight(&self, now_us: u64, resource: &ResourceName) -> f64 {
         let own = f64::from(self.outstanding);
         let Some(report) = &self.report else {
@@ -144,24 +150,24 @@
         let ahead = resource_stats.map_or(0.0, |resource_stats| {
             load_weight(now_us, resource_stats.ahead_updated_us) * f64::from(resource_stats.ahead)
         });
-        // What was outstanding then is part of the report; what was begun since comes on top.
+        // The report includes the requests that this entry node had outstanding when it arrived.
         let others = f64::from(report.load.in_use) + ahead - f64::from(report.outstanding);
         own + load_weight(now_us, report.received_us) * others.max(0.0)
     }
 
-    /// How long ago it last said its load.
+    /// Returns the age of the last load report.
     pub(super) fn report_age_us(&self, now_us: u64) -> Option<u64> {
         let report = self.report.as_ref();
         report.map(|report| now_us.saturating_sub(report.received_us))
     }
 
-    /// Slots, as last reported.
+    /// Returns the number of slots in the last load report.
     pub(super) fn slots(&self) -> Option<u32> {
         let slots = self.report.as_ref().map(|report| report.load.slots);
         slots.filter(|slots| *slots > 0)
     }
 
-    /// How long a request to `resource` holds a slot, as last reported; less if that is long ago.
+    /// Returns the last reported service time of `resource`, decayed by its age.
     pub(super) fn service_time_us(&self, now_us: u64, resource: &ResourceName) -> Option<u64> {
         let resource_stats = self
             .resources
@@ -173,7 +179,7 @@
         Some((resource_stats.service_time_us as f64 * left) as u64)
     }
 
-    /// How long any request holds a slot, as last reported.
+    /// Returns the last reported mean service time of all requests.
     pub(super) fn mean_service_time_us(&self) -> Option<u64> {
         let mean_us = self
             .report
@@ -182,14 +188,14 @@
         mean_us.filter(|mean_us| *mean_us > 0)
     }
 
-    /// How long a large body takes to come in, as last reported.
+    /// Returns the last reported time to upload a large body.
     pub(super) fn upload_time_us(&self) -> u64 {
         self.report
             .as_ref()
             .map_or(0, |report| report.load.upload_time_us)
     }
 
-    /// Part of its requests that failed lately.
+    /// Returns the share of recent requests that failed, decayed by the time since the last one.
     pub(super) fn failure_rate(&self, now_us: u64) -> f64 {
         let age_us = now_us.saturating_sub(self.failure_rate_updated_us) as f64;
         self.failure_rate * (-age_us / FAILURE_RATE_DECAY_US).exp()
@@ -206,7 +212,8 @@
         let time_us = EJECTION_FIRST_US << self.ejections.min(5);
         self.ejections += 1;
         self.ejected_until_us = now_us + time_us.min(EJECTION_MAX_US);
-        // When it comes back one more failure is enough, until it has given an answer.
+        // After the ejection a single error ejects the endpoint again, until a response resets the
+        // score.
         self.error_score = ERROR_SCORE_MAX - 1;
     }
 
@@ -217,7 +224,7 @@
         }
     }
 
-    /// Takes in how an attempt ended.
+    /// Records the outcome of an attempt.
     pub(super) fn record_outcome(&mut self, now_us: u64, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Answered { server_error: true } => {
@@ -240,7 +247,7 @@
         }
     }
 
-    /// Takes in its own word of its load.
+    /// Records a load report that came with the response to a request for `resource`.
     pub(super) fn record_load(&mut self, now_us: u64, resource: &ResourceName, load: LoadReport) {
         self.report = Some(ReceivedReport {
             load,
@@ -256,7 +263,7 @@
         resource_stats.ahead_updated_us = now_us;
     }
 
-    /// Takes in its word of how long requests to `resource` hold a slot.
+    /// Records a reported service time of `resource`.
     pub(super) fn record_service_time(
         &mut self,
         now_us: u64,
--- a/src/decide/load_balancing/free_slot_search.rs
+++ b/src/decide/load_balancing/free_slot_search.rs
@@ -1,15 +1,16 @@
-//! How a request finds a free slot among endpoints whose load its entry hardly knows.
+//! Search for a free slot among endpoints whose load the entry node does not know well.
 
 use crate::core::mechanism::{Mechanism, MechanismSwitches};
 use crate::core::member::NodeId;
 
-/// Endpoints that a request asks for a slot that is free at once, before it waits at one.
+/// Number of endpoints that a request probes for a free slot before it queues at one.
 const FREE_SLOT_PROBES_MAX: usize = 3;
 
-/// The endpoints that one request has looked at.
+/// Endpoints that one request has probed.
 ///
-/// An entry hears of an endpoint's load only with answers, which may be seldom. A gate says at once whether it
-/// has a slot, so whoever has looked at some of them waits where the queue is known to be short.
+/// An entry node receives load reports only with responses, which may be rare. A probe is refused at
+/// once if the endpoint has no free slot, and the refusal carries a load report. So after some probes
+/// the request queues at an endpoint whose queue is known to be short.
 #[derive(Clone, Debug, Default)]
 pub struct FreeSlotSearch {
     switches: MechanismSwitches,
@@ -17,7 +18,7 @@
 }
 
 impl FreeSlotSearch {
-    /// None looked at yet.
+    /// Returns a search without probes.
     pub fn new(switches: MechanismSwitches) -> Self {
         Self {
             switches,
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Whether the request, which is placed at `node`, waits there if no slot is free.
+    /// Whether a request that is sent to `node` queues there if no slot is free; else it is a probe.
     pub fn queues_at(&self, node: NodeId) -> bool {
         let probes_max = match self.switches.is_enabled(Mechanism::FreeSlotProbes) {
             true => FREE_SLOT_PROBES_MAX,
@@ -34,7 +35,7 @@
         self.busy_endpoints.len() >= probes_max || self.busy_endpoints.contains(&node)
     }
 
-    /// `node` had no free slot.
+    /// Records that `node` had no free slot.
     pub fn record_busy(&mut self, node: NodeId) {
         self.busy_endpoints.push(node);
     }
--- a/src/decide/max_wait.rs
+++ b/src/decide/max_wait.rs
@@ -1,16 +1,16 @@
-//! How long a request is willing to wait for a slot.
+//! Maximum time that a request waits for a slot of a backend server.
 
 use std::time::Duration;
 
 use crate::core::configuration::Treatment;
 use crate::core::mechanism::{Mechanism, MechanismSwitches};
 
-/// Part of its target latency that a request waits for a slot at most. With a longer queue every answer would be
-/// late and no more would be given.
+/// Part of its target latency that a request may wait for a slot, as a divisor. With a longer queue
+/// every response would be late, and no more requests would be served.
 const MAX_WAIT_DIVISOR: u32 = 3;
 
-/// How long a caller's request of this treatment waits for a slot, where the team has said how soon it
-/// wants the answer; without that, as long as the deadline allows.
+/// Returns the maximum wait of a caller's request: a part of the target latency if its team has
+/// configured one, else the timeout.
 pub fn for_caller_request(treatment: &Treatment, switches: MechanismSwitches) -> Duration {
     let target_ms = treatment.target_latency_ms;
     match target_ms.filter(|_| switches.is_enabled(Mechanism::QueueWaitLimit)) {
@@ -19,8 +19,8 @@
     }
 }
 
-/// How long a call of a running request waits: up to its deadline, as a refusal would waste what the request
-/// behind it has done so far.
+/// Returns the maximum wait of a call made by a running request: its timeout, because a refusal would
+/// waste the work that the running request has already done.
 pub fn for_nested_call(treatment: &Treatment) -> Duration {
     timeout(treatment)
 }
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,9 +1,10 @@
-//! Whether a failed request is tried again, and how often a whole tree of calls may do so.
+//! Retries of failed requests, limited per request, per service and per call tree.
 //!
-//! One call may lead to others, up to [`DEPTH_MAX`] deep. All of them draw on one budget of
-//! retries that the first entry sets: an entry keeps one retry for itself and passes the rest
-//! down; what was not spent comes back with the answer. No part is ever in two hands, so the
-//! tree as a whole retries at most [`RETRIES_PER_TREE`] times.
+//! A request may lead to nested calls, up to [`DEPTH_MAX`] levels deep. All calls of such a tree share
+//! one retry budget, which the entry node of the first request sets. The entry node of each call
+//! keeps one retry for itself and passes the rest downstream; what is not spent is returned with the
+//! response. No retry is available at two places at once, so the whole tree makes at most
+//! [`RETRIES_PER_TREE`] retries.
 
 use std::collections::HashMap;
 
@@ -12,29 +13,30 @@
 use crate::core::names::ServiceName;
 use crate::core::verdict::Verdict;
 
-/// Calls below the first one; a longer chain is taken for a loop.
+/// Maximum depth of nested calls below the first request. A longer chain is treated as a loop.
 pub const DEPTH_MAX: u32 = 7;
 
-/// Retries of a whole tree of calls, one for each level; attempts of every level would multiply.
+/// Retry budget of a call tree: one for each level. Without a common budget the attempts of all levels
+/// would multiply.
 pub const RETRIES_PER_TREE: u32 = 8;
 
-/// Endpoints that a request may find draining without using up an attempt. A planned stop is not
-/// a failure, and no more than a few endpoints of a subset stop at one time.
+/// Number of draining endpoints that a request may try without spending an attempt. A planned stop is
+/// not a failure, and only a few endpoints of a subset stop at the same time.
 const DRAINING_ENDPOINTS_MAX: u32 = 4;
 
 /// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// The endpoint no longer takes work; proved not run.
+    /// The endpoint no longer accepts requests; the request provably did not run.
     Draining,
-    /// Proved not run.
+    /// The request provably did not run.
     NotRun,
-    /// May have run.
+    /// The request may have run.
     MayHaveRun,
 }
 
 impl AttemptFailure {
-    /// What it says of the request.
+    /// Returns the verdict on whether the request ran.
     pub fn verdict(self) -> Verdict {
         match self {
             Self::Draining | Self::NotRun => Verdict::NotRun,
@@ -43,7 +45,7 @@
     }
 }
 
-/// The attempts of one request at its entry.
+/// Attempts that an entry node makes for one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     max_attempts: u32,
@@ -54,7 +56,8 @@
 }
 
 impl Attempts {
-    /// For a request of `treatment` with `budget` retries of its tree left.
+    /// Returns the state before the first attempt. `budget` is the number of retries that are left of
+    /// the budget of the call tree.
     pub fn new(treatment: &Treatment, budget: u32) -> Self {
         Self {
             max_attempts: treatment.attempts,
@@ -65,23 +68,27 @@
         }
     }
 
-    /// Retries that the attempt about to be made may spend further down.
+    /// Returns the number of retries that the next attempt passes downstream.
     pub fn downstream_budget(&self) -> u32 {
         self.budget.saturating_sub(1)
     }
 
-    /// Retries left, when an answer came that reports `unspent` of those passed down.
+    /// Returns the remaining budget after a response that returned `unspent` of the retries that were
+    /// passed downstream.
     pub fn budget_after_response(&self, unspent: u32) -> u32 {
         self.budget.min(1) + unspent.min(self.downstream_budget())
     }
 
-    /// Retries left after a failure.
+    /// Returns the remaining budget after a failure.
     pub fn budget_after_failure(&self) -> u32 {
         self.budget
     }
 
-    /// Whether an attempt that failed is to be made again: within the team's `attempts`, the budget of the tree and
-    /// the tokens of the service, and for a non-idempotent request only with proof that it did not run.
+    /// Decides whether to retry after a failed attempt, and takes the retry from the budgets if so.
+    ///
+    /// A retry needs an attempt left of the team's `attempts`, a retry in the budget of the call tree
+    /// and a token of the service. A request that is not idempotent is retried only if it provably
+    /// did not run.
     pub fn take_retry(&mut self, failure: AttemptFailure, tokens: &mut RetryTokens) -> bool {
         if failure == AttemptFailure::Draining {
             self.draining_endpoints += 1;
@@ -89,7 +96,7 @@
         }
         self.attempts_made += 1;
         if failure == AttemptFailure::MayHaveRun {
-            // What was passed down may have been spent there.
+            // The retries that were passed downstream may have been spent there.
             self.budget = self.budget.min(1);
         }
         let allowed = failure.verdict() == Verdict::NotRun || self.idempotent;
@@ -102,22 +109,23 @@
     }
 }
 
-/// Retries that an entry may make for one service, in proportion to its first attempts, so that they do not keep
-/// a failing service down. The reserve lets a quiet entry retry at all.
+/// Token bucket for the retries of one entry node to one service. Each first attempt earns part of a
+/// token, so that retries stay in proportion to requests and do not keep a failing service
+/// overloaded. The reserve lets an entry node with few requests retry at all.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryTokens {
     hundredths: u32,
     policy: RetryPolicy,
 }
 
-/// How many retries an entry may make for one service.
+/// Limits on the retries of one entry node to one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
-    /// Retries in percent of the first attempts.
+    /// Retries as a percentage of first attempts.
     pub percent: u32,
-    /// Retries that may be saved up for a bad moment.
+    /// Maximum number of saved retries, available for a burst of failures.
     pub reserve: u32,
-    /// Whether there is no limit.
+    /// Whether retries need no tokens.
     pub unlimited: bool,
 }
 
@@ -131,21 +139,21 @@
     }
 }
 
-/// Retries that an entry may save up where its settings do not say it.
+/// Reserve of an entry node if its settings give none, in retries.
 const RESERVE_DEFAULT: u32 = 10;
-/// An entry that could not save up a whole retry would never make one.
+/// Minimum reserve of an entry node: with less than one whole retry it would never retry.
 const RESERVE_MIN: u32 = 1;
 
-/// Part of a bound on all retries of the mesh that its entries use together. The rest is for what no
-/// entry counts: calls that a repeated request makes again, and entries that have restarted with a
-/// full reserve.
+/// Share of the mesh-wide retry limits that the entry nodes use together. The rest covers retries that
+/// no entry node counts: nested calls that a retried request repeats, and entry nodes that have
+/// restarted with a full reserve.
 const ENTRIES_SHARE_NUMERATOR: u32 = 3;
 const ENTRIES_SHARE_DENOMINATOR: u32 = 4;
 
 impl RetryPolicy {
-    /// The share of one entry in what the settings allow: `percent` of first attempts, and a reserve that all
-    /// `entries` of the mesh have together, if one is set. Entries do not talk before a retry, so each takes only its
-    /// part.
+    /// Returns the policy of one entry node: `percent` of first attempts, and its part of the
+    /// `reserve` that all `entries` of the mesh share, if one is set. Entry nodes do not coordinate
+    /// their retries, so each uses only its own part.
     pub fn for_entry(percent: u32, reserve: Option<u32>, entries: usize) -> Self {
         let Some(reserve) = reserve else {
             return Self {
@@ -163,7 +171,8 @@
         }
     }
 
-    /// The same with some mechanisms switched off.
+    /// Returns this policy without the mechanisms that `switches` disables: the saved retries, or any
+    /// limit.
     pub fn with_switches(self, switches: MechanismSwitches) -> Self {
         Self {
             reserve: match switches.is_enabled(Mechanism::RetryBurst) {
@@ -178,7 +187,7 @@
 
 const TOKEN_HUNDREDTHS: u32 = 100;
 
-/// The tokens of every service that an entry calls.
+/// Retry tokens of each service that an entry node sends requests to.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceTokens {
     policy: RetryPolicy,
@@ -186,7 +195,7 @@
 }
 
 impl ServiceTokens {
-    /// Changes how many retries there are.
+    /// Changes the policy of all services. Tokens that were already earned stay.
     pub fn set_policy(&mut self, policy: RetryPolicy) {
         self.policy = policy;
         for tokens in self.by_service.values_mut() {
@@ -194,9 +203,9 @@
         }
     }
 
-    /// Tokens of one service.
+    /// Returns the tokens of one service, with a full reserve at first use.
     pub fn for_service(&mut self, service: &ServiceName) -> &mut RetryTokens {
-        // The name is cloned for a service's first request only.
+        // Avoids cloning the name except for the first request to a service.
         if !self.by_service.contains_key(service) {
             let tokens = RetryTokens::new(self.policy);
             self.by_service.insert(service.clone(), tokens);
@@ -212,7 +221,7 @@
 }
 
 impl RetryTokens {
-    /// A full reserve.
+    /// Returns a bucket with a full reserve.
     pub fn new(policy: RetryPolicy) -> Self {
         Self {
             hundredths: policy.reserve * TOKEN_HUNDREDTHS,
@@ -220,7 +229,7 @@
         }
     }
 
-    /// A first attempt was made.
+    /// Adds what one first attempt earns.
     pub fn earn(&mut self) {
         let most = self.policy.reserve * TOKEN_HUNDREDTHS;
         self.hundredths = most.min(self.hundredths + self.policy.percent);
--- a/src/decide/service_times.rs
+++ b/src/decide/service_times.rs
@@ -1,22 +1,23 @@
-//! How long requests hold a slot of one backend server, by what they ask for.
+//! Service times of one backend server: how long requests hold a slot, per resource.
 //!
-//! It is what tells endpoints apart that differ in speed: they get the same mix of requests, so only
-//! the times of one resource can be compared between them.
+//! Load balancing compares the speed of endpoints by these times. Endpoints may get different mixes of
+//! requests, so only times of the same resource are comparable.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
 
 use crate::core::names::ResourceName;
 
-/// Gain of a running mean: one in so many. Work scatters by as much as its mean, so the mean of so
-/// many strays by about a tenth; at 150 requests a second it follows a change within a second.
+/// Weight of the newest sample in a running mean, as a divisor. The standard deviation of service
+/// times is about their mean, so a mean over this many samples deviates by about a tenth. At 150
+/// requests per second it follows a change within a second.
 const MEAN_DIVISOR: u64 = 64;
 
-/// Resources that are told apart: above those that one service has under load. The times of all
-/// others count for the mean of any request alone.
+/// Number of resources with a mean of their own: above the number that one service has under load.
+/// Further resources count in the overall mean alone.
 const RESOURCES_MAX: usize = 64;
 
-/// A running mean that starts as the plain mean of the first values.
+/// Exponentially weighted mean; the plain mean for the first [`MEAN_DIVISOR`] samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunningMean {
     value_us: u64,
@@ -24,12 +25,12 @@
 }
 
 impl RunningMean {
-    /// The mean in microseconds; 0 before the first value.
+    /// Returns the mean in microseconds; 0 before the first sample.
     pub(crate) fn mean_us(self) -> u64 {
         self.value_us
     }
 
-    /// Takes in a value.
+    /// Adds a sample, in microseconds.
     pub(crate) fn add(&mut self, sample_us: u64) {
         self.samples = (self.samples + 1).min(MEAN_DIVISOR);
         let mean = self.value_us.cast_signed();
@@ -38,14 +39,14 @@
     }
 }
 
-/// Mean times in microseconds, 0 before the first.
+/// Mean service times, overall and per resource. Times are microseconds, 0 before the first sample.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceTimes {
     overall: RunningMean,
     by_resource: HashMap<ResourceName, ResourceMean>,
 }
 
-/// The mean of one resource, and when it last learnt a value.
+/// Mean of one resource, and when its last sample was added.
 #[derive(Clone, Copy, Debug, Default)]
 struct ResourceMean {
     mean: RunningMean,
@@ -53,7 +54,7 @@
 }
 
 impl ServiceTimes {
-    /// A request for `resource` was answered after it had held its slot for `service_time_us`.
+    /// Records a request for `resource` that was answered.
     pub fn record(&mut self, now_us: u64, resource: &ResourceName, service_time_us: u64) {
         self.overall.add(service_time_us);
         if !self.by_resource.contains_key(resource) && self.by_resource.len() < RESOURCES_MAX {
@@ -66,16 +67,16 @@
         }
     }
 
-    /// A request was given up before its answer: it would have held its slot for longer, which
-    /// tells something only if it was long already.
+    /// Records a request that was abandoned before its response. It would have held its slot for
+    /// longer than `service_time_us`, so it counts only if that already exceeds the mean.
     pub fn record_abandoned(&mut self, now_us: u64, resource: &ResourceName, service_time_us: u64) {
         if service_time_us > self.resource_us(resource).max(1) {
             self.record(now_us, resource, service_time_us);
         }
     }
 
-    /// The longest times of up to `max_count` resources other than `excluded` that were learnt since `since_us`, the
-    /// longest first.
+    /// Returns the `max_count` longest mean times, the longest first, of resources that have a sample
+    /// since `since_us`, without `excluded`.
     pub fn longest(
         &self,
         max_count: usize,
@@ -94,12 +95,12 @@
         times
     }
 
-    /// Of any request.
+    /// Returns the mean over all requests.
     pub fn overall_us(&self) -> u64 {
         self.overall.value_us
     }
 
-    /// Of requests for `resource`; of any request if none for it was answered yet.
+    /// Returns the mean of `resource`, or the overall mean if it has no samples.
     pub fn resource_us(&self, resource: &ResourceName) -> u64 {
         self.by_resource
             .get(resource)
--- a/src/decide/split.rs
+++ b/src/decide/split.rs
@@ -1,11 +1,13 @@
-//! Which branch of a split route a request takes.
+//! Weighted traffic split: chooses the branch of a route for each request.
 
-/// Golden ratio of the unit interval, as a 32-bit fraction. Multiples of it spread over the interval
-/// more evenly than random numbers do, wherever they begin.
+/// Fractional part of the golden ratio, as a 32-bit fraction. Consecutive multiples of it, from any
+/// start, spread more evenly over the unit interval than random numbers.
 const GOLDEN_RATIO_STEP: u32 = 0x9E37_79B9;
 
-/// The branch of request number `request_number` among branches of these weights; 0 if none has any. Consecutive turns
-/// stray from the weights by a few requests, random choices by a tenth of some hundred.
+/// Returns the index of the branch for a request, or 0 if all weights are 0.
+///
+/// Consecutive request numbers deviate from the weights by a few requests; random choices would
+/// deviate by about a tenth over a few hundred requests.
 pub fn choose_branch(weights: impl Iterator<Item = u32> + Clone, request_number: u32) -> usize {
     let total: u64 = weights.clone().map(u64::from).sum();
     let point = (u64::from(request_number.wrapping_mul(GOLDEN_RATIO_STEP)) * total) >> 32;
--- a/src/decide/transit.rs
+++ b/src/decide/transit.rs
@@ -1,23 +1,24 @@
-//! How much later than usual a request comes from another node.
+//! Estimates how long a request from another node was delayed in transit.
 //!
-//! Two nodes have no common clock, but each has a steady one. The least difference between when a
-//! request came, by the one, and when it was sent, by the other, is the distance of the clocks and the
-//! usual way; what a request takes above it, it was held up.
+//! Two nodes have no common clock, but each has a monotonic one. The minimum difference between the
+//! receiver's clock on arrival and the sender's clock on sending is the clock offset plus the usual
+//! transit time. A request with a larger difference was delayed by the excess.
 
-/// After so long the least difference is looked for anew: steady clocks drift apart by some
-/// thousandths of a percent, a millisecond in this time.
+/// Length of a measurement window, in microseconds. The minimum is taken over two windows at most,
+/// because monotonic clocks drift apart by some thousandths of a percent: a millisecond in this time.
 const WINDOW_US: u64 = 30_000_000;
 
-/// What is known of the way from one node, on one connection. Times are microseconds.
+/// Delay estimation for one connection from another node. Times are microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DelayEstimator {
-    /// Least differences of this window and of the one before.
+    /// Minimum differences of the current window and of the previous one.
     min_difference_us: [Option<i64>; 2],
     window_start_us: u64,
 }
 
 impl DelayEstimator {
-    /// How long a request was held up that was sent at `sent_us` and has come at `now_us`.
+    /// Returns the transit delay of a request, from `sent_us` by the sender's clock and `now_us` by
+    /// the receiver's, and updates the minimum.
     pub fn delay_us(&mut self, now_us: u64, sent_us: u64) -> u64 {
         if now_us.saturating_sub(self.window_start_us) >= WINDOW_US {
             self.min_difference_us = [None, self.min_difference_us[0]];
--- a/src/decide/uploads.rs
+++ b/src/decide/uploads.rs
@@ -1,42 +1,42 @@
-//! How large request bodies come in over the link of an endpoint's VM.
+//! Scheduling of large request bodies (uploads) that arrive over the link of an endpoint's VM.
 //!
-//! A body takes the link for as long as it comes. Small requests share that link, calls of backend
-//! servers with a tenth of a second to spare among them, and wait behind whatever is on its way. So a
-//! node lets little of each body come before it asks for the rest, asks for few at a time, and takes a
-//! slot of the backend server only once the body is there.
+//! A large body occupies the link while it is transferred. Small requests share that link, among them
+//! calls between backend servers that can spare a tenth of a second, and queue behind the data that
+//! is already in flight. So a node limits the flow control window of each body, admits few uploads
+//! concurrently, and takes a slot of the backend server only when the body has arrived.
 
 use super::service_times::RunningMean;
 
-/// Bodies up to this length come at once with the head of their request.
+/// Bodies up to this length are sent with the request header, without waiting to be scheduled.
 pub const SMALL_BODY_MAX_BYTES: u64 = 8 << 10;
 
-/// How long what is asked for at a time may keep the link busy. A third of what the shortest calls of the
-/// deployments have to spare (120 ms), as they pass the link twice.
+/// Maximum time for which the concurrent uploads may occupy the link, in microseconds. It is a third
+/// of the 120 ms that the shortest calls of the deployments can spare, as they pass the link twice.
 const LINK_BUSY_MAX_US: u64 = 40_000;
 
-/// Least and most of one body that comes without being asked for. The least covers a small body; the
-/// most is what keeps a body coming over 20 ms each way at 12 Mbit/s, above a fair share of the link
-/// between regions.
+/// Bounds of the flow control window of one body. The minimum covers a small body. The maximum sustains
+/// 12 Mbit/s over 20 ms each way, which is above a fair share of the link between regions.
 const WINDOW_MIN_BYTES: u64 = 16 << 10;
 const WINDOW_MAX_BYTES: u64 = 65_535;
 
-/// Fewest bodies at a time: while one waits for its sender, another uses the link.
+/// Minimum number of concurrent uploads: while one waits for its sender, another uses the link.
 const CONCURRENT_MIN: u64 = 2;
-/// Most, for a node that does not know its link: above the slots of any deployment's backend server.
+/// Maximum number of concurrent uploads, also used if the rate of the link is unknown. It is above the
+/// number of slots of any deployment's backend server.
 const CONCURRENT_MAX: u64 = 64;
 
-/// What a node asks for at a time, by the rate of its link.
+/// Limits on the uploads to a node, which depend on the rate of its link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UploadLimits {
-    /// Bytes of each body that may be under way.
+    /// Flow control window of each body.
     pub window_bytes: u32,
-    /// Bodies that are asked for at a time.
+    /// Maximum number of concurrent uploads.
     pub concurrent_max: u32,
 }
 
 impl UploadLimits {
-    /// For a link of so many kilobits a second; none if it is not known. Several large bodies at a time would
-    /// fill a slow link, and short requests would wait behind them.
+    /// Derives the limits from the rate of the link, none if unknown. Many concurrent uploads would
+    /// saturate a slow link, and small requests would queue behind them.
     pub fn for_link(kbit_per_s: Option<u32>) -> Self {
         let busy_bytes =
             kbit_per_s.map_or(u64::MAX, |kbit| u64::from(kbit) * LINK_BUSY_MAX_US / 8_000);
@@ -50,7 +50,7 @@
     }
 }
 
-/// The bodies that come in, and those that wait for that. Times are microseconds.
+/// Counts the active and the waiting uploads to a node, and estimates their times in microseconds.
 #[derive(Debug)]
 pub struct UploadQueue {
     concurrent_max: u32,
@@ -60,7 +60,7 @@
 }
 
 impl UploadQueue {
-    /// None yet.
+    /// Returns an empty queue.
     pub fn new(limits: UploadLimits) -> Self {
         Self {
             concurrent_max: limits.concurrent_max,
@@ -70,35 +70,36 @@
         }
     }
 
-    /// How long one that came now would wait before its body is asked for.
+    /// Estimates how long a new upload would wait before it may start.
     pub fn estimated_wait_us(&self) -> u64 {
         let ahead = u64::from(self.waiting + self.active);
         let completions_needed = (ahead + 1).saturating_sub(u64::from(self.concurrent_max));
         completions_needed * self.upload_time.mean_us() / u64::from(self.concurrent_max)
     }
 
-    /// How long until the whole body of one that came now would be there.
+    /// Estimates the time until a new upload would be complete, including its wait.
     pub fn estimated_completion_us(&self) -> u64 {
         self.estimated_wait_us() + self.upload_time.mean_us()
     }
 
-    /// One waits.
+    /// Adds a waiting upload.
     pub fn enqueue(&mut self) {
         self.waiting += 1;
     }
 
-    /// One that waited has left.
+    /// Removes a waiting upload.
     pub fn leave_queue(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// The body of one that waited is asked for.
+    /// Starts a waiting upload.
     pub fn start(&mut self) {
         self.leave_queue();
         self.active += 1;
     }
 
-    /// It is there, or its sender has gone, after `elapsed_us`.
+    /// Ends an active upload, `elapsed_us` after its start: the body is complete or the sender has
+    /// disconnected.
     pub fn finish(&mut self, elapsed_us: u64) {
         self.active = self.active.saturating_sub(1);
         self.upload_time.add(elapsed_us);
