--- a/tests/testsuite/decide_admission.rs
+++ b/tests/testsuite/decide_admission.rs
@@ -1,4 +1,4 @@
-//! The gate's decisions: exact slots, two classes, deadlines, and an oracle for all of it.
+//! Admission control: slots, classes, priorities and deadlines, and a state machine test of all.
 
 use std::collections::VecDeque;
 
@@ -44,9 +44,8 @@
     }
 }
 
-/// Two services are busy, and one calls the other. The call goes before callers' requests of any rank
-/// that came earlier: a slot of its own service is held for it meanwhile. Among calls the first due goes
-/// first.
+/// A nested call goes before earlier requests of callers of any rank, because the request that made
+/// it occupies a slot of another service. Among nested calls the one that is due first goes first.
 #[test]
 fn nested_calls_go_before_caller_requests() {
     let mut admission = admission(1, 20);
@@ -72,8 +71,8 @@
     assert_eq!(order, [4, 3, 1, 2]);
 }
 
-/// Calls come faster than the slots turn over. Callers' requests to the called service still have every
-/// sixteenth turn.
+/// Guards against starvation of callers while nested calls arrive faster than slots become free: every
+/// sixteenth slot goes to a caller's request.
 #[test]
 fn nested_calls_do_not_starve_caller_requests() {
     let mut admission = admission(1, 100);
@@ -101,8 +100,8 @@
     assert_eq!(grants, 16);
 }
 
-/// Dealers' short reads arrive while uploads hold every slot that bulk work may have. The reserve
-/// lets them in at once; without it they would wait for the end of an upload.
+/// Guards against short interactive requests that wait for the end of a long upload: bulk work leaves a
+/// quarter of the slots free.
 #[test]
 fn interactive_request_gets_a_reserved_slot_during_uploads() {
     let mut admission = admission(20, 40);
@@ -129,7 +128,7 @@
     );
 }
 
-/// At night nobody reads prices, and the archive's look-ups are to have every slot.
+/// A service without interactive requests must not keep slots in reserve for them.
 #[test]
 fn bulk_work_gets_all_slots_without_interactive_requests() {
     let mut admission = admission(20, 40);
@@ -146,7 +145,8 @@
     assert_eq!(running, 20);
 }
 
-/// Short reads keep every slot busy for hours. The archive still gets every fourth turn.
+/// Guards against starvation of bulk work while interactive requests keep every slot busy: every fourth
+/// slot goes to a bulk request.
 #[test]
 fn interactive_requests_do_not_starve_bulk_work() {
     let mut admission = admission(1, 20);
@@ -183,8 +183,8 @@
     assert_eq!(order, [1, 2, 101, 3, 4, 5, 102, 6, 7]);
 }
 
-/// A herd of uploads has filled the queue. A dealer's read is not refused for it: the newest
-/// upload gives its place back and is told at once.
+/// Guards against bulk requests that fill the queue and keep interactive ones out: an interactive
+/// request evicts the newest bulk request, which is refused at once.
 #[test]
 fn full_queue_evicts_a_borrowed_place_for_the_other_class() {
     let mut admission = admission(1, 4);
@@ -201,7 +201,9 @@
         || 6,
     );
     assert!(matches!(read, AdmitOutcome::Queued(_)), "{read:?}");
-    let (evicted, outcome) = admission.end_next_wait(0).expect("somebody made room");
+    let (evicted, outcome) = admission
+        .end_next_wait(0)
+        .expect("a bulk request was evicted");
     assert_eq!(evicted, 4);
     assert!(
         matches!(outcome, WaitOutcome::Refused(refusal) if refusal.cause == RefusalCause::QueueFull)
@@ -209,8 +211,8 @@
     assert_eq!(admission.waiting(), 4);
 }
 
-/// Requests take a second each and ten of them wait. One that has half a second left is refused
-/// at once, with the wait that it would have had, instead of timing out in the queue.
+/// Guards against requests that time out in the queue: ten requests of a second each wait, and one with
+/// half a second left is refused at once, with the estimated wait as retry advice.
 #[test]
 fn request_that_would_miss_its_deadline_is_refused_at_once() {
     let mut admission = admission(1, 20);
@@ -227,7 +229,7 @@
             || id,
         );
     }
-    // Its answer is worth as much as those of the others whenever it comes, so it overtakes none.
+    // It has the due time of the others, so it overtakes none of them.
     let urgent_deadline = SlotRequest {
         deadline_us: SECOND_US / 2,
         ..SlotRequest::new(Class::Interactive, FAR_DEADLINE_US)
@@ -238,13 +240,13 @@
         Some(RefusalCause::DeadlineTooSoon)
     );
     let AdmitOutcome::Refused(refusal) = urgent_deadline else {
-        unreachable!("its cause was looked at")
+        unreachable!("the refusal was checked above")
     };
     assert_eq!(refusal.retry_after_ms, 10_000);
 }
 
-/// Payments and price reads wait for one slot. Payments go first, but the reads have a turn now and
-/// then: with strict ranks they would be kept out for as long as payments come.
+/// Guards against starvation of lower ranks: requests of a higher rank go first, but every eighth slot
+/// goes to the lowest rank.
 #[test]
 fn higher_ranks_go_first_without_starving_lower_ranks() {
     let mut admission = admission(1, 40);
@@ -269,9 +271,8 @@
     assert_eq!(order, expected);
 }
 
-/// A stock look-up runs and makes a short call to the bookings' service, where bookings of ten times its
-/// length wait. Behind them it would be refused, and with it the look-up, which has its slot and most of its
-/// work behind it. Its answer is due first, so it goes first and waits for one turn of a slot.
+/// Guards against a short nested call that is refused behind requests ten times as long, which would
+/// waste the work of the request that made it. The nested call is due first, so it goes first.
 #[test]
 fn nested_call_due_soon_goes_before_long_requests() {
     const BOOKING_US: u64 = 250_000;
@@ -295,7 +296,7 @@
         admission.admit(0, &call, || 100),
         AdmitOutcome::Queued(_)
     ));
-    // Another one waits for the call before it, and not for the bookings.
+    // A second call would wait for the first one, but not for the bookings.
     assert_eq!(admission.estimated_wait_us(&call), 25_000);
     assert_eq!(
         admission.estimated_wait_us(&booking),
@@ -307,9 +308,8 @@
     assert_eq!(grant_slots(&mut admission, BOOKING_US + 25_000), [1]);
 }
 
-/// Price reads of 10 ms each come faster than the slot turns over, for seconds. One that is willing
-/// to wait 100 ms is refused behind ten others, at once and with the wait that it would have had;
-/// without that bound all of them would be served late.
+/// Guards against an overload in which every request is served late: requests of 10 ms with a maximum
+/// wait of 100 ms are refused at once behind ten others.
 #[test]
 fn request_that_would_exceed_its_maximum_wait_is_refused() {
     let mut admission = admission(1, 1_000);
@@ -331,7 +331,7 @@
             .iter()
             .all(|cause| *cause == RefusalCause::WaitTooLong)
     );
-    // An urgent request passes them all.
+    // A request of a higher rank goes before all of them.
     let urgent = SlotRequest {
         priority: Priority::CallerRequest { rank: 0 },
         ..bounded_wait
@@ -340,8 +340,8 @@
     assert!(matches!(urgent, AdmitOutcome::Queued(_)), "{urgent:?}");
 }
 
-/// A backend server is about to stop. What waits is refused at once, so that the entries take it
-/// elsewhere, and a slot that becomes free stays free.
+/// Before a backend server stops, waiting requests are refused at once so that entry nodes can retry
+/// them at other endpoints, and slots that become free are not granted again.
 #[test]
 fn closing_refuses_waiting_requests() {
     let mut admission = admission(1, 4);
@@ -376,7 +376,7 @@
     );
 }
 
-/// One step of the fuzzing.
+/// One step of the state machine test.
 #[derive(Clone, Debug)]
 enum Step {
     Admit {
@@ -384,9 +384,9 @@
         rank: u8,
         timeout_us: u64,
     },
-    /// The nth holder gives its slot back.
+    /// The nth running request returns its slot.
     Release(usize),
-    /// The nth waiting request's caller hangs up.
+    /// The caller of the nth waiting request disconnects.
     Cancel(usize),
     Limits {
         slots: u32,
@@ -399,7 +399,7 @@
     },
 }
 
-/// The oracle: plain lists of who holds and who waits, and the rules that must hold.
+/// Reference model: the time and the settings that the invariants depend on.
 #[derive(Clone, Debug, Default)]
 struct Oracle {
     now_us: u64,
@@ -470,8 +470,11 @@
             }
             Step::Cancel(nth) if nth < self.waiting.len() => {
                 let (id, _, ticket) = self.waiting.remove(nth).expect("in range");
-                assert!(self.admission.cancel(ticket), "it had not had its turn");
-                assert!(!self.admission.cancel(ticket), "cancelled twice");
+                assert!(self.admission.cancel(ticket), "the request was not waiting");
+                assert!(
+                    !self.admission.cancel(ticket),
+                    "the request was cancelled twice"
+                );
                 self.finished.push(id);
             }
             Step::Release(_) | Step::Cancel(_) | Step::AdvanceClock { .. } => (),
@@ -486,7 +489,7 @@
             let position = self.waiting.iter().position(|waiting| waiting.0 == id);
             let (_, class, _) = position
                 .and_then(|position| self.waiting.remove(position))
-                .expect("only a waiting request has a turn, and only one");
+                .expect("the wait of a request ends once");
             match outcome {
                 WaitOutcome::Slot => self.holding.push((id, class)),
                 WaitOutcome::Refused(_) => self.finished.push(id),
@@ -495,11 +498,11 @@
         let slot_granted = self.holding.len() > slots_before;
         assert!(
             !(slot_granted && oracle.closed),
-            "a closed gate let work in"
+            "a slot was granted while closed"
         );
         assert!(
             !slot_granted || self.holding.len() <= oracle.slots as usize,
-            "more work than slots was let in"
+            "more slots were granted than there are"
         );
     }
 
@@ -549,17 +552,17 @@
         let known = sut.holding.len() + sut.waiting.len() + sut.finished.len();
         assert_eq!(
             known, sut.next_id as usize,
-            "a request got no answer, or two"
+            "a request has no outcome, or two"
         );
         if oracle.closed || oracle.slots == 0 {
-            assert!(sut.waiting.is_empty(), "somebody waits at a closed gate");
+            assert!(sut.waiting.is_empty(), "a request waits while closed");
         }
-        // Work is kept waiting only by busy slots or by the reserve for the other class.
+        // Requests wait only if all slots are in use, and bulk requests also for the reserve.
         let slot_free = sut.holding.len() < oracle.slots as usize;
         let interactive_waits = sut.waiting.iter().any(|w| w.1 == Class::Interactive);
         assert!(
             !(slot_free && interactive_waits),
-            "a slot is idle beside a queue"
+            "an interactive request waits although a slot is free"
         );
     }
 }
@@ -573,8 +576,8 @@
         ..Config::default()
     })]
 
-    /// Requests come, end, hang up, and the limits change, in any order: slots are counted
-    /// exactly, everyone gets one answer, and nobody waits beside a free slot.
+    /// Requests arrive, end and are cancelled, and limits change, in any order: slots are counted
+    /// exactly, each request has one outcome, and no interactive request waits while a slot is free.
     #[test]
     fn admission_agrees_with_the_oracle(sequential 1..80 => Sut);
 }
--- a/tests/testsuite/decide_announcements.rs
+++ b/tests/testsuite/decide_announcements.rs
@@ -1,4 +1,4 @@
-//! Which announcement of a backend server holds at its own node.
+//! Order of the announcements that a node receives from its backend server.
 
 use dragonflywall::core::member::BackendState;
 use dragonflywall::core::names::{InstanceName, ServiceName};
@@ -35,9 +35,8 @@
     }
 }
 
-/// A backend server says "ready", then "draining"; the first message was held up on its way and
-/// comes last. Taken for news, it would open the gate again after the backend server was told that
-/// no work would come.
+/// Guards against a delayed ready announcement that arrives after a draining one. If it were applied,
+/// requests would be sent again after the node had acknowledged the draining.
 #[test]
 fn a_late_ready_does_not_undo_draining() {
     let mut announcements = Announcements::default();
@@ -60,7 +59,7 @@
     );
 }
 
-/// A backend server leaves without a word of draining, and a message from before comes afterwards.
+/// Guards against a delayed ready announcement of a backend server that has left without draining.
 #[test]
 fn late_ready_after_departure_is_outdated() {
     let mut announcements = Announcements::default();
@@ -79,8 +78,8 @@
     );
 }
 
-/// A backend server crashes and another one starts at its address; the last message of the first
-/// was held up by a partition and comes after the second has announced itself.
+/// Guards against a delayed announcement of a crashed backend server that replaces the one of its
+/// successor at the same address.
 #[test]
 fn an_earlier_start_does_not_replace_a_later_one() {
     let mut announcements = Announcements::default();
@@ -106,7 +105,8 @@
     );
 }
 
-/// A backend server starts again under its old name; its counts start anew.
+/// A backend server that restarts under its name starts its sequence numbers again; a later start time
+/// makes its announcements newer.
 #[test]
 fn restart_under_the_same_name_is_accepted() {
     let mut announcements = Announcements::default();
@@ -122,7 +122,7 @@
     );
 }
 
-/// The product's own announcements need no name: the last word holds.
+/// Announcements without an instance name cannot be ordered, so the last one is in effect.
 #[test]
 fn last_announcement_without_a_name_is_accepted() {
     let mut announcements = Announcements::default();
@@ -144,9 +144,8 @@
     }
 }
 
-/// A backend server has left, and the process that acknowledged that has been replaced. A "ready" from
-/// before, held up on its way, must not open the next process's gate: only the backend server itself
-/// can say whether it still holds.
+/// Guards against a delayed ready announcement that reaches a restarted node, whose previous process had
+/// acknowledged that the backend server left. The backend server has to confirm it.
 #[test]
 fn first_ready_after_a_restart_needs_confirmation() {
     let mut announcements = Announcements::requiring_confirmation();
@@ -162,14 +161,14 @@
         announcements.apply(&serving("i-1", 10, 5)),
         AnnouncementOutcome::Duplicate
     );
-    // From now on this process knows itself what was said before.
+    // The process now knows the earlier announcements, so the next start needs no confirmation.
     assert_eq!(
         announcements.apply(&serving("i-3", 20, 1)),
         AnnouncementOutcome::Accepted
     );
 }
 
-/// The backend server was asked, and before its answer came it said that it leaves.
+/// Guards against a confirmation that arrives after a draining announcement and undoes it.
 #[test]
 fn confirmation_does_not_undo_a_later_draining() {
     let mut announcements = Announcements::requiring_confirmation();
@@ -185,8 +184,9 @@
     assert_eq!(announcements.confirm(&InstanceName::new("i-1")), None);
 }
 
-/// A backend server's answers about its health are wrong. It goes on announcing itself, which one that
-/// has left does not, so it is believed in the end. The same message again proves nothing.
+/// Guards against a backend server that gets no requests because its health endpoint is wrong. A
+/// departed one stops announcing, so later announcements replace the confirmation; a repetition of
+/// the same one does not count.
 #[test]
 fn later_announcements_replace_the_confirmation() {
     let mut announcements = Announcements::requiring_confirmation();
--- a/tests/testsuite/decide_backoff.rs
+++ b/tests/testsuite/decide_backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses before trying again: a herd that failed together must not come back together.
+//! Exponential backoff with jitter, so that nodes that fail together do not retry together.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 
 const NODES: usize = 520;
 const OUTAGE_MS: u64 = 5_000;
-/// What the platform's table carries of writes.
+/// Maximum rate of writes that the platform's table serves.
 const WRITES_MAX_PER_S: u64 = 400;
 
-/// What the platform sees of a herd that began to fail at one moment.
+/// Calls that the platform gets from nodes that all start at the beginning of an outage.
 struct PlatformLoad {
     calls_during_outage: u64,
     max_calls_per_s_after: u64,
@@ -51,9 +51,9 @@
     load
 }
 
-/// The platform is away for five seconds just when a herd of 520 nodes wants to register. With a
-/// fixed pause all of them call at the same moments, during the outage and after it; with growing,
-/// jittered pauses the platform sees a fraction of the calls and is not run over at its return.
+/// Guards against a retry storm: 520 nodes register while the platform is unavailable for five seconds.
+/// With a fixed delay all of them call at the same times, during the outage and after it. With jittered
+/// backoff the platform gets a fraction of the calls and is not overloaded when it recovers.
 #[test]
 fn jittered_backoff_spreads_retries_after_an_outage() {
     let mut rng = StdRng::seed_from_u64(7);
@@ -67,7 +67,8 @@
     assert!(with_backoff.last_served_ms <= OUTAGE_MS + 10_000);
 }
 
-/// Pauses grow to their limit and stay there, however long a failure lasts.
+/// Delays double up to their maximum and stay there for any number of failures. Jitter takes off at most
+/// half.
 #[test]
 fn delays_stay_within_their_limits() {
     let backoff = Backoff::new(250, 4_000);
--- a/tests/testsuite/decide_connections.rs
+++ b/tests/testsuite/decide_connections.rs
@@ -1,4 +1,4 @@
-//! Which connections of callers are kept when there are too many.
+//! Limits on connections of callers, and which connection is closed at the limit.
 
 use std::net::IpAddr;
 
@@ -15,8 +15,8 @@
     })
 }
 
-/// On a busy day callers hold thousands of idle connections and open new ones for their retries. A
-/// new one brings a request; it must find room, and the connection idle for longest makes it.
+/// Guards against idle connections that keep new ones, which carry requests, from being accepted: at the
+/// limit the connection that has been idle longest is closed.
 #[test]
 fn longest_idle_connection_is_closed_for_a_new_one() {
     let mut connections = connections(3, 3);
@@ -25,19 +25,24 @@
     for key in [keys[1], keys[0], keys[2]] {
         connections.mark_idle(key);
     }
-    // The first to become idle is used again and rests anew.
+    // The first connection to become idle is used again and starts a new idle period.
     assert!(connections.mark_active(keys[1]));
     connections.mark_idle(keys[1]);
-    let accepted = connections.accept(address(2)).expect("one is idle");
+    let accepted = connections
+        .accept(address(2))
+        .expect("a connection is idle");
     assert_eq!(accepted.closed, Some(keys[0]));
-    assert!(!connections.mark_active(keys[0]), "it is being closed");
-    // Its end, told later, frees nothing twice.
+    assert!(
+        !connections.mark_active(keys[0]),
+        "the connection is being closed"
+    );
+    // The later removal of the closed connection does not free its place twice.
     connections.remove(keys[0]);
     assert_eq!(connections.count(), 3);
 }
 
-/// Every connection has a request in hand. None of them may be closed for a new one, which is refused
-/// until one is idle or has ended.
+/// A connection with a request must not be closed for a new one. The new one is refused until another
+/// is idle or has ended.
 #[test]
 fn connection_with_a_request_is_never_closed() {
     let mut connections = connections(2, 2);
@@ -45,14 +50,17 @@
     let second = connections.accept(address(1)).expect("there is room");
     assert_eq!(connections.accept(address(1)), None);
     connections.mark_idle(second.connection);
-    let third = connections.accept(address(1)).expect("one is idle");
+    let third = connections
+        .accept(address(1))
+        .expect("a connection is idle");
     assert_eq!(third.closed, Some(second.connection));
     connections.remove(first.connection);
     let fourth = connections.accept(address(1)).expect("there is room");
     assert_eq!(fourth.closed, None);
 }
 
-/// One caller opens connection after connection. It loses its own, and nobody else's.
+/// Guards against a caller whose many connections displace those of others: at the limit of its address
+/// one of its own is closed.
 #[test]
 fn address_at_its_limit_loses_its_own_connections() {
     let mut connections = connections(10, 2);
@@ -61,14 +69,21 @@
     let first = connections.accept(address(2)).expect("there is room");
     connections.mark_idle(first.connection);
     let second = connections.accept(address(2)).expect("there is room");
-    let third = connections.accept(address(2)).expect("its own first goes");
+    let third = connections
+        .accept(address(2))
+        .expect("its own idle connection is closed");
     assert_eq!(third.closed, Some(first.connection));
-    assert_eq!(connections.accept(address(2)), None, "both are in use");
+    assert_eq!(
+        connections.accept(address(2)),
+        None,
+        "both connections are in use"
+    );
     assert!(connections.mark_active(other.connection));
     assert!(connections.mark_active(second.connection));
 }
 
-/// The limit follows what the process has: the scarcer of descriptors and memory.
+/// The total follows from file descriptors or memory, whichever allows fewer connections, and caps the
+/// limit per address.
 #[test]
 fn limit_is_the_scarcer_of_descriptors_and_memory() {
     let limits = ConnectionLimits::for_process(4_100, Some(260), u32::MAX);
--- a/tests/testsuite/decide_load_balancing.rs
+++ b/tests/testsuite/decide_load_balancing.rs
@@ -1,4 +1,4 @@
-//! Placement: distance, own observation, ejection within bounds, stable subsets.
+//! Load balancing: distance, service times, ejection, retries and subsets.
 
 use std::net::SocketAddr;
 use std::sync::LazyLock;
@@ -64,7 +64,7 @@
     }
 }
 
-/// Load of an endpoint with 20 slots and work of 20 ms.
+/// Returns the load report of an endpoint with 20 slots and a service time of 20 ms.
 fn load(in_flight: u32) -> LoadReport {
     LoadReport {
         in_use: in_flight.min(20),
@@ -84,12 +84,12 @@
     ]
 }
 
-/// Tells the balancer of endpoints 1 to 3, in the order of distance, how many requests each has.
+/// Records load reports of endpoints 1 to 3, nearest first, with the given numbers of requests.
 fn report_load(balancer: &mut Balancer, ranked: &RankedEndpoints, in_flight: [u32; 3]) {
     for (number, in_flight) in (1..).zip(in_flight) {
         let endpoint = ranked.iter().find(|endpoint| endpoint.node == node(number));
-        let endpoint = endpoint.expect("it is ranked");
-        // Each has to be known before its word counts.
+        let endpoint = endpoint.expect("the endpoint is ranked");
+        // Reports count only for endpoints to which a request was sent.
         balancer.record_start(0, endpoint);
         balancer.record_end(endpoint.node);
         balancer.record_load(0, endpoint.node, &PRICES, load(in_flight));
@@ -102,12 +102,12 @@
     report_load(&mut balancer, &ranked, in_flight);
     let mut rng = StdRng::seed_from_u64(1);
     let chosen = balancer.choose(now_us, &ranked, requirements, &mut rng);
-    chosen.expect("there are endpoints").node
+    chosen.expect("an endpoint is available").node
 }
 
-/// Traffic between data centres is billed, and between regions several times as much. A price list
-/// leaves its data centre when it would have to queue there, and its region only when it would queue
-/// in all of it for long, and not at all if its treatment forbids it.
+/// Guards against needless use of billed links, of which the one between regions costs several times as
+/// much as the one between data centres. A small request leaves its data centre only if it would queue
+/// there, and its region only if it would queue for long in all of it and its treatment allows it.
 #[test]
 fn billed_links_are_used_only_when_nearer_endpoints_queue() {
     let prices = requirements(Spill::Mesh);
@@ -124,15 +124,15 @@
         choose_with_load([60, 60, 0], &requirements(Spill::DataCentre), 0),
         node(1)
     );
-    // Reports grow stale: two seconds later the nearest may be free again.
+    // After two seconds the reports no longer count, and the nearest endpoint is chosen again.
     assert_eq!(
         choose_with_load([60, 60, 0], &prices, 2 * SECOND_US),
         node(1)
     );
 }
 
-/// A photo bundle of 60 KB costs a dozen times what a price list does on a billed link, so it waits
-/// longer for an endpoint near by; but it is not lost for that.
+/// A request of 60 KB costs about twelve times as much on a billed link as a small one, so it accepts a
+/// longer queue at a near endpoint. It still goes further away if the near queues are very long.
 #[test]
 fn large_request_accepts_a_longer_queue_nearby() {
     let bundle = Requirements {
@@ -144,8 +144,8 @@
     assert_eq!(choose_with_load([1_000, 1_000, 0], &bundle, 0), node(3));
 }
 
-/// The endpoint of a data centre is four times as slow as the one a millisecond away. With the
-/// nearest first, a fifth of this data centre's answers would be late and no other's.
+/// Guards against late responses in one data centre only: its endpoint is much slower than the one a
+/// millisecond away. With the nearest endpoint first, a fifth of its responses would be late.
 #[test]
 fn fast_endpoint_further_away_is_preferred_to_a_slow_near_one() {
     let ranked = ranked(9, &members_at_each_distance());
@@ -161,21 +161,22 @@
     let mut rng = StdRng::seed_from_u64(1);
     let choose = |balancer: &mut Balancer, spill, rng: &mut StdRng| {
         let chosen = balancer.choose(0, &ranked, &requirements(spill), rng);
-        chosen.expect("there are endpoints").node
+        chosen.expect("an endpoint is available").node
     };
     assert_eq!(choose(&mut balancer, Spill::Mesh, &mut rng), node(2));
-    // A team that keeps its requests in their data centre has them served there.
+    // If the treatment allows only the data centre itself, the slow endpoint is used.
     assert_eq!(choose(&mut balancer, Spill::DataCentre, &mut rng), node(1));
-    // Its times are old news a while later, and it is tried again.
+    // After some time the reported service time has decayed, and the endpoint is tried again.
     let mut chosen_at = |now_us| {
         let chosen = balancer.choose(now_us, &ranked, &requirements(Spill::Mesh), &mut rng);
-        chosen.expect("there are endpoints").node
+        chosen.expect("an endpoint is available").node
     };
     assert_eq!(chosen_at(6 * SECOND_US), node(2));
     assert_eq!(chosen_at(30 * SECOND_US), node(1));
 }
 
-/// Guards against entries that spend most of their few requests on finding out how slow endpoints are.
+/// Guards against entry nodes with few requests that send most of them to unmeasured endpoints, which may
+/// be slow.
 #[test]
 fn an_entry_with_few_requests_keeps_to_fast_endpoints() {
     const REQUESTS: u64 = 120;
@@ -189,18 +190,18 @@
         },
         ..requirements(Spill::Mesh)
     };
-    // Every third endpoint is the slow one.
+    // Every third endpoint is slow.
     let service_time_us = |endpoint: NodeId| match endpoint.0.port() % 3 {
         0 => 2_080_000,
         _ => 900_000,
     };
     let mut balancer = Balancer::default();
     let mut rng = StdRng::seed_from_u64(1);
-    let mut slow = 0;
+    let mut slow_requests = 0;
     for request in 0..REQUESTS {
         let now_us = request * SECOND_US / 2;
         let chosen = balancer.choose(now_us, &ranked, &archive, &mut rng);
-        let chosen = chosen.expect("there are endpoints");
+        let chosen = chosen.expect("an endpoint is available");
         balancer.record_start(now_us, &chosen);
         let service_time_us = service_time_us(chosen.node);
         let load = LoadReport {
@@ -210,15 +211,16 @@
         };
         balancer.record_load(now_us + service_time_us, chosen.node, &PRICES, load);
         balancer.record_end(chosen.node);
-        slow += u64::from(service_time_us > SECOND_US);
+        slow_requests += u64::from(service_time_us > SECOND_US);
     }
     assert!(
-        slow * 10 <= REQUESTS,
-        "{slow} of {REQUESTS} went to slow endpoints"
+        slow_requests * 10 <= REQUESTS,
+        "{slow_requests} of {REQUESTS} requests went to slow endpoints"
     );
 }
 
-/// Guards against long work at slow endpoints that an entry knows by short work alone.
+/// Guards against long requests at a slow endpoint for which an entry node has measured only short ones:
+/// the service times that endpoints report for other resources count.
 #[test]
 fn service_times_reported_with_other_responses_count() {
     let here = place("cantabrico", "gijon");
@@ -235,12 +237,12 @@
     let mut rng = StdRng::seed_from_u64(1);
     for _ in 0..20 {
         let chosen = balancer.choose(1, &ranked, &requirements(Spill::Mesh), &mut rng);
-        assert_eq!(chosen.expect("there are endpoints").node, node(2));
+        assert_eq!(chosen.expect("an endpoint is available").node, node(2));
     }
 }
 
-/// An endpoint has just started and nobody knows its times. One request finds out; the others of that
-/// moment are not sent after it.
+/// Guards against a burst of requests to an endpoint that has just started and may be cold: one request
+/// measures it, and the others go to a known endpoint.
 #[test]
 fn unmeasured_endpoint_gets_one_of_several_simultaneous_requests() {
     let here = place("cantabrico", "gijon");
@@ -248,21 +250,21 @@
     let ranked = ranked(9, &members);
     let mut balancer = Balancer::default();
     let known = ranked.iter().find(|endpoint| endpoint.node == node(1));
-    balancer.record_start(0, known.expect("it is ranked"));
+    balancer.record_start(0, known.expect("the endpoint is ranked"));
     balancer.record_load(0, node(1), &PRICES, load(5));
     let mut rng = StdRng::seed_from_u64(1);
     let mut unmeasured = 0;
     for _ in 0..10 {
         let chosen = balancer.choose(1, &ranked, &requirements(Spill::Mesh), &mut rng);
-        let chosen = chosen.expect("there are endpoints");
+        let chosen = chosen.expect("an endpoint is available");
         balancer.record_start(1, &chosen);
         unmeasured += usize::from(chosen.node == node(2));
     }
     assert_eq!(unmeasured, 1);
 }
 
-/// An endpoint fails half of what it gets, and its answers come at once. Least load alone would
-/// send it most requests; what the entry has seen keeps them away, and a while later it is tried again.
+/// Guards against an endpoint that fails half of its requests at once and therefore has the lowest load.
+/// The entry node's failure rate keeps requests away from it; later on it is tried again.
 #[test]
 fn an_endpoint_that_fails_some_requests_is_avoided() {
     let here = place("cantabrico", "gijon");
@@ -273,8 +275,8 @@
         balancer.record_start(0, endpoint);
         balancer.record_load(0, endpoint.node, &PRICES, load(5));
     }
-    for turn in 0..8 {
-        let server_error = turn % 2 == 0;
+    for number in 0..8 {
+        let server_error = number % 2 == 0;
         balancer.record_outcome(0, node(1), AttemptOutcome::Answered { server_error });
     }
     let mut rng = StdRng::seed_from_u64(1);
@@ -289,8 +291,8 @@
     assert!(used(30 * SECOND_US));
 }
 
-/// A request failed at an endpoint. Its retry goes to another one, and back to the same only if
-/// there is no other.
+/// A retry goes to an endpoint at which the request has not failed, and to the same one only if there is no
+/// other.
 #[test]
 fn retry_prefers_another_endpoint() {
     let members = members_at_each_distance();
@@ -303,14 +305,17 @@
         ..requirements(Spill::Region)
     };
     let chosen = balancer.choose(0, &both, &requirements, &mut rng);
-    assert_eq!(chosen.expect("there is another").node, node(2));
+    assert_eq!(chosen.expect("another endpoint is available").node, node(2));
     let chosen = balancer.choose(0, &one, &requirements, &mut rng);
-    assert_eq!(chosen.expect("it is the only one").node, node(1));
+    assert_eq!(
+        chosen.expect("the failed endpoint is the only one").node,
+        node(1)
+    );
 }
 
-/// Gossip says that all are well, but calls show otherwise: endpoints that lose requests get no
-/// more. When most of them do, the fault is a common one, and they are used again before the others
-/// are overrun.
+/// Guards against endpoints that are alive in gossip but lose requests: they are ejected. If most are
+/// ejected, the cause is probably common to all, so ejected ones are used again before the remaining ones
+/// are overloaded.
 #[test]
 fn failing_endpoints_are_ejected_up_to_half() {
     let here = place("cantabrico", "gijon");
@@ -322,7 +327,7 @@
         let mut used = std::collections::BTreeSet::new();
         for _ in 0..500 {
             let chosen = balancer.choose(1, &ranked, &requirements(Spill::DataCentre), &mut rng);
-            used.insert(chosen.expect("there are endpoints").node);
+            used.insert(chosen.expect("an endpoint is available").node);
         }
         used
     };
@@ -336,13 +341,13 @@
             balancer.record_outcome(1, node(number), AttemptOutcome::Lost);
         }
     }
-    let left = used(&mut balancer);
-    assert_eq!(left, (5..=8).map(node).collect());
+    let remaining = used(&mut balancer);
+    assert_eq!(remaining, (5..=8).map(node).collect());
     for _ in 0..3 {
         balancer.record_outcome(1, node(5), AttemptOutcome::Lost);
     }
-    // The three that are left idle, so they get all; once they would make requests wait, those that
-    // lost some are used as well.
+    // The three remaining endpoints are idle, so they get all requests. When requests would queue
+    // there, the ejected ones are used as well.
     assert_eq!(used(&mut balancer), (6..=8).map(node).collect());
     for number in 6..=8 {
         balancer.record_load(1, node(number), &PRICES, load(60));
@@ -350,8 +355,8 @@
     assert_eq!(used(&mut balancer), (1..=5).map(node).collect());
 }
 
-/// 520 nodes call a service of 37 endpoints. Each uses eight of a distance, every endpoint is used
-/// by somebody, and when one goes, an entry that did not use it notices nothing.
+/// 520 entry nodes use subsets of eight of the 37 endpoints of a service. Every endpoint is in some subset,
+/// and the removal of one changes only the subsets that contain it, each by one endpoint.
 #[test]
 fn subsets_are_small_and_stable() {
     let here = place("cantabrico", "gijon");
@@ -370,7 +375,11 @@
         let before = subset(me, &members);
         let after = subset(me, &members[1..]);
         let kept = after.iter().filter(|node| before.contains(node)).count();
-        assert!(kept >= 7, "one endpoint went and {} connections", 8 - kept);
+        assert!(
+            kept >= 7,
+            "the removal of one endpoint changed {} of a subset",
+            8 - kept
+        );
         changed += usize::from(before != after);
         for node in before {
             *used.entry(node).or_insert(0) += 1;
--- a/tests/testsuite/decide_retry.rs
+++ b/tests/testsuite/decide_retry.rs
@@ -1,4 +1,4 @@
-//! Retries: what may be tried again, and how much a whole tree of calls may spend.
+//! Which failed requests are retried, and the retry budgets of call trees and entry nodes.
 
 use dragonflywall::core::configuration::{Class, PRIORITY_DEFAULT, Spill, Treatment};
 use dragonflywall::core::names::ServiceName;
@@ -18,8 +18,7 @@
     }
 }
 
-/// Three endpoints in a row are about to stop. A planned stop costs no attempt, so the payment
-/// still has all three of its own.
+/// Planned stops spend no attempts: after three draining endpoints a request still has its three attempts.
 #[test]
 fn draining_endpoints_cost_no_attempt() {
     let mut tokens = ServiceTokens::default();
@@ -33,7 +32,8 @@
     assert!(!attempts.take_retry(AttemptFailure::NotRun, tokens));
 }
 
-/// A payment may have run: never again. A read may.
+/// Guards against a payment that runs twice: after an attempt that may have run, only an idempotent
+/// request is retried.
 #[test]
 fn only_idempotent_requests_are_retried_after_may_have_run() {
     let mut tokens = ServiceTokens::default();
@@ -42,7 +42,8 @@
     assert!(Attempts::new(&treatment(true), 8).take_retry(AttemptFailure::MayHaveRun, tokens));
 }
 
-/// A service refuses everything. After its reserve the entry retries one in ten.
+/// Guards against retries that keep a failing service overloaded: after the reserve is spent, one in ten
+/// requests is retried.
 #[test]
 fn retries_are_limited_to_a_tenth_of_requests() {
     let mut tokens = ServiceTokens::default();
@@ -58,8 +59,8 @@
     assert!((100..=111).contains(&retries), "{retries} retries");
 }
 
-/// Attempts at the bottom of a chain whose last call always fails in the worst way. Each level
-/// has what the one above passed down to it.
+/// Returns the number of attempts at the last service of a call chain, which fails each of them after it
+/// may have run. Each level gets the budget that the level above passes downstream.
 fn attempts_at_last_service(depth: u32, budget: u32, tokens: &mut ServiceTokens) -> u32 {
     if depth > DEPTH_MAX {
         return 1;
@@ -68,7 +69,7 @@
     let mut made = 0;
     loop {
         made += attempts_at_last_service(depth + 1, attempts.downstream_budget(), tokens);
-        // A service of its own at each level, so that only the budget bounds it.
+        // Each level calls a service of its own, so that only the budget limits its retries.
         let service = ServiceName::new(format!("level-{depth}"));
         let tokens = tokens.for_service(&service);
         for _ in 0..100 {
@@ -80,19 +81,22 @@
     }
 }
 
-/// The last of a chain of services, seven calls down, has an outage. With three attempts at each
-/// level it would get 6561 requests for each one at the top, which keeps it down.
+/// Guards against retries that multiply along a call chain: the last service, seven calls down, has an
+/// outage. With three attempts at each level it would get 6561 requests for each first one.
 #[test]
 fn call_chain_shares_one_retry_budget() {
     let made = attempts_at_last_service(0, RETRIES_PER_TREE, &mut ServiceTokens::default());
     let without_budget = 3_u32.pow(DEPTH_MAX + 1);
-    println!("attempts at the bottom of a chain: {made}, plain policy {without_budget}");
-    assert!(made <= 1 + RETRIES_PER_TREE, "{made} attempts");
-    assert!(made > 1, "nothing was tried again");
+    println!("attempts at the last service of a chain: {made}, without a budget: {without_budget}");
+    assert!(
+        made <= 1 + RETRIES_PER_TREE,
+        "{made} attempts at the last service"
+    );
+    assert!(made > 1, "nothing was retried");
 }
 
-/// A reserve of 56 is the whole mesh's. Were it each entry's own, 16 entries that see one failure
-/// would make 896 retries at once.
+/// Guards against a reserve that each entry node uses in full: with a reserve of 56 for the whole mesh,
+/// 16 entry nodes would make 896 retries at once.
 #[test]
 fn entries_share_the_reserve_of_the_mesh() {
     let policy = RetryPolicy::for_entry(20, Some(56), 16);
@@ -109,6 +113,6 @@
     }
     assert!((16..=56).contains(&made), "{made} retries");
     assert!(policy.percent < 20, "{policy:?}");
-    // A single retry is left to each of very many entries.
+    // With very many entry nodes each still has a reserve of one retry.
     assert_eq!(RetryPolicy::for_entry(20, Some(56), 520).reserve, 1);
 }
--- a/tests/testsuite/decide_service_times.rs
+++ b/tests/testsuite/decide_service_times.rs
@@ -1,4 +1,4 @@
-//! How long requests hold a slot, by what they ask for.
+//! Service times per resource, and their report to entry nodes.
 
 use dragonflywall::core::configuration::Class;
 use dragonflywall::core::names::ResourceName;
@@ -11,8 +11,8 @@
     ResourceName::new(name)
 }
 
-/// Short look-ups and long reads share an endpoint. Were their times one mean, an endpoint that gets
-/// more look-ups would seem quicker than an equal one.
+/// Guards against a common mean of short and long requests, by which an endpoint that gets more short
+/// ones would seem faster than an equal one.
 #[test]
 fn service_times_are_kept_per_resource() {
     let mut service_times = ServiceTimes::default();
@@ -27,7 +27,7 @@
     assert_eq!(service_times.resource_us(&resource("new")), mean_us);
 }
 
-/// A backend server becomes five times as slow; its callers are told within a few hundred requests.
+/// A backend server becomes five times as slow; the mean follows within a few hundred requests.
 #[test]
 fn mean_follows_a_slower_backend_server() {
     let mut service_times = ServiceTimes::default();
@@ -40,8 +40,8 @@
     assert!(service_times.resource_us(&resource("read")) > 90_000);
 }
 
-/// Callers give up after a moment. That the requests were short then says nothing of the endpoint;
-/// that they were long says that it is at least so slow.
+/// An abandoned request that was short says nothing about the endpoint. One that was longer than the mean
+/// shows that the endpoint is at least that slow.
 #[test]
 fn abandoned_request_counts_only_if_longer_than_the_mean() {
     let mut service_times = ServiceTimes::default();
@@ -56,7 +56,8 @@
     assert!(service_times.resource_us(&resource("read")) > 200_000);
 }
 
-/// Guards against a backend server that was slow for a moment and is never tried again.
+/// Guards against old service times that are reported again and again, so that a backend server that was
+/// slow for a moment is never tried again.
 #[test]
 fn other_service_times_are_reported_while_recent() {
     let (archive, prices) = (ResourceName::new("archive"), ResourceName::new("prices"));
--- a/tests/testsuite/decide_simulation.rs
+++ b/tests/testsuite/decide_simulation.rs
@@ -1,4 +1,4 @@
-//! What callers get from the decisions under load, beside the plain policy in the same run.
+//! Outcomes of requests under load in a simulation: the product's decisions against a baseline policy.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::simulation::{MS, Outcomes, Policy, SECOND, Scenario, Server, Stream, run};
 
-/// Slots and queue of the two deployments.
+/// Name, slots per backend server and queue length of the users' two deployments.
 const DEPLOYMENTS: [(&str, u32, u32); 2] = [("chatarras", 20, 40), ("marinhas", 6, 12)];
 
 const SERVICE_TIME_US: u64 = 20 * MS;
@@ -52,67 +52,74 @@
     }
 }
 
-type Outcome = BTreeMap<Class, Outcomes>;
+type OutcomesByClass = BTreeMap<Class, Outcomes>;
 
-/// Runs both policies and prints what callers saw.
-fn compare(name: &str, scenario: &Scenario) -> (Outcome, Outcome) {
+/// Runs a scenario under both policies, prints the outcomes of each class, and returns them.
+fn compare(name: &str, scenario: &Scenario) -> (OutcomesByClass, OutcomesByClass) {
     let mut outcomes =
         [Policy::Product, Policy::Baseline].map(|policy| (policy, run(scenario, policy)));
-    for (policy, outcome) in &mut outcomes {
-        for (class, seen) in outcome {
-            let (p50, p99) = (seen.percentile_ms(50), seen.percentile_ms(99));
+    for (policy, by_class) in &mut outcomes {
+        for (class, class_outcomes) in by_class {
+            let (p50, p99) = (
+                class_outcomes.percentile_ms(50),
+                class_outcomes.percentile_ms(99),
+            );
             println!(
-                "{name:<24}{policy:<6?}{class:<12?} calls {:>6} good {:>6} refused {:>6} \
+                "{name:<24}{policy:<9?}{class:<12?} calls {:>6} good {:>6} refused {:>6} \
                  timed out {:>6} errors {:>5} attempts/call {:.2} p50 {p50:.1} ms p99 {p99:.1} ms",
-                seen.calls,
-                seen.succeeded,
-                seen.refused,
-                seen.timed_out,
-                seen.errors,
-                seen.attempts as f64 / seen.calls as f64,
+                class_outcomes.calls,
+                class_outcomes.succeeded,
+                class_outcomes.refused,
+                class_outcomes.timed_out,
+                class_outcomes.errors,
+                class_outcomes.attempts as f64 / class_outcomes.calls as f64,
             );
         }
     }
-    let [(_, ours), (_, plain)] = outcomes;
-    (ours, plain)
+    let [(_, product), (_, baseline)] = outcomes;
+    (product, baseline)
 }
 
-fn interactive(outcome: &mut Outcome) -> &mut Outcomes {
-    outcome
+fn interactive_outcomes(by_class: &mut OutcomesByClass) -> &mut Outcomes {
+    by_class
         .get_mut(&Class::Interactive)
-        .expect("there were some")
+        .expect("the scenario has interactive requests")
 }
 
-/// Demand rises to five times what the slots can do. Goodput stays; with the plain policy the
-/// queues grow until every request times out while it waits.
+/// Guards against a collapse of goodput when demand rises to five times the capacity. With the baseline
+/// policy the queues grow until every request times out while it waits.
 #[test]
 fn goodput_holds_at_five_times_capacity() {
     for (name, slots, queue_len) in DEPLOYMENTS {
         let capacity = capacity_per_s(slots, 4);
-        let mut ours_at = BTreeMap::new();
-        let mut plain_at = BTreeMap::new();
+        let mut product_at = BTreeMap::new();
+        let mut baseline_at = BTreeMap::new();
         for halves in [1, 2, 4, 10] {
             let stream = reads(capacity * halves / 2, 0, 4 * SECOND);
             let scenario = scenario(slots, queue_len, 4, vec![stream]);
             let name = format!("{name} x{}", halves as f64 / 2.0);
-            let (mut ours, mut plain) = compare(&name, &scenario);
-            ours_at.insert(halves, interactive(&mut ours).succeeded);
-            plain_at.insert(halves, interactive(&mut plain).succeeded);
+            let (mut product, mut baseline) = compare(&name, &scenario);
+            product_at.insert(halves, interactive_outcomes(&mut product).succeeded);
+            baseline_at.insert(halves, interactive_outcomes(&mut baseline).succeeded);
         }
-        assert!(ours_at[&10] * 10 >= ours_at[&2] * 9, "{ours_at:?}");
-        assert!(ours_at[&10] > plain_at[&10] * 2, "{ours_at:?} {plain_at:?}");
+        assert!(product_at[&10] * 10 >= product_at[&2] * 9, "{product_at:?}");
+        assert!(
+            product_at[&10] > baseline_at[&10] * 2,
+            "{product_at:?} {baseline_at:?}"
+        );
     }
 }
 
-/// For four seconds reads come a fifth faster than the slots turn over. They are of use within 100 ms
-/// and waited for four times as long. A queue as long as the deadline allows makes nearly every
-/// answer late; one of a third of the target answers as many, nearly all of them in time.
+/// Guards against late responses in an overload of 20 % that lasts four seconds. The target latency is
+/// 100 ms and the timeout 400 ms. If the queue is as long as the deadline allows, nearly every response
+/// is late. With a maximum wait of a third of the target, nearly as many requests succeed, and nearly
+/// all of them in time.
 #[test]
 fn a_lasting_overload_is_refused_instead_of_answered_late() {
     for (name, slots, _) in DEPLOYMENTS {
         let per_s = capacity_per_s(slots, 4) * 6 / 5;
         let mut on_time = Vec::new();
-        let mut good = Vec::new();
+        let mut succeeded = Vec::new();
         for patience_us in [400 * MS, 100 * MS / 3] {
             let stream = Stream {
                 target_us: 100 * MS,
@@ -121,21 +128,31 @@
             };
             let scenario = scenario(slots, 10_000, 4, vec![stream]);
             let name = format!("{name} {} ms", patience_us / MS);
-            let (mut ours, _) = compare(&name, &scenario);
-            let seen = interactive(&mut ours);
-            println!("{name}: {} of {} in time", seen.on_time, seen.calls);
-            on_time.push(seen.on_time);
-            good.push(seen.succeeded);
+            let (mut product, _) = compare(&name, &scenario);
+            let class_outcomes = interactive_outcomes(&mut product);
+            println!(
+                "{name}: {} of {} in time",
+                class_outcomes.on_time, class_outcomes.calls
+            );
+            on_time.push(class_outcomes.on_time);
+            succeeded.push(class_outcomes.succeeded);
         }
-        assert!(on_time[0] * 4 < good[0], "{on_time:?} of {good:?}");
-        assert!(on_time[1] * 100 >= good[1] * 95, "{on_time:?} of {good:?}");
-        assert!(good[1] * 100 >= good[0] * 90, "{good:?}");
+        assert!(
+            on_time[0] * 4 < succeeded[0],
+            "{on_time:?} of {succeeded:?}"
+        );
+        assert!(
+            on_time[1] * 100 >= succeeded[1] * 95,
+            "{on_time:?} of {succeeded:?}"
+        );
+        assert!(succeeded[1] * 100 >= succeeded[0] * 90, "{succeeded:?}");
     }
 }
 
-/// Half a second of six times the capacity hits a mesh that is half busy. It is over soon after.
+/// Guards against queues that outlast a burst: a mesh at half load gets six times its capacity for half a
+/// second.
 #[test]
-fn burst_costs_less_than_with_the_plain_policy() {
+fn burst_costs_less_than_with_the_baseline_policy() {
     for (name, slots, queue_len) in DEPLOYMENTS {
         let capacity = capacity_per_s(slots, 4);
         let streams = vec![
@@ -143,34 +160,40 @@
             reads(capacity * 6, SECOND, SECOND * 3 / 2),
         ];
         let scenario = scenario(slots, queue_len, 4, streams);
-        let (mut ours, mut plain) = compare(&format!("{name} burst"), &scenario);
-        let (ours, plain) = (interactive(&mut ours), interactive(&mut plain));
-        assert!(ours.succeeded > plain.succeeded);
-        assert!(ours.percentile_ms(99) < plain.percentile_ms(99));
+        let (mut product, mut baseline) = compare(&format!("{name} burst"), &scenario);
+        let (product, baseline) = (
+            interactive_outcomes(&mut product),
+            interactive_outcomes(&mut baseline),
+        );
+        assert!(product.succeeded > baseline.succeeded);
+        assert!(product.percentile_ms(99) < baseline.percentile_ms(99));
     }
 }
 
-/// One of four backend servers takes ten times as long.
+/// Guards against requests that time out at the one of four backend servers that is ten times as slow.
 #[test]
 fn one_slow_backend_server_is_avoided() {
     for (name, slots, queue_len) in DEPLOYMENTS {
         let stream = reads(capacity_per_s(slots, 4) / 2, 0, 4 * SECOND);
         let mut scenario = scenario(slots, queue_len, 4, vec![stream]);
         scenario.servers[0].work_factor = 10;
-        let (mut ours, mut plain) = compare(&format!("{name} one slow"), &scenario);
-        let (ours, plain) = (interactive(&mut ours), interactive(&mut plain));
+        let (mut product, mut baseline) = compare(&format!("{name} one slow"), &scenario);
+        let (product, baseline) = (
+            interactive_outcomes(&mut product),
+            interactive_outcomes(&mut baseline),
+        );
         assert!(
-            ours.succeeded * 100 >= ours.calls * 99,
+            product.succeeded * 100 >= product.calls * 99,
             "{} of {}",
-            ours.succeeded,
-            ours.calls
+            product.succeeded,
+            product.calls
         );
-        assert!(ours.succeeded > plain.succeeded);
+        assert!(product.succeeded > baseline.succeeded);
     }
 }
 
-/// Uploads of half a second come for more slots than there are, beside short reads. The reads
-/// stay short and the uploads finish.
+/// Guards against short requests that wait behind uploads of half a second, which arrive at the full
+/// capacity of the slots. At least 60 % of the uploads have to finish.
 #[test]
 fn interactive_requests_stay_fast_beside_uploads() {
     for (name, slots, queue_len) in DEPLOYMENTS {
@@ -181,98 +204,113 @@
             uploads(uploads_per_s, 500 * MS),
         ];
         let scenario = scenario(slots, queue_len, 4, streams);
-        let (mut ours, mut plain) = compare(&format!("{name} mix"), &scenario);
-        let finished = ours[&Class::Bulk].succeeded * 100 / ours[&Class::Bulk].calls;
+        let (mut product, mut baseline) = compare(&format!("{name} mix"), &scenario);
+        let finished = product[&Class::Bulk].succeeded * 100 / product[&Class::Bulk].calls;
         assert!(finished >= 60, "{finished} % of the uploads finished");
-        let (ours, plain) = (interactive(&mut ours), interactive(&mut plain));
+        let (product, baseline) = (
+            interactive_outcomes(&mut product),
+            interactive_outcomes(&mut baseline),
+        );
         assert!(
-            ours.succeeded * 100 >= ours.calls * 99,
+            product.succeeded * 100 >= product.calls * 99,
             "{} of {}",
-            ours.succeeded,
-            ours.calls
+            product.succeeded,
+            product.calls
         );
-        assert!(ours.percentile_ms(99) < plain.percentile_ms(99));
+        assert!(product.percentile_ms(99) < baseline.percentile_ms(99));
     }
 }
 
-/// Three of four backend servers have just been replaced and are cold for two seconds.
+/// Three of four backend servers have just been replaced and are slow (cold) for two seconds. Goodput and
+/// latency must be no worse than with the baseline policy.
 #[test]
-fn cold_backend_servers_are_no_worse_than_with_the_plain_policy() {
+fn cold_backend_servers_are_no_worse_than_with_the_baseline_policy() {
     for (name, slots, queue_len) in DEPLOYMENTS {
         let stream = reads(capacity_per_s(slots, 4) / 4, 0, 4 * SECOND);
         let mut scenario = scenario(slots, queue_len, 4, vec![stream]);
         for server in &mut scenario.servers[1..] {
             server.cold_until_us = 2 * SECOND;
         }
-        let (mut ours, mut plain) = compare(&format!("{name} cold herd"), &scenario);
-        let (ours, plain) = (interactive(&mut ours), interactive(&mut plain));
-        assert!(ours.succeeded >= plain.succeeded);
-        assert!(ours.percentile_ms(99) <= plain.percentile_ms(99));
+        let (mut product, mut baseline) = compare(&format!("{name} cold"), &scenario);
+        let (product, baseline) = (
+            interactive_outcomes(&mut product),
+            interactive_outcomes(&mut baseline),
+        );
+        assert!(product.succeeded >= baseline.succeeded);
+        assert!(product.percentile_ms(99) <= baseline.percentile_ms(99));
     }
 }
 
-/// One of four backend servers answers 500 at once and says that it is well. It looks idle, so
-/// least load alone would send it most requests.
+/// Guards against a failing backend server that attracts requests: it responds with 500 at once and passes
+/// its health checks. Its load is the lowest, so load alone would send it most requests.
 #[test]
 fn backend_server_that_fails_fast_attracts_few_requests() {
     for (name, slots, queue_len) in DEPLOYMENTS {
         let stream = reads(capacity_per_s(slots, 4) / 2, 0, 4 * SECOND);
         let mut scenario = scenario(slots, queue_len, 4, vec![stream]);
         scenario.servers[0].always_fails = true;
-        let (mut ours, mut plain) = compare(&format!("{name} lying"), &scenario);
-        let (ours, plain) = (interactive(&mut ours), interactive(&mut plain));
+        let (mut product, mut baseline) = compare(&format!("{name} failing fast"), &scenario);
+        let (product, baseline) = (
+            interactive_outcomes(&mut product),
+            interactive_outcomes(&mut baseline),
+        );
         assert!(
-            ours.errors * 5 < plain.errors,
+            product.errors * 5 < baseline.errors,
             "{} {}",
-            ours.errors,
-            plain.errors
+            product.errors,
+            baseline.errors
         );
     }
 }
 
-/// All callers stand in the data centre that has one of four endpoints. While that one suffices,
-/// nothing leaves the data centre; when it does not, the rest goes to the other one.
+/// All callers are in the data centre of one of the four endpoints. Nearly all requests stay in it while
+/// that endpoint has the capacity; the excess goes to the other data centre.
 #[test]
-fn skewed_demand_spills_over_only_when_near_is_full() {
+fn skewed_demand_uses_remote_endpoints_only_when_near_ones_are_full() {
     for (name, slots, queue_len) in DEPLOYMENTS {
         for percent in [40, 300] {
-            let near = capacity_per_s(slots, 1);
-            let stream = reads(near * percent / 100, 0, 4 * SECOND);
+            let near_capacity_per_s = capacity_per_s(slots, 1);
+            let stream = reads(near_capacity_per_s * percent / 100, 0, 4 * SECOND);
             let mut scenario = scenario(slots, queue_len, 4, vec![stream]);
             for server in &mut scenario.servers[1..] {
                 server.is_remote = true;
             }
-            let (mut ours, mut plain) = compare(&format!("{name} skew {percent} %"), &scenario);
-            let (ours, plain) = (interactive(&mut ours), interactive(&mut plain));
+            let (mut product, mut baseline) =
+                compare(&format!("{name} skew {percent} %"), &scenario);
+            let (product, baseline) = (
+                interactive_outcomes(&mut product),
+                interactive_outcomes(&mut baseline),
+            );
             println!(
-                "{name} skew {percent} %: far {} plain {}",
-                ours.served_remotely, plain.served_remotely
+                "{name} skew {percent} %: remote {} baseline {}",
+                product.served_remotely, baseline.served_remotely
             );
             assert!(
-                ours.succeeded * 100 >= ours.calls * 99,
+                product.succeeded * 100 >= product.calls * 99,
                 "{} of {}",
-                ours.succeeded,
-                ours.calls
+                product.succeeded,
+                product.calls
             );
             if percent < 100 {
-                // Six slots of which 2.4 are busy on average are all busy for 2.4 % of the
-                // requests (Erlang's loss formula); twice as many may be seen as late reports.
+                // At an average of 2.4 of six slots in use, 2.4 % of the requests find all of them
+                // in use (Erlang's loss formula). Twice as many are allowed, because load reports
+                // arrive late.
                 assert!(
-                    ours.served_remotely * 20 < ours.calls,
+                    product.served_remotely * 20 < product.calls,
                     "{} of {}",
-                    ours.served_remotely,
-                    ours.calls
+                    product.served_remotely,
+                    product.calls
                 );
             }
-            assert!(ours.served_remotely < plain.served_remotely);
+            assert!(product.served_remotely < baseline.served_remotely);
         }
     }
 }
 
-/// A mesh of eighty entries places requests of 160 ms at 24 endpoints of six slots, nine tenths of which are
-/// in use. Each entry hears of an endpoint about once a second, when what it was told has long ended.
-/// Placed by that alone, requests wait and are refused beside free slots; looking for a free one first,
-/// none is refused.
+/// Guards against requests that are refused while other endpoints have free slots. Eighty entry nodes send
+/// requests of 160 ms to 24 endpoints of six slots at a load of 90 %. Each entry node gets a load report
+/// of an endpoint about once a second, by when the previous one is outdated. Probing for a free slot
+/// first avoids nearly all refusals.
 #[test]
 fn probes_find_free_slots_despite_stale_load_reports() {
     const SERVERS: usize = 24;
@@ -280,7 +318,7 @@
     let per_s = SERVERS as u64 * 6 * SECOND / LONG_US * 9 / 10;
     let mut on_time = Vec::new();
     let mut refused = Vec::new();
-    for looks in [false, true] {
+    for probes in [false, true] {
         let stream = Stream {
             work_us: LONG_US,
             timeout_us: 1_200 * MS,
@@ -290,13 +328,16 @@
         };
         let mut scenario = scenario(6, 24, SERVERS, vec![stream]);
         scenario.entries = 80;
-        scenario.checks_free_slots = looks;
-        let name = format!("many entries, looks {looks}");
-        let (mut ours, _) = compare(&name, &scenario);
-        let seen = interactive(&mut ours);
-        println!("{name}: {} of {} in time", seen.on_time, seen.calls);
-        on_time.push(seen.on_time * 1_000 / seen.calls);
-        refused.push(seen.refused);
+        scenario.checks_free_slots = probes;
+        let name = format!("many entries, probes {probes}");
+        let (mut product, _) = compare(&name, &scenario);
+        let class_outcomes = interactive_outcomes(&mut product);
+        println!(
+            "{name}: {} of {} in time",
+            class_outcomes.on_time, class_outcomes.calls
+        );
+        on_time.push(class_outcomes.on_time * 1_000 / class_outcomes.calls);
+        refused.push(class_outcomes.refused);
     }
     assert!(on_time[1] >= 995, "{on_time:?} of 1000");
     assert!(refused[1] * 10 <= refused[0], "{refused:?}");
--- a/tests/testsuite/decide_split.rs
+++ b/tests/testsuite/decide_split.rs
@@ -1,9 +1,9 @@
-//! How the requests of a split route are divided.
+//! Division of requests among the branches of a route by their weights.
 
 use dragonflywall::decide::split::choose_branch;
 
-/// An operator gives a tenth of a route's requests to a new service. Random choices would give it
-/// 5 % or 15 % of 300 requests now and then; here no window of 100 strays by more than two.
+/// Guards against uneven splits: random choices would occasionally give 5 % or 15 % of 300 requests to a
+/// branch with a weight of 10 %. No window of 100 requests may deviate by more than two.
 #[test]
 fn every_window_of_requests_is_divided_by_the_weights() {
     let weights = [90, 10];
@@ -14,12 +14,12 @@
             .count();
         assert!(
             (8..=12).contains(&new_service),
-            "{new_service} of 100 from turn {first} on"
+            "{new_service} of 100 from request {first} on"
         );
     }
 }
 
-/// Three parts, one of them of no weight: it gets nothing.
+/// A branch with weight 0 gets no requests, and the others get theirs by weight.
 #[test]
 fn branch_without_weight_gets_no_requests() {
     let weights = [2, 0, 1];
--- a/tests/testsuite/decide_transit.rs
+++ b/tests/testsuite/decide_transit.rs
@@ -1,12 +1,12 @@
-//! How long requests between nodes were held up.
+//! Estimation of transit delays between nodes.
 
 use dragonflywall::decide::transit::DelayEstimator;
 
 const MILLISECOND_US: u64 = 1_000;
 const SECOND_US: u64 = 1_000 * MILLISECOND_US;
 
-/// Two VMs were started an hour apart, so their clocks have nothing in common. A request takes 20 ms,
-/// then one is lost on its way and comes a second later.
+/// Two VMs started an hour apart, so their clocks differ by an hour in either direction. The usual transit
+/// time is 20 ms; a request that takes a second was delayed by the rest.
 #[test]
 fn delay_is_independent_of_the_clock_offset() {
     for (sender, receiver) in [(0, 3_600 * SECOND_US), (3_600 * SECOND_US, 0)] {
@@ -27,8 +27,8 @@
     }
 }
 
-/// The clocks drift apart by a twentieth of a percent for an hour. Held against the first request
-/// of that hour, the last would seem to have been held up for seconds.
+/// Guards against clock drift that is measured as delay: the clocks drift apart by a twentieth of a percent
+/// for an hour. Compared with the first request, the last would seem delayed by seconds.
 #[test]
 fn clock_drift_is_not_taken_for_delay() {
     let mut estimator = DelayEstimator::default();
--- a/tests/testsuite/decide_uploads.rs
+++ b/tests/testsuite/decide_uploads.rs
@@ -1,4 +1,4 @@
-//! How large bodies are let in.
+//! Limits on concurrent uploads, and their estimated waits.
 
 use dragonflywall::decide::uploads::{UploadLimits, UploadQueue};
 
@@ -19,8 +19,8 @@
     }
 }
 
-/// Uploads come faster than the link takes them. An entry that is not told would go on sending them
-/// there, and each would wait until its caller has given up.
+/// Guards against entry nodes that keep sending uploads to a saturated link because they do not know the
+/// wait: the estimate grows with the uploads ahead and returns to 0 when they have ended.
 #[test]
 fn estimated_wait_follows_the_uploads_ahead() {
     let mut upload_queue = UploadQueue::new(UploadLimits::for_link(Some(7_000)));
--- a/tests/testsuite/mechanisms.rs
+++ b/tests/testsuite/mechanisms.rs
@@ -1,4 +1,4 @@
-//! Mechanisms that an operator switches off: their names, and that each decision goes without.
+//! Mechanisms that an operator can switch off: their names, and their effect on decisions.
 
 use dragonflywall::core::configuration::Class;
 use dragonflywall::core::mechanism::{Mechanism, MechanismSwitches};
@@ -14,22 +14,23 @@
 
 const FAR_DEADLINE_US: u64 = u64::MAX / 4;
 
-/// The order in which four requests that wait for one slot get it: (rank, due) of each, in order of arrival.
+/// Returns the order in which four waiting requests get a slot. `waiting` has the priority and the due time
+/// of each in order of arrival.
 fn grant_order(switches: MechanismSwitches, waiting: [(Priority, u64); 4]) -> Vec<usize> {
     let mut admission: Admission<usize> = Admission::new(switches);
     admission.set_limits(Limits {
         slots: 1,
         queue_len: 10,
     });
-    let request = |urgency, due_us| SlotRequest {
-        priority: urgency,
+    let request = |priority, due_us| SlotRequest {
+        priority,
         due_us,
         ..SlotRequest::new(Class::Interactive, FAR_DEADLINE_US)
     };
     let first = request(Priority::CallerRequest { rank: 0 }, 0);
     assert_eq!(admission.admit(0, &first, || 9), AdmitOutcome::Slot);
-    for (number, (urgency, due_us)) in waiting.into_iter().enumerate() {
-        admission.admit(1, &request(urgency, due_us), || number);
+    for (number, (priority, due_us)) in waiting.into_iter().enumerate() {
+        admission.admit(1, &request(priority, due_us), || number);
     }
     let mut order = Vec::new();
     for _ in waiting {
@@ -52,7 +53,7 @@
         grant_order(MechanismSwitches::default(), waiting),
         [3, 2, 1, 0]
     );
-    let disabling = |names: &str| names.parse().expect("they are known");
+    let disabling = |names: &str| names.parse().expect("the names are known");
     assert_eq!(grant_order(disabling("due-order"), waiting), [3, 1, 2, 0]);
     assert_eq!(grant_order(disabling("calls-first"), waiting), [2, 1, 3, 0]);
     assert_eq!(
@@ -90,9 +91,9 @@
 
 #[test]
 fn request_queues_at_its_first_endpoint_without_probes() {
-    let waits = |switches| FreeSlotSearch::new(switches).queues_at(node(1));
-    assert!(!waits(MechanismSwitches::default()));
-    assert!(waits(MechanismSwitches::disabling(
+    let queues = |switches| FreeSlotSearch::new(switches).queues_at(node(1));
+    assert!(!queues(MechanismSwitches::default()));
+    assert!(queues(MechanismSwitches::disabling(
         Mechanism::FreeSlotProbes
     )));
 }
@@ -102,11 +103,11 @@
     let retries = |switches| {
         let mut tokens = ServiceTokens::default();
         tokens.set_policy(RetryPolicy::default().with_switches(switches));
-        let of_service = tokens.for_service(&ServiceName::new("tablon"));
-        let again = |_: &i32| {
-            Attempts::new(&treatment(true), 8).take_retry(AttemptFailure::NotRun, of_service)
+        let service_tokens = tokens.for_service(&ServiceName::new("tablon"));
+        let is_retried = |_: &i32| {
+            Attempts::new(&treatment(true), 8).take_retry(AttemptFailure::NotRun, service_tokens)
         };
-        (0..100).filter(again).count()
+        (0..100).filter(is_retried).count()
     };
     assert_eq!(retries(MechanismSwitches::default()), 10);
     assert_eq!(
@@ -122,12 +123,12 @@
 #[test]
 fn unknown_mechanism_error_lists_the_known_ones() {
     let arguments = ["--without", "ranks,haste"].map(Into::into);
-    let error = node::settings::parse(arguments, |_| None).expect_err("it is unknown");
+    let error = node::settings::parse(arguments, |_| None).expect_err("the name is unknown");
     let problem = error
         .problems
         .iter()
         .find(|problem| problem.contains("haste"));
-    let problem = problem.expect("it is named");
+    let problem = problem.expect("the error names the unknown mechanism");
     assert!(
         Mechanism::names().iter().all(|name| problem.contains(name)),
         "{problem}"
@@ -140,7 +141,7 @@
     for name in Mechanism::names() {
         assert!(
             page.contains(&format!("| `{name}` |")),
-            "{name} is not in the page"
+            "{name} is not on the page"
         );
     }
 }
