--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -5,6 +5,9 @@
 //! [`Admission::release`]. After every change of state the caller of this module drains
 //! [`Admission::end_next_wait`] and wakes the requests that it returns. The state does not change
 //! in between, so nothing has to poll.
+//!
+//! Requests come from entry nodes, the nodes at which they enter the mesh. Entry nodes choose backend
+//! servers by the load that is reported with each response.
 
 mod class_queue;
 
@@ -198,7 +201,7 @@
 
 /// Number of resources whose service times are reported with the response to a request for another
 /// resource. The longest are reported: they differ most between endpoints and are requested least
-/// often, so entry nodes would seldom learn them otherwise.
+/// often, so entry nodes would seldom receive them otherwise.
 const OTHER_SERVICE_TIMES_MAX: usize = 3;
 /// Service times measured longer ago than this, in microseconds, are not reported. Repeated reports
 /// of an old time would keep entry nodes away from a backend server that is no longer slow.
--- a/src/decide/load_balancing/endpoint_stats.rs
+++ b/src/decide/load_balancing/endpoint_stats.rs
@@ -1,4 +1,6 @@
-//! Statistics of one endpoint, from the requests of one entry node and the load reports in responses.
+//! Statistics that an entry node, at which requests enter the mesh, keeps of one endpoint.
+//!
+//! They come from its own requests and from the load reports in their responses.
 
 use super::Endpoint;
 use crate::core::names::ResourceName;
@@ -16,9 +18,10 @@
 /// tried again.
 const SERVICE_TIME_DECAY_US: f64 = 10_000_000.0;
 
-/// Error score at which an endpoint is ejected. A lost connection adds [`LOST_ERROR_SCORE`] and a 5xx
+/// Error score at which an endpoint is ejected. A lost request adds [`LOST_ERROR_SCORE`] and a 5xx
 /// response 1; any other response resets the score.
 const ERROR_SCORE_MAX: u32 = 5;
+/// What a lost connection or a missing response adds to the error score.
 const LOST_ERROR_SCORE: u32 = 2;
 /// Duration of the first ejection, in microseconds. It doubles with each further one.
 const EJECTION_FIRST_US: u64 = 1_000_000;
@@ -27,7 +30,7 @@
 
 /// How long an endpoint is avoided after it refused a request as draining, in microseconds. By then
 /// gossip has spread that state.
-const DRAINING_US: u64 = 5_000_000;
+const DRAINING_AVOIDED_US: u64 = 5_000_000;
 
 /// Weight of the newest sample in the failure rate, as a divisor.
 const FAILURE_RATE_DIVISOR: f64 = 16.0;
@@ -238,7 +241,7 @@
             }
             AttemptOutcome::Refused => (),
             AttemptOutcome::Rejected => self.record_result(now_us, true),
-            AttemptOutcome::Draining => self.draining_until_us = now_us + DRAINING_US,
+            AttemptOutcome::Draining => self.draining_until_us = now_us + DRAINING_AVOIDED_US,
             AttemptOutcome::Unreachable => self.eject(now_us),
             AttemptOutcome::Lost => {
                 self.record_result(now_us, true);
--- a/src/decide/load_balancing/free_slot_search.rs
+++ b/src/decide/load_balancing/free_slot_search.rs
@@ -1,4 +1,4 @@
-//! Search for a free slot among endpoints whose load the entry node does not know well.
+//! Search for a free slot among endpoints whose current load is uncertain.
 
 use crate::core::mechanism::{Mechanism, MechanismSwitches};
 use crate::core::member::NodeId;
@@ -8,9 +8,10 @@
 
 /// Endpoints that one request has probed.
 ///
-/// An entry node receives load reports only with responses, which may be rare. A probe is refused at
-/// once if the endpoint has no free slot, and the refusal carries a load report. So after some probes
-/// the request queues at an endpoint whose queue is known to be short.
+/// The node at which a request enters the mesh, its entry node, receives load reports only with
+/// responses, which may be rare. A probe is refused at once if the endpoint has no free slot, and the
+/// refusal carries a load report. So after some probes the request queues at an endpoint whose queue
+/// is known to be short.
 #[derive(Clone, Debug, Default)]
 pub struct FreeSlotSearch {
     switches: MechanismSwitches,
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,10 +1,10 @@
 //! Retries of failed requests, limited per request, per service and per call tree.
 //!
 //! A request may lead to nested calls, up to [`DEPTH_MAX`] levels deep. All calls of such a tree share
-//! one retry budget, which the entry node of the first request sets. The entry node of each call
-//! keeps one retry for itself and passes the rest downstream; what is not spent is returned with the
-//! response. No retry is available at two places at once, so the whole tree makes at most
-//! [`RETRIES_PER_TREE`] retries.
+//! one retry budget, which the entry node of the first request sets. The entry node of a call is the
+//! node at which it enters the mesh. It keeps one retry for itself and passes the rest downstream;
+//! what is not spent is returned with the response. No retry is available at two places at once, so
+//! the whole tree makes at most [`RETRIES_PER_TREE`] retries.
 
 use std::collections::HashMap;
 
--- a/tests/testsuite/decide_announcements.rs
+++ b/tests/testsuite/decide_announcements.rs
@@ -161,7 +161,7 @@
         announcements.apply(&serving("i-1", 10, 5)),
         AnnouncementOutcome::Duplicate
     );
-    // The process now knows the earlier announcements, so the next start needs no confirmation.
+    // The process now has the earlier announcements, so the next start needs no confirmation.
     assert_eq!(
         announcements.apply(&serving("i-3", 20, 1)),
         AnnouncementOutcome::Accepted
