--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -1,7 +1,7 @@
 //! Admission control of one backend server: a request gets a slot, waits in a queue, or is refused.
 //!
 //! All requests to a backend server pass through the node on its VM, so the node's count of slots
-//! in use is exact. A request asks for a slot with [`Admission::admit`] and returns it with
+//! in use is exact. A request asks for a slot with [`Admission::admit`] and releases it with
 //! [`Admission::release`]. After every change of state the caller of this module drains
 //! [`Admission::end_next_wait`] and wakes the requests that it returns. The state does not change
 //! in between, so nothing has to poll.
@@ -42,7 +42,7 @@
 /// of its own service until the call returns, and its work is lost if the call is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// A call made by a request that is running at another backend server.
+    /// A call made by a request that is running at a backend server.
     NestedCall,
     /// A request that no other request in the mesh waits for.
     CallerRequest {
@@ -129,7 +129,7 @@
 /// Result of [`Admission::admit`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmitOutcome {
-    /// The request has a slot, which [`Admission::release`] returns.
+    /// The request holds a slot until [`Admission::release`].
     Slot,
     /// The request waits until [`Admission::end_next_wait`] returns it or [`Admission::cancel`]
     /// removes it.
@@ -141,7 +141,7 @@
 /// How the wait of a queued request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitOutcome {
-    /// The request has a slot, which [`Admission::release`] returns.
+    /// The request holds a slot until [`Admission::release`].
     Slot,
     /// The request was refused while it waited.
     Refused(Refusal),
@@ -186,7 +186,7 @@
     slot_start_sum_us: u64,
 }
 
-/// A slot that is returned.
+/// A slot that is released, and the request that held it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReleasedSlot<'a> {
     /// Class of the request that held the slot.
@@ -325,7 +325,7 @@
         Some(self.refusal(cause, request))
     }
 
-    /// Returns why a request would be refused if it had to wait; none if it may wait.
+    /// Returns why a request would be refused if it had to wait; `None` if it may wait.
     fn refusal_cause(&self, now_us: u64, request: &SlotRequest) -> Option<RefusalCause> {
         let wait_us = self.estimated_wait_us(request);
         let response_us = now_us + wait_us + self.service_time_us(request);
@@ -350,7 +350,7 @@
         true
     }
 
-    /// Returns a slot and records how long it was held.
+    /// Releases a slot and records how long it was held.
     pub fn release(&mut self, now_us: u64, released: &ReleasedSlot<'_>) {
         let ReleasedSlot {
             class,
@@ -457,7 +457,7 @@
     }
 
     /// Returns the mean service time for `resource`, or of all requests if it has none of its own;
-    /// none before the first request has ended.
+    /// `None` before the first request has ended.
     pub fn known_service_time_us(&self, resource: &ResourceName) -> Option<u64> {
         Some(self.service_times.resource_us(resource))
             .filter(|service_time_us| *service_time_us > 0)
--- a/src/decide/admission/class_queue.rs
+++ b/src/decide/admission/class_queue.rs
@@ -28,6 +28,7 @@
     pub(super) count: u32,
     /// Sum over the requests whose service time is known.
     known_service_time_us: u64,
+    /// Number of requests whose service time is unknown.
     unknown_count: u32,
 }
 
--- a/src/decide/announcements.rs
+++ b/src/decide/announcements.rs
@@ -10,7 +10,7 @@
 use crate::core::names::InstanceName;
 use crate::core::status::Announcement;
 
-/// Number of departed instances that are remembered: enough for several that follow each other at one
+/// Number of departed instances that are retained: enough for several that follow each other at one
 /// address, as long as their delayed announcements may still arrive.
 const DEPARTED_STARTS_MAX: usize = 16;
 
@@ -85,7 +85,7 @@
     /// Applies an announcement, unless a newer one is known.
     ///
     /// An older announcement may be of a backend server that has left, or of one that had the address
-    /// before. Departed instances are remembered for longer than an announcement can be delayed.
+    /// before. Departed instances are retained for longer than an announcement can be delayed.
     pub fn apply(&mut self, announcement: &Announcement) -> AnnouncementOutcome {
         let Some(instance) = &announcement.instance else {
             // Announcements without an instance name cannot be ordered: the last one is in effect.
--- a/src/decide/connections.rs
+++ b/src/decide/connections.rs
@@ -30,7 +30,7 @@
 
 impl ConnectionLimits {
     /// Derives the limits from the maximum number of file descriptors and the memory of the process
-    /// in MiB, none if memory is not limited. `max_per_address` is configured; the total caps it.
+    /// in MiB, `None` if memory is not limited. `max_per_address` is configured; the total caps it.
     pub fn for_process(descriptors: u32, memory_mb: Option<u32>, max_per_address: u32) -> Self {
         let by_descriptors = descriptors / CALLER_SHARE_DENOMINATOR * CALLER_SHARE_NUMERATOR;
         let by_memory = memory_mb.map_or(u32::MAX, |mb| {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Adds a connection of `caller`; returns none if it must be refused.
+    /// Adds a connection of `caller`; returns `None` if it must be refused.
     pub fn accept(&mut self, caller: IpAddr) -> Option<Accepted> {
         let closed = match self.has_room(caller) {
             true => None,
@@ -161,7 +161,7 @@
     }
 
     /// Returns the connection to close for a new one of `caller`: the one that has been idle longest,
-    /// among its own if `caller` is at its limit. None if no such connection is idle.
+    /// among its own if `caller` is at its limit. `None` if no such connection is idle.
     fn connection_to_close(&self, caller: IpAddr) -> Option<ConnectionKey> {
         let own_only = self.is_at_limit(caller);
         let may_close = |key: &&ConnectionKey| {
--- a/src/decide/load_balancing.rs
+++ b/src/decide/load_balancing.rs
@@ -35,7 +35,7 @@
 /// below the smallest cost difference that matters, the transfer to another data centre.
 const TIE_BREAK_NOISE: f64 = 0.004;
 
-/// Assumed length of a response for a resource without measurements: a short list.
+/// Assumed length of a response for a resource without measurements, in bytes: that of a short list.
 const INITIAL_RESPONSE_BYTES: f64 = 2_000.0;
 /// Weight of the newest sample in the mean response length, as a divisor.
 const RESPONSE_BYTES_DIVISOR: f64 = 16.0;
@@ -82,7 +82,7 @@
             .sort_by_cached_key(|endpoint| Reverse(rendezvous_weight(entry_node, endpoint.node)));
     }
 
-    /// Every endpoint, nearest first.
+    /// Iterates over all endpoints, nearest first.
     pub fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.by_distance.iter().flatten()
     }
@@ -123,11 +123,11 @@
     pub service_time_us: Option<u64>,
     /// Share of recent requests that failed.
     pub failure_rate: f64,
-    /// Age of the last load report in microseconds; none if there was none.
+    /// Age of the last load report in microseconds; `None` if there was none.
     pub report_age_us: Option<u64>,
 }
 
-/// Selects the endpoints among which a request is placed.
+/// Restricts the endpoints that are considered for a request.
 #[derive(Clone, Copy)]
 struct EndpointFilter<'a> {
     /// Endpoints to exclude.
--- a/src/decide/uploads.rs
+++ b/src/decide/uploads.rs
@@ -35,7 +35,7 @@
 }
 
 impl UploadLimits {
-    /// Derives the limits from the rate of the link, none if unknown. Many concurrent uploads would
+    /// Derives the limits from the rate of the link, `None` if unknown. Many concurrent uploads would
     /// saturate a slow link, and small requests would queue behind them.
     pub fn for_link(kbit_per_s: Option<u32>) -> Self {
         let busy_bytes =
--- a/tests/testsuite/decide_admission.rs
+++ b/tests/testsuite/decide_admission.rs
@@ -384,7 +384,7 @@
         rank: u8,
         timeout_us: u64,
     },
-    /// The nth running request returns its slot.
+    /// The nth running request releases its slot.
     Release(usize),
     /// The caller of the nth waiting request disconnects.
     Cancel(usize),
