--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -120,7 +120,7 @@
 /// A refusal, with advice on when to retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Reason for the refusal.
+    /// Why the request was refused.
     pub cause: RefusalCause,
     /// Estimated wait of a new request, in milliseconds.
     pub retry_after_ms: u64,
