--- a/crates/protogen/src/main.rs
+++ b/crates/protogen/src/main.rs
@@ -1,7 +1,7 @@
-//! Writes the committed gRPC code from `proto/control.proto`.
+//! Generates the gRPC code in `src/peer/generated` from `proto/control.proto`.
 //!
-//! Run by hand after an edit of the file: `cargo run -p protogen`. The build itself needs no
-//! generator.
+//! The generated code is committed, so a normal build doesn't run this program. Run it after each
+//! change of the `.proto` file: `cargo run -p protogen`.
 
 use std::error::Error;
 use std::path::Path;
--- a/crates/testkit/src/backend.rs
+++ b/crates/testkit/src/backend.rs
@@ -1,10 +1,16 @@
-//! Stand-in for a backend server that keeps a record of every request that it ran.
+//! Stand-in for a backend server that records every request that it runs.
 //!
-//! What a request asks for stands in its query: `work_ms` (time to run), `answer_bytes` (size of
-//! the answer; without it the body is echoed), `break_after` (the connection breaks after so many
-//! bytes of the answer), `status`, and `chain` (a list `service:path,service:path`: the first is
-//! called through the own node, with the rest as its chain, before the answer). The answer's
-//! `x-digest` is the BLAKE3 digest of the request's body, and `x-ran-by` the backend server's name.
+//! The query of a request controls how it is run:
+//!
+//! - `work_ms`: time that the request takes.
+//! - `answer_bytes`: size of the response body. Without it, the request body is echoed.
+//! - `break_after`: the connection is closed after this many bytes of the response body.
+//! - `status`: status code of the response.
+//! - `chain`: a list `service:path,service:path`. Before it responds, the backend server calls the
+//!   first entry through the node on its VM and passes the other entries on as that call's chain.
+//!
+//! The response header `x-digest` is the BLAKE3 digest of the request body, `x-ran-by` the name of the
+//! backend server, and `x-ran-id` the id of the request.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,20 +31,20 @@
     Body, ConnectionCounter, Reply, build_response, request, serve_counting_connections,
 };
 
-/// How a backend server behaves.
+/// Capacity and faults of a backend server.
 #[derive(Clone, Debug)]
 pub struct Behaviour {
-    /// Requests run at a time; more are shed with 503.
+    /// Number of requests that run concurrently. Further requests get status 503 at once.
     pub slots: u32,
-    /// Time to run a request that does not say.
+    /// Time that a request takes if its query has no `work_ms`.
     pub default_work_time: Duration,
-    /// Added to every request for so long after the start.
+    /// For this long after the start, every request takes this much longer.
     pub cold_start: Duration,
-    /// Answers of `GET /health`: what it claims, which may be wrong.
+    /// Whether `GET /health` returns 200 rather than 503, regardless of how requests fare.
     pub reports_healthy: bool,
-    /// Requests that arrive are not looked at until this is over.
+    /// While true, requests are accepted but not processed, health checks included.
     pub frozen: bool,
-    /// Caller listener of the own node, for calls that a request asks for.
+    /// Caller listener of the node on the same VM, which takes the calls of a `chain`.
     pub caller_listener: Option<SocketAddr>,
 }
 
@@ -55,24 +61,25 @@
     }
 }
 
-/// What a backend server did.
+/// Counters of a backend server since its start.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    /// How often each request id began to run.
+    /// Number of runs started for each request id.
     pub runs: BTreeMap<String, u32>,
-    /// Requests that ran to their end.
+    /// Requests that ran to completion.
     pub finished: u64,
-    /// Requests given up by the other side while they ran.
+    /// Requests that ended before they were complete: the client disconnected, or the request body or
+    /// a chained call failed.
     pub cancelled: u64,
-    /// Requests shed because all slots were taken.
+    /// Requests rejected with 503 because all slots were in use.
     pub shed: u64,
-    /// Most requests at a time.
+    /// Highest number of requests that ran concurrently.
     pub peak_running: u32,
-    /// Most connections at a time.
+    /// Highest number of connections open at the same time.
     pub peak_connections: u32,
-    /// Deadlines that came with requests, in milliseconds from their arrival.
+    /// Values of the request header `x-dragonflywall-deadline-ms`, in milliseconds from the arrival.
     pub deadlines_ms: Vec<u64>,
-    /// When the last request began.
+    /// Time at which the most recent run started.
     pub last_run_start: Option<Instant>,
 }
 
@@ -86,10 +93,10 @@
     connections: Arc<ConnectionCounter>,
 }
 
-/// A running backend server; it ends when dropped.
+/// A running backend server. Dropping it stops the server and closes its connections.
 #[derive(Debug)]
 pub struct Backend {
-    /// Where it listens.
+    /// Address of its listener.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     stop: CancellationToken,
@@ -103,7 +110,7 @@
 }
 
 impl Backend {
-    /// Starts on `address` under a name.
+    /// Starts a backend server that listens on `address`. `name` is returned in `x-ran-by`.
     pub async fn start(
         address: SocketAddr,
         name: &str,
@@ -142,18 +149,19 @@
         })
     }
 
-    /// Drops every connection and stops listening, as a crash would. Nobody can connect any more when it returns.
+    /// Closes all connections and the listener, as a crash would. When it returns, new connections are
+    /// refused.
     pub async fn kill(&self) {
         self.stop.cancel();
         self.server_tasks.wait().await;
     }
 
-    /// Changes the behaviour from now on.
+    /// Replaces the behaviour for requests that start from now on.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         *lock(&self.shared.behaviour) = behaviour;
     }
 
-    /// What it did so far.
+    /// Returns a snapshot of the counters.
     pub fn record(&self) -> Record {
         let mut record = lock(&self.shared.record).clone();
         record.peak_connections = self.shared.connections.peak();
@@ -165,7 +173,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// One request that runs; counts it as cancelled unless it finished.
+/// Guard of one running request. Dropping it frees the slot and counts the request as finished or
+/// cancelled.
 struct Run<'a> {
     shared: &'a Shared,
     finished: bool,
@@ -284,16 +293,18 @@
     query_text(query, name)?.parse().ok()
 }
 
-/// Makes the first call of `chain` through the own node, as part of the request `id`.
+/// Sends the first call of `chain` through the node on the same VM, as part of request `id`.
 async fn call_chain(
     caller_listener: Option<SocketAddr>,
     chain: &str,
     id: &str,
     headers: &HeaderMap,
 ) -> crate::http::Result<Reply> {
-    let caller_listener = caller_listener.ok_or("no entry is set")?;
+    let caller_listener = caller_listener.ok_or("no caller listener is set")?;
     let (first, rest) = chain.split_once(',').unwrap_or((chain, ""));
-    let (service, path) = first.split_once(':').ok_or("not a chain")?;
+    let (service, path) = first
+        .split_once(':')
+        .ok_or("chain entry is not `service:path`")?;
     let path = match rest {
         "" => path.to_owned(),
         rest => format!("{path}?chain={rest}"),
@@ -304,22 +315,26 @@
     request(caller_listener, Method::GET, service, &path, &headers, "").await
 }
 
-/// The first `bytes` of a body, then an error, which breaks the connection once they are sent.
+/// Returns a body of at most `bytes` zero bytes and then an error.
+///
+/// `whole` gives the upper limit of the length. The error follows after a short pause, in which the
+/// bytes are sent; it makes hyper close the connection before the response is complete.
 fn truncated_body(whole: Body, bytes: u64) -> Body {
     let length = whole.size_hint().exact().unwrap_or(0);
     let content = vec![0; usize::try_from(bytes.min(length)).unwrap_or(0)];
     let (sender, frames) = tokio::sync::mpsc::channel(1);
     tokio::spawn(async move {
-        // A reader that is gone needs neither.
+        // Sending fails only if the connection is closed already.
         let _ = sender.send(Ok(Frame::data(Bytes::from(content)))).await;
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let error = std::io::Error::other("broken on purpose");
+        let error = std::io::Error::other("response body truncated by `break_after`");
         let _ = sender.send(Err(error)).await;
     });
     BodyExt::boxed_unsync(StreamBody::new(ReceiverStream::new(frames)))
 }
 
-/// Bytes that differ from one request to the next, so that a mixed-up answer shows.
+/// Returns `bytes` bytes derived from the request id. They differ between requests, so that a test
+/// detects a response that was delivered for the wrong request.
 pub(crate) fn generated_body(id: &str, bytes: u64) -> Bytes {
     let bytes = usize::try_from(bytes).unwrap_or(0);
     let mut content = vec![0; bytes];
@@ -329,7 +344,8 @@
     content.into()
 }
 
-/// Digest of the answer that [`Backend`] gives to request `id` with `answer_bytes` set.
+/// Returns the BLAKE3 digest of the body that [`Backend`] sends for request `id` if its query has
+/// `answer_bytes`.
 pub fn expected_answer_digest(id: &str, answer_bytes: u64) -> String {
     blake3::hash(&generated_body(id, answer_bytes))
         .to_hex()
--- a/crates/testkit/src/bin/testkit-backend.rs
+++ b/crates/testkit/src/bin/testkit-backend.rs
@@ -1,4 +1,6 @@
-//! The backend server stand-in as a program, for meshes started by hand.
+//! Runs the stand-in for a backend server as a program, for meshes that are started by hand.
+//!
+//! `testkit-backend [ADDRESS] [NAME]`
 
 use std::net::SocketAddr;
 
--- a/crates/testkit/src/bin/testkit-link.rs
+++ b/crates/testkit/src/bin/testkit-link.rs
@@ -1,7 +1,10 @@
-//! The link between two regions as a program: delays, throttles and counts what passes, and is cut
-//! and healed by words on its standard input.
+//! Runs a link between two regions as a program, for meshes that are started by hand.
 //!
-//! `testkit-link LISTEN TARGET [DELAY_MS] [MBIT_PER_S]`
+//! The link forwards TCP connections from LISTEN to TARGET with a one-way delay and a bandwidth
+//! limit. It reads commands from standard input, one a line: `cut` stops the traffic, `heal` lets it
+//! pass again, and `bytes` prints the number of bytes forwarded so far.
+//!
+//! `testkit-link [LISTEN] [TARGET] [DELAY_MS] [MBIT_PER_S]`
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +12,8 @@
 use testkit::network::{Forwarder, Network};
 use tokio::io::{AsyncBufReadExt, BufReader};
 
-/// Site of the target; whoever connects is at site 0, in the other region.
+/// Site of the target. Clients connect from an address without a site, which counts as site 0, in the
+/// other region.
 const TARGET_SITE: u8 = 1;
 
 #[tokio::main]
@@ -27,7 +31,7 @@
     let forwarder = Forwarder::open_at(&network, TARGET_SITE, listen).await?;
     forwarder.set_target(target);
     println!(
-        "Forwarding {} to {target}; say cut, heal or bytes",
+        "Forwarding {} to {target}; commands: cut, heal, bytes",
         forwarder.address
     );
     let mut lines = BufReader::new(tokio::io::stdin()).lines();
@@ -36,7 +40,7 @@
             "cut" => network.set_cut(true, |_, _| true),
             "heal" => network.set_cut(false, |_, _| true),
             "bytes" => println!("Carried: {} bytes", network.bytes_between_regions()),
-            other => println!("Not a word of this program: `{other}`"),
+            other => println!("unknown command `{other}`; expected cut, heal or bytes"),
         }
     }
     std::future::pending().await
--- a/crates/testkit/src/bin/testkit-platform.rs
+++ b/crates/testkit/src/bin/testkit-platform.rs
@@ -1,4 +1,6 @@
-//! The platform stand-in as a program, for meshes started by hand.
+//! Runs the stand-in for the platform as a program, for meshes that are started by hand.
+//!
+//! `testkit-platform [ADDRESS]`
 
 use std::net::SocketAddr;
 
--- a/crates/testkit/src/http.rs
+++ b/crates/testkit/src/http.rs
@@ -1,4 +1,4 @@
-//! A minimal HTTP server and client around hyper, as the stand-ins need them.
+//! A small HTTP server and client on top of hyper, for the stand-ins and the tests.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -20,25 +20,27 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-/// Body of every answer of a stand-in.
+/// Body of the responses that a stand-in sends.
 pub type Body = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// A body held in memory.
+/// Returns a body that consists of `bytes`.
 pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-/// An answer with a status and a body.
+/// Returns a response without headers.
 pub fn build_response(status: StatusCode, body: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(full_body(body));
     *response.status_mut() = status;
     response
 }
 
-/// Serves until `stop`; then every connection is dropped as a killed process would drop it.
-/// `None` from the handler drops the connection without an answer.
+/// Serves HTTP/1 and HTTP/2 until `stop` is cancelled. Then all connections are closed at once, as
+/// if the process had been killed.
+///
+/// If the handler returns `None`, the connection is closed without a response.
 pub async fn serve<H, F>(listener: TcpListener, stop: CancellationToken, handle: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
@@ -47,7 +49,7 @@
     serve_counting_connections(listener, stop, Arc::default(), handle).await;
 }
 
-/// Open connections of a listener.
+/// Counts the open connections of a listener.
 #[derive(Debug, Default)]
 pub struct ConnectionCounter {
     open: AtomicU32,
@@ -55,7 +57,7 @@
 }
 
 impl ConnectionCounter {
-    /// Most that were open at a time.
+    /// Returns the highest number of connections that were open at the same time.
     pub fn peak(&self) -> u32 {
         self.peak.load(Ordering::Acquire)
     }
@@ -75,7 +77,7 @@
     }
 }
 
-/// As [`serve`], and counts connections.
+/// Like [`serve`], and counts the connections in `connections`.
 pub async fn serve_counting_connections<H, F>(
     listener: TcpListener,
     stop: CancellationToken,
@@ -91,7 +93,7 @@
     .await;
 }
 
-/// As [`serve_counting_connections`], and tells the handler who asks.
+/// Like [`serve_counting_connections`], and passes the address of the client to the handler.
 pub async fn serve_with_peer<H, F>(
     listener: TcpListener,
     stop: CancellationToken,
@@ -141,12 +143,12 @@
     }
 }
 
-/// The query of a request, whose values are plain.
+/// The query of a request. Values are returned as sent, without percent-decoding.
 #[derive(Clone, Copy, Debug)]
 pub struct Query<'a>(pub &'a str);
 
 impl Query<'_> {
-    /// The value of `name`, empty if absent.
+    /// Returns the first value of `name`, or an empty text if there is none.
     pub fn get(&self, name: &str) -> &str {
         let pairs = self.0.split('&').filter_map(|pair| pair.split_once('='));
         let mut found = pairs.filter(|(key, _)| *key == name);
@@ -154,29 +156,29 @@
     }
 }
 
-/// What a request brought.
+/// A response that was received completely.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Status.
+    /// Status code.
     pub status: StatusCode,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// A header as text, empty if absent.
+    /// Returns the value of a header, or an empty text if it is absent or not ASCII text.
     pub fn header(&self, name: &str) -> &str {
         let value = self.headers.get(name);
         value.and_then(|value| value.to_str().ok()).unwrap_or("")
     }
 }
 
-/// Any failure of [`request`], as text.
+/// Result of a client call; the error is the text of the failure.
 pub type Result<T, E = String> = std::result::Result<T, E>;
 
-/// One request on a connection of its own, HTTP/1.1.
+/// Sends a request over a new HTTP/1.1 connection and reads the whole response.
 pub async fn request(
     address: SocketAddr,
     method: Method,
@@ -206,7 +208,7 @@
     })
 }
 
-/// An HTTP/2 connection of a caller, for several requests at a time.
+/// An HTTP/2 client connection, which carries several requests concurrently.
 #[derive(Debug)]
 pub struct Http2Connection {
     sender: http2::SendRequest<Full<Bytes>>,
@@ -214,7 +216,7 @@
 }
 
 impl Http2Connection {
-    /// Connects.
+    /// Opens a connection to `address` without TLS.
     pub async fn connect(address: SocketAddr) -> Result<Self> {
         let stream = TcpStream::connect(address).await.map_err(error_text)?;
         let _ = stream.set_nodelay(true);
@@ -222,13 +224,13 @@
         let handshake = builder.handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(error_text)?;
         let connection = tokio::spawn(async move {
-            // How it ended shows in the requests that were on it.
+            // An error of the connection is also returned by the requests on it.
             let _ = connection.await;
         });
         Ok(Self { sender, connection })
     }
 
-    /// One request of the connection.
+    /// Sends a request with an empty body and the id `id`.
     pub fn request(
         &self,
         method: Method,
@@ -239,7 +241,7 @@
         self.request_with_headers(method, host, path, &[("x-request-id", id)])
     }
 
-    /// The same with headers of the caller's choice.
+    /// Like [`Self::request`], with the given headers in place of the id.
     pub fn request_with_headers(
         &self,
         method: Method,
@@ -267,9 +269,10 @@
         }
     }
 
-    /// Waits until the other side has closed the connection.
+    /// Waits until the server has closed the connection.
     pub async fn wait_closed(self) {
-        // A connection is not kept open by a sender that sends nothing.
+        // `self.sender` lives until the end of this function, so the client doesn't close the connection.
+        // An idle sender doesn't keep it open either.
         let _ = self.connection.await;
     }
 }
@@ -278,8 +281,10 @@
     error.to_string()
 }
 
-/// Waits until `condition` holds, looking every few milliseconds; panics with `what` when it does
-/// not within `limit`, which bounds a hang and is no part of any verdict on speed.
+/// Checks `condition` every few milliseconds until it holds.
+///
+/// Panics with `description` after `timeout`. The timeout only keeps a broken test from running
+/// forever; it doesn't measure speed.
 pub async fn wait_until<F>(description: &str, timeout: Duration, mut condition: impl FnMut() -> F)
 where
     F: Future<Output = bool>,
@@ -288,7 +293,7 @@
     while !condition().await {
         assert!(
             tokio::time::Instant::now() < deadline,
-            "never came: {description}"
+            "timed out waiting for: {description}"
         );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,11 +1,15 @@
-//! Stand-ins for what dragonflywall meets, for tests and experiments.
+//! Stand-ins for the systems around a dragonflywall node, for tests and experiments.
 //!
-//! [`platform`] is the transactional table and object store, [`backend`] a backend server that
-//! records what it ran, [`network`] the links between data centres, which can be cut, delayed,
-//! throttled and counted. [`process`] starts nodes as processes and [`mesh`] a whole deployment.
-//! [`users`] is all of this on the users' platform.
+//! - [`platform`]: the transactional table and object store.
+//! - [`backend`]: a backend server that records the requests that it ran.
+//! - [`network`]: the links between data centres, which can be cut, delayed, throttled and metered.
+//! - [`process`]: starts a node as a process.
+//! - [`mesh`]: starts a whole deployment.
+//! - [`users`]: the same parts for the platform on which the users run their VMs; it has a protocol
+//!   of its own.
 //!
-//! All listen on loopback addresses; data centre number N has the addresses 127.x.N+1.1, where x is the network's own.
+//! Everything listens on loopback addresses. Data centre N has the address 127.x.N+1.1, where x is
+//! the number of the [`network::Network`].
 
 pub mod backend;
 pub mod http;
--- a/crates/testkit/src/mesh.rs
+++ b/crates/testkit/src/mesh.rs
@@ -1,4 +1,5 @@
-//! A whole deployment on this machine: platform, network, backend servers, node processes.
+//! Starts a whole deployment on this machine: the platform, the network, the backend servers and the
+//! node processes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -14,37 +15,38 @@
 use crate::platform::Platform;
 use crate::process::{LogLine, NodeProcess, Signal};
 
-/// Bounds a hang; no test judges speed by it.
+/// Limit on each wait. It only keeps a broken test from running forever; it doesn't measure speed.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
-/// Processes that start at a time: enough to keep the cores of a small machine busy.
+/// Limit on the processes that start concurrently: enough to keep the cores of a small machine busy.
 const MAX_CONCURRENT_STARTS: usize = 16;
 
 /// One data centre of a deployment.
 #[derive(Clone, Debug)]
 pub struct DataCentre {
-    /// Its name.
+    /// Name of the data centre.
     pub name: &'static str,
-    /// Its region's name.
+    /// Name of its region.
     pub region: &'static str,
-    /// Number of its region.
+    /// Number of its region; data centres of one region have the same number.
     pub region_number: u8,
 }
 
-/// Which deployment to start.
+/// Description of the deployment to start.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Data centres; the position is the site's number.
+    /// Data centres. The position of each is its [`Site`].
     pub data_centres: Vec<DataCentre>,
-    /// Services; each data centre has `endpoints_per_data_centre` endpoints of each.
+    /// Services. Each data centre has `endpoints_per_data_centre` endpoints of each service.
     pub services: Vec<&'static str>,
-    /// Endpoints of each service in each data centre.
+    /// Number of VMs for each service in each data centre.
     pub endpoints_per_data_centre: usize,
-    /// How the backend servers behave.
+    /// Behaviour of all backend servers.
     pub behaviour: Behaviour,
-    /// Whether traffic between nodes of one data centre passes counted fronts as well.
+    /// Whether traffic between nodes of the same data centre goes through forwarders too, which count
+    /// its bytes.
     pub forwards_local_traffic: bool,
-    /// Where the nodes' log lines go, as JSON from level `info` on; without it their warnings go to
-    /// the standard error of whoever started the mesh.
+    /// Receives the nodes' log lines as JSON, at level `info` and above. If `None`, warnings and errors
+    /// go to the standard error of this process.
     pub log_lines: Option<mpsc::UnboundedSender<LogLine>>,
 }
 
@@ -57,7 +59,7 @@
 }
 
 impl Deployment {
-    /// Chatarras Cantabrico Boletines.
+    /// The deployment of the organisation Chatarras Cantabrico Boletines.
     pub fn chatarras() -> Self {
         Self {
             data_centres: vec![
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Marinhas Digitais.
+    /// The deployment of the organisation Marinhas Digitais.
     pub fn marinhas() -> Self {
         Self {
             data_centres: vec![
@@ -95,40 +97,40 @@
     }
 }
 
-/// One VM: a backend server and its node.
+/// A VM, which runs one backend server and one node.
 #[derive(Debug)]
 pub struct Vm {
-    /// Its data centre.
+    /// Site of its data centre.
     pub site: Site,
-    /// Its service.
+    /// Service of its backend server.
     pub service: &'static str,
-    /// Its backend server.
+    /// The backend server.
     pub backend: Backend,
-    /// Its node, unless a test took it away.
+    /// The node; `None` while no node runs on this VM.
     pub node: Option<NodeProcess>,
     forwarder: Forwarder,
     peer_address: Option<SocketAddr>,
 }
 
 impl Vm {
-    /// The running node.
+    /// Returns the node; panics if none runs.
     pub fn node(&self) -> &NodeProcess {
-        self.node.as_ref().expect("the node was not taken away")
+        self.node.as_ref().expect("a node runs on this VM")
     }
 }
 
 /// A running deployment.
 #[derive(Debug)]
 pub struct Mesh {
-    /// What it is a deployment of.
+    /// The description that it was started from.
     pub deployment: Deployment,
-    /// The platform, in site 0.
+    /// The platform, which is in site 0.
     pub platform: Platform,
     /// The links between data centres.
     pub network: Arc<Network>,
-    /// The VMs, data centre by data centre.
+    /// The VMs, ordered by data centre. VMs added later are at the end.
     pub vms: Vec<Vm>,
-    /// Added to the arguments of every node started from now on.
+    /// Arguments added to the command line of every node that is started from now on.
     pub extra_arguments: Vec<String>,
     program: PathBuf,
     base_arguments: Vec<String>,
@@ -136,7 +138,8 @@
 }
 
 impl Mesh {
-    /// Starts everything; `program` followed by `leading` runs a node.
+    /// Starts the platform, the backend servers and the nodes. The command line of a node is `program`,
+    /// `base_arguments`, and the flags for its VM.
     pub async fn start(
         program: &Path,
         base_arguments: &[&str],
@@ -178,7 +181,7 @@
         self.start_nodes((0..self.vms.len()).collect()).await
     }
 
-    /// Starts one more VM; returns its position.
+    /// Adds a VM to a data centre and starts its node. Returns the position of the VM.
     pub async fn add_vm(&mut self, site: Site, service: &'static str) -> Result<usize, String> {
         let position = self.add_backend(site, service).await?;
         self.start_node(position).await?;
@@ -203,8 +206,8 @@
         Ok(position)
     }
 
-    /// Kills the node of a VM and waits for its end: until then its address is in use, and a node
-    /// that is started again there at once would not start.
+    /// Kills the node of a VM and waits for its exit. Until then its address is in use, and a node
+    /// restarted there would fail to start.
     pub async fn kill_node(&mut self, position: usize) -> Result<(), String> {
         if let Some(mut node) = self.vms[position].node.take() {
             node.signal(Signal::Kill);
@@ -213,12 +216,13 @@
         Ok(())
     }
 
-    /// Starts the node of a VM, at the address that it had before, if it had one.
+    /// Starts the node of a VM. A restarted node gets its previous peer address, unless
+    /// [`Deployment::forwards_local_traffic`] is set.
     pub async fn start_node(&mut self, position: usize) -> Result<(), String> {
         self.start_nodes(vec![position]).await
     }
 
-    /// Starts the nodes of several VMs side by side.
+    /// Starts the nodes of several VMs concurrently, as [`Self::start_node`] does for one.
     pub async fn start_nodes(&mut self, positions: Vec<usize>) -> Result<(), String> {
         let permits = Arc::new(Semaphore::new(MAX_CONCURRENT_STARTS));
         let mut start_tasks = tokio::task::JoinSet::new();
@@ -245,13 +249,13 @@
         Ok(())
     }
 
-    /// Bytes that passed the fronts of all nodes, both ways: the traffic between nodes. That
-    /// inside a data centre is part of it only with [`Deployment::forwards_local_traffic`].
+    /// Returns the bytes transferred between nodes, in both directions. Traffic within a data centre is
+    /// included only if [`Deployment::forwards_local_traffic`] is set.
     pub fn bytes_between_nodes(&self) -> u64 {
         self.vms.iter().map(|vm| vm.forwarder.bytes()).sum()
     }
 
-    /// Bytes between all nodes and the platform, both ways.
+    /// Returns the bytes transferred between the nodes and the platform, in both directions.
     pub fn bytes_with_platform(&self) -> u64 {
         self.platform_forwarder.bytes()
     }
@@ -268,9 +272,10 @@
         };
         add_flag("caller-listen", any_port.to_string());
         add_flag("operator-listen", any_port.to_string());
-        // Where the front is the node's identity, its own port is free to change. That of before a
-        // restart may be the local port of another node's connection by now, and in a herd of
-        // hundreds some are: the node would end with "address in use".
+        // If all traffic goes through the forwarder, other nodes know only the forwarder's address, and
+        // the node may listen on any port. Its previous port may be the local port of another node's
+        // connection by now, and the node would exit with "address in use". With hundreds of nodes that
+        // restart at once, this happens to some.
         let previous_address = vm
             .peer_address
             .filter(|_| !self.deployment.forwards_local_traffic);
@@ -301,7 +306,8 @@
         arguments
     }
 
-    /// The version that a node enforces, 0 if it does not answer.
+    /// Returns the configuration version that a node enforces, or 0 if there is none or the node doesn't
+    /// respond.
     pub async fn version_at(&self, position: usize) -> u64 {
         let Some(node) = &self.vms[position].node else {
             return 0;
@@ -313,13 +319,13 @@
         status["enforced"]["version"].as_u64().unwrap_or(0)
     }
 
-    /// Waits until every running node enforces `version` or a later one.
+    /// Waits until every running node enforces configuration `version` or a later one.
     pub async fn wait_enforced(&self, version: u64) {
         for position in 0..self.vms.len() {
             if self.vms[position].node.is_none() {
                 continue;
             }
-            let description = format!("version {version} at VM {position}");
+            let description = format!("version {version} enforced at VM {position}");
             wait_until(&description, WAIT_TIMEOUT, || async {
                 self.version_at(position).await >= version
             })
@@ -327,22 +333,27 @@
         }
     }
 
-    /// Waits until every running node knows as many living members as there are nodes.
+    /// Waits until the membership view of every running node has as many members alive as nodes run.
     pub async fn wait_joined(&self) {
         let running = self.vms.iter().filter(|vm| vm.node.is_some()).count();
         for vm in self.vms.iter().filter(|vm| vm.node.is_some()) {
             let operator = vm.node().addresses.operator;
-            wait_until("all members known", WAIT_TIMEOUT, || async {
-                let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
-                let body = reply.map(|reply| reply.body).unwrap_or_default();
-                let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-                let members = status["members"].as_array().cloned().unwrap_or_default();
-                let alive = members
-                    .iter()
-                    .filter(|member| member["liveness"] == "alive")
-                    .count();
-                alive == running
-            })
+            wait_until(
+                "all nodes listed as alive members",
+                WAIT_TIMEOUT,
+                || async {
+                    let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
+                    let body = reply.map(|reply| reply.body).unwrap_or_default();
+                    let status: serde_json::Value =
+                        serde_json::from_slice(&body).unwrap_or_default();
+                    let members = status["members"].as_array().cloned().unwrap_or_default();
+                    let alive = members
+                        .iter()
+                        .filter(|member| member["liveness"] == "alive")
+                        .count();
+                    alive == running
+                },
+            )
             .await;
         }
     }
--- a/crates/testkit/src/network.rs
+++ b/crates/testkit/src/network.rs
@@ -1,9 +1,9 @@
-//! The network between data centres: fronts that forward TCP with delay, throttle, cuts, counts.
+//! A simulated network between sites: TCP forwarders that delay, throttle, cut and meter traffic.
 //!
-//! A [`Forwarder`] stands before one listener. Who connects is told by the source address: data
-//! centre number N (a [`Site`]) dials from 127.x.N+1.1, where x is the network's own. The [`Network`] holds one policy for each
-//! ordered pair of sites; all connections of one pair of regions share one throttle, as they
-//! would share the link.
+//! A [`Forwarder`] accepts connections on behalf of one listener. It derives the client's [`Site`] from
+//! the source address: processes of site N connect from 127.x.N+1.1, where x is the number of the
+//! [`Network`]. The network has one [`LinkPolicy`] for each ordered pair of sites. All connections
+//! from one region to another share one bandwidth limit, as they would share the physical link.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -18,26 +18,29 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Number of a data centre, from 0.
+/// Number of a place in the network, from 0: a data centre, or a single VM in [`crate::users::mesh`].
 pub type Site = u8;
 
-/// Where operators' commands run, which dial from an address of no site: beside the platform.
+/// Site that is assumed for clients whose address belongs to no site, such as operators' commands. The
+/// platform is there too.
 pub const OPERATOR_SITE: Site = 0;
 
+/// Largest number of bytes that is read and forwarded at once.
 const CHUNK_BYTES: usize = 16 << 10;
-/// Chunks under way in one direction of one connection: about 4 MiB, above delay times bandwidth.
+/// Limit on the chunks in flight in one direction of one connection. They hold about 4 MiB, which is
+/// more than delay times bandwidth of a link, so that this limit doesn't reduce the throughput.
 const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 
-/// What happens to traffic from one site to another.
+/// Treatment of the traffic from one site to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkPolicy {
     /// One-way delay.
     pub delay: Duration,
-    /// Nothing passes; connections stay open and silent, as when a link is cut.
+    /// Whether the link is cut. Connections then stay open, but no data passes.
     pub cut: bool,
 }
 
-/// The policies and counters between sites.
+/// The links between all sites: their policies, bandwidth limits and byte counters.
 #[derive(Debug)]
 pub struct Network {
     address_octet: u8,
@@ -48,6 +51,7 @@
     region_links: BTreeMap<(u8, u8), SharedLink>,
 }
 
+/// Bandwidth limit of the link from one region to another.
 #[derive(Debug)]
 struct SharedLink {
     bytes_per_s: f64,
@@ -55,7 +59,7 @@
 }
 
 impl SharedLink {
-    /// When the last of `bytes` has left, given all that left before.
+    /// Queues `bytes` behind the traffic scheduled before; returns the time at which they have been sent.
     fn schedule(&self, bytes: usize) -> Instant {
         let mut free_at = lock(&self.free_at);
         let start = (*free_at).max(Instant::now());
@@ -68,7 +72,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The site that an address belongs to.
+/// Returns the site of an address, or `None` if it belongs to no site.
 pub fn site_of(ip: IpAddr) -> Option<Site> {
     match ip {
         IpAddr::V4(ip) if ip.octets()[0] == 127 => ip.octets()[2].checked_sub(1),
@@ -76,11 +80,14 @@
     }
 }
 
-/// Networks of one process that can have addresses of their own.
+/// Number of networks with distinct addresses; their second octets run from 1 to this number.
 const MAX_NETWORKS: u32 = 250;
 
-/// Guards against a node that can't come back to its address, since a listener or an outgoing
-/// connection of another network took the port meanwhile: no two networks share an address.
+/// Returns the second octet of the addresses of a new network.
+///
+/// Each network has addresses of its own. Otherwise a restarted node could fail to bind its previous
+/// port, because a listener or an outgoing connection of another network has taken it. The process id
+/// makes it likely that concurrent test processes use different addresses too.
 fn next_address_octet() -> u8 {
     static STARTED_NETWORKS: AtomicU32 = AtomicU32::new(0);
     let network_number = STARTED_NETWORKS.fetch_add(1, Ordering::Relaxed) + std::process::id();
@@ -88,13 +95,13 @@
 }
 
 impl Network {
-    /// Loopback address of a site.
+    /// Returns the loopback address of a site.
     pub fn site_ip(&self, site: Site) -> IpAddr {
         IpAddr::V4(Ipv4Addr::new(127, self.address_octet, site + 1, 1))
     }
 
-    /// A network of sites, given the region of each; links between regions carry
-    /// `link_mbit_per_s` each way.
+    /// Creates a network without delays. `region_of` has the region of each site; the links between
+    /// regions carry `link_mbit_per_s` in each direction.
     pub fn new(region_of: Vec<u8>, link_mbit_per_s: f64) -> Arc<Self> {
         let mut region_links = BTreeMap::new();
         for from in &region_of {
@@ -116,7 +123,8 @@
         })
     }
 
-    /// Sets one-way delays: inside a site none, between sites of a region, between regions.
+    /// Sets the one-way delays between the sites of a region and between regions. Traffic within a site
+    /// is not delayed.
     pub fn set_delays(&self, in_region: Duration, between_regions: Duration) {
         for (from, to) in self.site_pairs() {
             let delay = match (from == to, self.same_region(from, to)) {
@@ -130,7 +138,8 @@
             .send_modify(|generation| *generation += 1);
     }
 
-    /// Cuts or heals every pair for which `which` holds, both ways.
+    /// Cuts or restores the links, in both directions, between the pairs of sites that `is_affected`
+    /// selects in either order.
     pub fn set_cut(&self, cut: bool, is_affected: impl Fn(Site, Site) -> bool) {
         for (from, to) in self.site_pairs() {
             if is_affected(from, to) || is_affected(to, from) {
@@ -141,12 +150,12 @@
             .send_modify(|generation| *generation += 1);
     }
 
-    /// Whether two sites are in one region.
+    /// Returns whether both sites are in the same region.
     pub fn same_region(&self, a: Site, b: Site) -> bool {
         self.region_of.get(usize::from(a)) == self.region_of.get(usize::from(b))
     }
 
-    /// Bytes carried between each ordered pair of sites.
+    /// Returns the bytes sent from the first site of each pair to the second.
     pub fn bytes(&self) -> BTreeMap<(Site, Site), u64> {
         let bytes = lock(&self.bytes);
         let load_count = |(pair, count): (&(Site, Site), &Arc<AtomicU64>)| {
@@ -155,7 +164,7 @@
         bytes.iter().map(load_count).collect()
     }
 
-    /// Bytes carried between regions, both ways.
+    /// Returns the bytes transferred between regions, in both directions.
     pub fn bytes_between_regions(&self) -> u64 {
         let crosses_regions = |((from, to), _): &((Site, Site), u64)| !self.same_region(*from, *to);
         self.bytes()
@@ -197,10 +206,10 @@
     }
 }
 
-/// Forwards connections to one listener across the network. Ends when dropped.
+/// Forwards connections across the network to one listener. Dropping it closes them.
 #[derive(Debug)]
 pub struct Forwarder {
-    /// Where others connect.
+    /// Address to which clients connect.
     pub address: SocketAddr,
     target: watch::Sender<Option<SocketAddr>>,
     bytes: Arc<AtomicU64>,
@@ -214,12 +223,13 @@
 }
 
 impl Forwarder {
-    /// Opens a front for a listener in `site` whose address is not known yet.
+    /// Opens a forwarder on a free port for a listener in `site`. Connections are closed until
+    /// [`Self::set_target`] sets the address of that listener.
     pub async fn open(network: &Arc<Network>, site: Site) -> std::io::Result<Self> {
         Self::open_at(network, site, SocketAddr::new(network.site_ip(site), 0)).await
     }
 
-    /// The same, at an address of the caller's choice.
+    /// Like [`Self::open`], but listens on `address`.
     pub async fn open_at(
         network: &Arc<Network>,
         site: Site,
@@ -247,12 +257,12 @@
         })
     }
 
-    /// Bytes that passed so far, both ways.
+    /// Returns the bytes forwarded so far, in both directions.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 
-    /// Names the listener that it stands before.
+    /// Sets the listener to which new connections are forwarded.
     pub fn set_target(&self, target: SocketAddr) {
         self.target.send_replace(Some(target));
     }
@@ -265,7 +275,7 @@
     target_updates: watch::Receiver<Option<SocketAddr>>,
     bytes: Arc<AtomicU64>,
 ) {
-    // Connections end with the front: the set aborts its tasks when it is dropped.
+    // Dropping the set aborts its tasks, so all connections are closed together with the forwarder.
     let mut connections = tokio::task::JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
@@ -285,7 +295,7 @@
     }
 }
 
-/// Way of one connection: from the site that dialled to the front's.
+/// A connection from a client in site `from` to the forwarder's listener in site `to`.
 struct ForwardedConnection {
     network: Arc<Network>,
     from: Site,
@@ -330,13 +340,13 @@
 
 async fn connect_from(target: SocketAddr, source: IpAddr) -> std::io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
-    // So that a listener may come back to this port after its process died.
+    // Without this option, a restarted process may be unable to listen on the local port of this socket.
     socket.set_reuseaddr(true)?;
     socket.bind(SocketAddr::new(source, 0))?;
     socket.connect(target).await
 }
 
-/// One direction of a connection.
+/// One direction of a forwarded connection.
 #[derive(Clone, Copy)]
 struct Direction<'a> {
     network: &'a Network,
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -1,7 +1,8 @@
-//! Stand-in for the platform: a transactional table and an object store over HTTP/JSON.
+//! Stand-in for the platform: a transactional table and an object store over HTTP and JSON.
 //!
-//! It keeps everything in memory, refuses above its rate ceilings with 429, and can be told to be
-//! down, slow, or to lose answers after a write took effect (`POST /faults` or [`Faults`]).
+//! All data is kept in memory. Requests above the rate limits get status 429. Tests inject faults
+//! such as an outage, a delay, or a response lost after a committed write through
+//! [`Platform::set_faults`] or `POST /faults`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,52 +20,54 @@
 use crate::http::{Body, Query, build_response, serve};
 use crate::rate_limit::RateLimiter;
 
-/// Several hundred writes a second.
+/// Limit on writes; the platform allows several hundred a second.
 const MAX_WRITES_PER_S: f64 = 400.0;
-/// About two thousand reads a second.
+/// Limit on reads; the platform allows about two thousand a second.
 const MAX_READS_PER_S: f64 = 2_000.0;
 
-/// What goes wrong at the platform.
+/// Faults injected into the platform.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Answers 503 to everything.
+    /// Responds with 503 to every request except `/faults`.
     pub down: bool,
-    /// Delay of every answer in milliseconds.
+    /// Delay of every response in milliseconds.
     pub delay_ms: u64,
-    /// So many transactions take effect and their answers are lost.
+    /// For this many transactions, the connection is closed after the transaction was applied and
+    /// before the response.
     pub lose_answers: u32,
-    /// So many transactions are lost before they take effect.
+    /// For this many transactions, the connection is closed before the transaction is applied.
     pub lose_requests: u32,
-    /// Answers 503 to transactions alone.
+    /// Responds with 503 to transactions; other requests succeed.
     pub refuse_transactions: bool,
-    /// Is down from the next lost answer or lost request on.
+    /// Sets `down` once a response or request is lost through `lose_answers` or `lose_requests`.
     pub down_after_loss: bool,
 }
 
-/// How much was asked of it.
+/// Totals of requests and response bytes since the start.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct RequestCounts {
-    /// Reads of rows and objects.
+    /// Reads of rows and objects, rate-limited ones included.
     pub reads: u64,
-    /// Transactions and stored objects.
+    /// Transactions and uploads of objects, rate-limited ones included.
     pub writes: u64,
-    /// Refused above the rate ceiling.
+    /// Requests rejected with 429 because of a rate limit.
     pub refused: u64,
-    /// Bytes of answers.
+    /// Bytes of response bodies.
     pub bytes_out: u64,
 }
 
-/// Most requests in one second.
+/// Highest numbers of requests in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeakRates {
     /// Reads of rows and objects.
     pub reads_per_s: u64,
-    /// Transactions and stored objects.
+    /// Transactions and uploads of objects.
     pub writes_per_s: u64,
 }
 
-/// Counts by whole seconds since the start.
+/// Requests of the current second, and the peaks of all seconds. Seconds are whole seconds since the
+/// start.
 #[derive(Debug, Default)]
 struct RequestRates {
     second: u64,
@@ -121,10 +124,10 @@
     write_limiter: RateLimiter,
 }
 
-/// A running platform stand-in; it ends when dropped.
+/// A running platform. Dropping it stops the server and closes its connections.
 #[derive(Debug)]
 pub struct Platform {
-    /// Where it listens.
+    /// Address of its listener.
     pub address: SocketAddr,
     store: Arc<Mutex<Store>>,
     stop: CancellationToken,
@@ -137,7 +140,7 @@
 }
 
 impl Platform {
-    /// Starts on `address`.
+    /// Starts a platform that listens on `address`.
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -163,27 +166,27 @@
         })
     }
 
-    /// Base URL.
+    /// Returns the base URL, which nodes and commands get as their `--platform` flag.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Sets what goes wrong from now on.
+    /// Replaces the injected faults.
     pub fn set_faults(&self, faults: Faults) {
         lock(&self.store).faults = faults;
     }
 
-    /// What was asked of it so far.
+    /// Returns a snapshot of the totals.
     pub fn counts(&self) -> RequestCounts {
         lock(&self.store).counts
     }
 
-    /// The busiest second since the last call.
+    /// Returns the peaks since the last call and resets them.
     pub fn take_peak_rates(&self) -> PeakRates {
         std::mem::take(&mut lock(&self.store).request_rates.peaks)
     }
 
-    /// All rows, for tests that look at what was written.
+    /// Returns the keys and values of all rows, for tests that check what was written.
     pub fn rows(&self) -> BTreeMap<String, String> {
         let store = lock(&self.store);
         let row = |(key, row): (&String, &Row)| (key.clone(), row.value.clone());
@@ -340,6 +343,6 @@
 }
 
 fn json(value: &impl Serialize) -> Response<Body> {
-    let body = serde_json::to_vec(value).expect("rows always encode");
+    let body = serde_json::to_vec(value).expect("rows can be encoded as JSON");
     build_response(StatusCode::OK, body)
 }
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -1,4 +1,4 @@
-//! Nodes as processes: started, signalled, and waited for.
+//! Starts nodes as child processes, sends them signals, and reads what they print.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,65 +10,67 @@
 use tokio::process::{Child, Command};
 use tokio::sync::{mpsc, oneshot};
 
-/// A node that does not print its addresses within this has not started.
+/// Limit on the time until a node prints its addresses; after it, the start counts as failed.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Where a node listens, as it prints it.
+/// Addresses of a node's listeners, as the node prints them on standard output.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Addresses {
-    /// For callers.
+    /// Listener for requests of callers.
     pub caller: SocketAddr,
-    /// For other nodes.
+    /// Listener for other nodes.
     pub peer: SocketAddr,
-    /// For operators.
+    /// Listener for operators, with status and metrics.
     pub operator: SocketAddr,
-    /// For questions about readiness, if they have an address of their own.
+    /// Listener for readiness checks, if the node has a separate one.
     pub ready: Option<SocketAddr>,
-    /// For announcements of the backend server, likewise.
+    /// Listener for announcements of the backend server, if the node has a separate one.
     pub announce: Option<SocketAddr>,
 }
 
-/// A signal that a test sends.
+/// A Unix signal that tests send to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Please stop.
+    /// SIGTERM: the node drains and exits.
     Terminate,
-    /// Read the settings again.
+    /// SIGHUP: the node reloads its settings.
     Hangup,
-    /// Freeze.
+    /// SIGSTOP: the process is suspended.
     Stop,
-    /// Go on.
+    /// SIGCONT: the suspended process resumes.
     Continue,
-    /// Die at once.
+    /// SIGKILL: the process ends at once, as in a crash.
     Kill,
 }
 
-/// A line that a node logged.
+/// A line of a node's log.
 #[derive(Clone, Debug)]
 pub struct LogLine {
-    /// Which node: its position in the mesh.
+    /// Position of the node's VM in the mesh.
     pub position: usize,
-    /// When it was read here.
+    /// Time at which the test process read the line.
     pub read_at: Instant,
-    /// The line.
+    /// Text without the line break.
     pub text: String,
 }
 
-/// A running node process; killed when dropped.
+/// A node process. Dropping it kills the process.
 #[derive(Debug)]
 pub struct NodeProcess {
-    /// Where it listens.
+    /// Addresses of its listeners.
     pub addresses: Addresses,
     child: Child,
 }
 
 impl NodeProcess {
-    /// Starts `program` with `arguments` and waits for the line with its addresses.
+    /// Starts `program` with `arguments` and waits until it has printed its addresses. Its log lines go to
+    /// the standard error of this process.
     pub async fn start(program: &Path, arguments: &[String]) -> Result<Self, String> {
         Self::start_with_log(program, arguments, None).await
     }
 
-    /// Like [`Self::start`]; the log lines go to a channel, marked with a position.
+    /// Like [`Self::start`], but sends the log lines to a channel, with the given position in each
+    /// [`LogLine`].
     pub async fn start_with_log(
         program: &Path,
         arguments: &[String],
@@ -85,17 +87,18 @@
         let (sender, addresses) = oneshot::channel();
         tokio::spawn(read_output(stdout, sender, log_lines));
         let addresses = tokio::time::timeout(START_TIMEOUT, addresses).await;
-        let addresses = addresses.map_err(|_| "the node printed no addresses".to_owned())?;
-        let addresses = addresses.map_err(|_| "the node ended before it listened")?;
+        let addresses =
+            addresses.map_err(|_| "the node did not print its addresses in time".to_owned())?;
+        let addresses = addresses.map_err(|_| "the node exited before it printed its addresses")?;
         Ok(Self { addresses, child })
     }
 
-    /// Process id, while it runs.
+    /// Returns the process id, or `None` once the exit has been waited for.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process; does nothing once its exit has been waited for.
     pub fn signal(&self, signal: Signal) {
         let signal_number = match signal {
             Signal::Terminate => libc::SIGTERM,
@@ -107,23 +110,23 @@
         let Some(id) = self.id().and_then(|id| i32::try_from(id).ok()) else {
             return;
         };
-        // SAFETY: `kill` takes no pointers; `id` is a child that has not been waited for, so the
-        // number cannot have passed to another process.
+        // SAFETY: `kill` takes no pointers. `id` is a child that has not been waited for, so the
+        // system can't have reused its process id for another process.
         unsafe { libc::kill(id, signal_number) };
     }
 
-    /// Waits for its end.
+    /// Waits until the process has exited.
     pub async fn wait_exit(&mut self) -> std::io::Result<ExitStatus> {
         self.child.wait().await
     }
 }
 
-/// Longest wait for a killed process to be gone.
+/// Limit on the checks, one a millisecond, for the exit of a killed process.
 const MAX_REAP_POLLS: u32 = 2_000;
 
 impl Drop for NodeProcess {
-    /// Guards against a node that is started again at its address while the killed process still
-    /// holds the listener: the kill is waited for, which takes the system about a millisecond.
+    /// Kills the process and waits for its exit, which takes about a millisecond. Until then it occupies
+    /// its listeners' addresses, and a node that is restarted at one of them would fail to start.
     fn drop(&mut self) {
         if self.child.start_kill().is_err() {
             return;
@@ -137,7 +140,8 @@
     }
 }
 
-/// Reads what a node prints until it closes its output: one line of addresses, all others logged.
+/// Reads the standard output of a node until it is closed. The first line that parses as [`Addresses`]
+/// is sent to `addresses`; all other lines are log lines.
 async fn read_output(
     stdout: impl AsyncRead + Unpin,
     addresses: oneshot::Sender<Addresses>,
@@ -148,7 +152,7 @@
     while let Ok(Some(text)) = lines.next_line().await {
         let parsed = serde_json::from_str(&text).ok();
         if let Some((sender, parsed)) = addresses.take_if(|_| parsed.is_some()).zip(parsed) {
-            // The caller has given up waiting; the pipe still has to be emptied.
+            // Fails if the start has timed out. Reading continues, since a full pipe would block the node.
             let _ = sender.send(parsed);
         } else if let Some((position, sender)) = &log_lines {
             let line = LogLine {
@@ -156,7 +160,7 @@
                 read_at: Instant::now(),
                 text,
             };
-            // Nobody listens any more; the pipe still has to be emptied.
+            // Fails if the receiver was dropped. Reading continues, since a full pipe would block the node.
             let _ = sender.send(line);
         } else {
             eprintln!("{text}");
--- a/crates/testkit/src/rate_limit.rs
+++ b/crates/testkit/src/rate_limit.rs
@@ -1,8 +1,10 @@
-//! A rate ceiling, as the stand-ins of stores have them.
+//! The rate limiter of the stand-ins for stores.
 
 use std::time::Instant;
 
-/// So many calls a second, and as many at once after a quiet second.
+/// A token bucket that holds the tokens of one second.
+///
+/// A caller that was idle for a second or longer may therefore spend a whole second's rate at once.
 #[derive(Debug)]
 pub(crate) struct RateLimiter {
     rate_per_s: f64,
@@ -19,7 +21,7 @@
         }
     }
 
-    /// Whether one more call is allowed now.
+    /// Takes a token for one call; returns false if none is left.
     pub(crate) fn try_acquire(&mut self) -> bool {
         let now = Instant::now();
         let refill = now.duration_since(self.refilled_at).as_secs_f64() * self.rate_per_s;
--- a/crates/testkit/src/users.rs
+++ b/crates/testkit/src/users.rs
@@ -1,7 +1,12 @@
-//! Stand-ins for the users' platform, which speak its published words.
+//! Stand-ins for the platform on which the users run their VMs. They implement that platform's published
+//! protocol.
 //!
-//! [`store`] is its store, [`backend`] a backend server as it has them, and [`mesh`] VMs with both and
-//! a node process each. What they do wrong is told to them by tests.
+//! - [`store`]: the platform's store.
+//! - [`backend`]: a backend server that announces itself to the node on its VM.
+//! - [`configuration`]: configurations in the format that the users' operators write.
+//! - [`mesh`]: a whole deployment, with a backend server and a node process on each VM.
+//!
+//! Tests inject faults into the store and the backend servers.
 
 pub mod backend;
 pub mod configuration;
--- a/crates/testkit/src/users/backend.rs
+++ b/crates/testkit/src/users/backend.rs
@@ -1,9 +1,13 @@
 //! Stand-in for a backend server of the users' platform.
 //!
-//! It keeps a record of what it ran. What a request does to it stands in its query: `work_ms` (time to
-//! run), `bytes` (length of the answer), `answer` (what goes wrong with it, see [`ResponseMode`]) and `call`
-//! (`HOST/PATH`, asked for through the own node before the answer). It announces itself to the node
-//! beside it until it is stopped, drained, or leaves.
+//! It records every request that it runs. The query of a request controls how it is run:
+//!
+//! - `work_ms`: time that the request takes.
+//! - `bytes`: size of the response body.
+//! - `answer`: fault of the response, see [`ResponseMode`].
+//! - `call`: `HOST/PATH`, which the backend server requests through the node on its VM before it responds.
+//!
+//! [`Backend::announce`] announces it to the node on its VM; [`super::mesh`] does so periodically.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,42 +24,43 @@
 pub use self::announcer::AnnouncedState;
 pub use self::connection::response_seal;
 
-/// What becomes of requests beyond slots and queue.
+/// Treatment of requests that arrive while all slots are in use and the queue is full.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OverloadAction {
-    /// They are told that they were not run.
+    /// Responds with 503 and the header `X-Dfw-Not-Executed`, which says that the request did not run.
     #[default]
     Refuse,
-    /// Their connection is reset.
+    /// Closes the connection without a response.
     Reset,
-    /// They get no answer, and no later one on their connection does.
+    /// Keeps the connection open and never responds on it again.
     NeverAnswer,
 }
 
-/// What a backend server does with the answer of a request that ran.
+/// Way in which a backend server responds to a request that it ran.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ResponseMode {
-    /// Sends it.
+    /// Sends the complete response.
     #[default]
     Complete,
-    /// Closes the connection instead.
+    /// Closes the connection without a response.
     Closed,
-    /// Breaks off in the middle.
+    /// Closes the connection after half of the body.
     Truncated,
-    /// Sends it without a length, and closes.
+    /// Sends the response without `Content-Length` and closes the connection at its end.
     WithoutLength,
-    /// Sends a second one at once behind it.
+    /// Sends the response twice, without a pause.
     Duplicated,
-    /// Sends a second one when the connection may carry the next request already.
+    /// Sends the response twice, with a pause in which the client may already reuse the connection for its
+    /// next request.
     DuplicatedLate,
-    /// Sends a failure before it has read the body, and reads on.
+    /// Sends a response with status 500 before it reads the request body.
     EarlyFailure,
-    /// Sends a failure of its own.
+    /// Sends a response with status 500.
     Failure,
 }
 
 impl ResponseMode {
-    /// The word for it in a query.
+    /// Returns the value of the query parameter `answer` that selects this mode.
     pub fn query_value(self) -> &'static str {
         match self {
             Self::Complete => "whole",
@@ -69,7 +74,7 @@
         }
     }
 
-    /// All of them.
+    /// All modes.
     pub const ALL: [Self; 8] = [
         Self::Complete,
         Self::Closed,
@@ -89,19 +94,19 @@
     }
 }
 
-/// How a backend server behaves.
+/// Capacity and faults of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Behaviour {
-    /// Requests that run at a time.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Requests that wait.
+    /// Number of requests that wait for a slot.
     pub queue_len: u32,
-    /// Time to run a request that does not say.
+    /// Time that a request takes if its query has no `work_ms`.
     pub default_work_time: Duration,
-    /// What becomes of others.
+    /// Treatment of requests that neither get a slot nor fit into the queue.
     pub overload_action: OverloadAction,
-    /// A connection that has been idle for so long is forgotten without a word, and reset by whatever
-    /// is sent on it next.
+    /// If set, a connection that was idle for longer than this is treated as lost: the backend server
+    /// doesn't close it, but resets it when the next bytes arrive.
     pub forgets_idle_after: Option<Duration>,
 }
 
@@ -120,54 +125,55 @@
 /// One run of a request.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// When it began.
+    /// Time at which the run started.
     pub started_at: Instant,
-    /// When it reached the backend server: before [`Self::started_at`] if it waited.
+    /// Time at which the request arrived at the backend server; [`Self::started_at`] is later if it
+    /// waited for a slot.
     pub arrived_at: Instant,
-    /// Which service the request is said to come from.
+    /// Value of the header `x-dfw-caller`: the service that sent the request.
     pub caller: String,
-    /// Milliseconds that it was said to have.
+    /// Value of the header `x-dfw-deadline-ms`: the time in which the response is needed.
     pub deadline_ms: Option<u64>,
-    /// Method, host, path and query, as they came.
+    /// Method, then host, path and query as received.
     pub target: String,
-    /// BLAKE3 digest of its body.
+    /// BLAKE3 digest of the request body; empty if the run started before the body was read.
     pub body_digest: String,
 }
 
-/// What a backend server did.
+/// Runs and counters of a backend server since its start.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
-    /// Its runs, by request id.
+    /// Runs of each request id, in the order of their start.
     pub runs: BTreeMap<String, Vec<Run>>,
-    /// Connections that it accepted.
+    /// Connections accepted.
     pub connections: u64,
-    /// Requests that it told that they did not run.
+    /// Requests rejected with 503 because slots and queue were full.
     pub refused: u64,
-    /// Requests meant for another instance.
+    /// Requests rejected with 421 because they name another instance.
     pub misdirected: u64,
-    /// When the last request reached it.
+    /// Time at which the most recent request arrived.
     pub last_arrival: Option<Instant>,
-    /// Requests at work now.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests whose sender had gone before their end.
+    /// Requests whose client disconnected while they ran.
     pub abandoned: u64,
 }
 
-/// Who a backend server is.
+/// Identity of a backend server, as it announces itself.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// What it serves.
+    /// Name of its service.
     pub service: String,
-    /// What it calls itself.
+    /// Name of the instance; a restarted backend server has a new one.
     pub instance: String,
-    /// When it was started, in Unix milliseconds.
+    /// Start time in milliseconds since the Unix epoch; announced as `born`.
     pub started_ms: u64,
-    /// Its data centre.
+    /// Name of its data centre.
     pub data_centre: String,
 }
 
 impl Identity {
-    /// One that is started now.
+    /// Returns an identity whose start time is now.
     pub fn new(service: &str, instance: &str, data_centre: &str) -> Self {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         let started_ms = u64::try_from(now.unwrap_or_default().as_millis()).unwrap_or(0);
@@ -188,17 +194,17 @@
     record: Mutex<Record>,
     slots: Arc<tokio::sync::Semaphore>,
     waiting: AtomicU64,
-    /// Answers say that the connection ends.
+    /// Whether responses carry `Connection: close` and health checks get status 503.
     draining: AtomicBool,
     sequence: AtomicU64,
-    /// Caller listener of the own node, for calls that a request asks for.
+    /// Caller listener of the node on the same VM, which takes the requests of a `call`.
     caller_listener: Mutex<Option<SocketAddr>>,
 }
 
-/// A running backend server; it ends as by a crash when dropped.
+/// A running backend server. Dropping it has the effect of [`Backend::crash`].
 #[derive(Debug)]
 pub struct Backend {
-    /// Where it listens.
+    /// Address of its listener.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     stop: CancellationToken,
@@ -211,7 +217,7 @@
 }
 
 impl Backend {
-    /// Starts on `address`.
+    /// Starts a backend server that listens on `address`.
     pub async fn start(
         address: SocketAddr,
         identity: Identity,
@@ -243,37 +249,38 @@
         })
     }
 
-    /// Who it is.
+    /// Returns the identity with which it was started.
     pub fn identity(&self) -> &Identity {
         &self.shared.identity
     }
 
-    /// Drops every connection and stops listening.
+    /// Makes its tasks close all connections and the listener; doesn't wait for them.
     pub fn crash(&self) {
         self.stop.cancel();
     }
 
-    /// Changes the behaviour from now on, but for the number of slots.
+    /// Replaces the behaviour from now on. Only the announced number of slots changes, not the number that
+    /// is used.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         *lock(&self.shared.behaviour) = behaviour;
     }
 
-    /// Names the caller listener of the node beside it.
+    /// Sets the caller listener of the node on the same VM.
     pub fn set_caller_listener(&self, caller_listener: SocketAddr) {
         *lock(&self.shared.caller_listener) = Some(caller_listener);
     }
 
-    /// Its answers say from now on that their connection ends.
+    /// From now on, responses carry `Connection: close` and health checks get status 503.
     pub fn set_draining(&self) {
         self.shared.draining.store(true, Ordering::Release);
     }
 
-    /// What it did so far.
+    /// Returns a snapshot of the runs and counters.
     pub fn record(&self) -> Record {
         lock(&self.shared.record).clone()
     }
 
-    /// Requests at work now.
+    /// Returns the number of requests that are running.
     pub fn running(&self) -> u32 {
         lock(&self.shared.record).running
     }
--- a/crates/testkit/src/users/backend/announcer.rs
+++ b/crates/testkit/src/users/backend/announcer.rs
@@ -1,4 +1,4 @@
-//! What a backend server says of itself to the node beside it.
+//! Announcements that a backend server sends to the node on its VM.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -9,15 +9,15 @@
 use super::Backend;
 use crate::http::{Reply, Result, request};
 
-/// Longest wait for the answer to an announcement.
+/// Limit on the wait for the response to an announcement.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What is announced.
+/// State that a backend server announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnouncedState {
-    /// It takes work.
+    /// It accepts requests.
     Ready,
-    /// It is about to leave.
+    /// It is about to stop and should get no new requests.
     Draining,
 }
 
@@ -31,7 +31,8 @@
 }
 
 impl Backend {
-    /// The text of its next announcement, which nobody has to send at once.
+    /// Returns the body of an announcement with the next sequence number, without sending it. A test can
+    /// send it late.
     pub fn next_announcement(&self, state: AnnouncedState) -> String {
         let sequence = self.shared.sequence.fetch_add(1, Ordering::AcqRel) + 1;
         let identity = &self.shared.identity;
@@ -49,7 +50,7 @@
         .to_string()
     }
 
-    /// Sends `text` as an announcement to the node at `control`.
+    /// Sends an announcement with the body `text` to a node and returns the node's response.
     pub async fn send_announcement(
         &self,
         announce_address: SocketAddr,
@@ -60,14 +61,14 @@
         with_timeout(response).await
     }
 
-    /// Announces itself; true once the node has acknowledged it.
+    /// Announces the backend server to a node; returns whether the node acknowledged it.
     pub async fn announce(&self, announce_address: SocketAddr, state: AnnouncedState) -> bool {
         let text = self.next_announcement(state);
         let reply = self.send_announcement(announce_address, text).await;
         reply.is_ok_and(|reply| reply.status.is_success())
     }
 
-    /// Says that it leaves; true once the node has acknowledged it.
+    /// Removes the backend server from a node; returns whether the node acknowledged it.
     pub async fn leave(&self, announce_address: SocketAddr) -> bool {
         let path = format!("/-/instances/{}", self.shared.identity.instance);
         let response = request(announce_address, Method::DELETE, "node", &path, &[], "");
@@ -78,5 +79,5 @@
 
 async fn with_timeout(response: impl Future<Output = Result<Reply>>) -> Result<Reply> {
     let reply = tokio::time::timeout(ANSWER_TIMEOUT, response).await;
-    reply.map_err(|_| "no answer to the announcement".to_owned())?
+    reply.map_err(|_| "no response to the announcement within the timeout".to_owned())?
 }
--- a/crates/testkit/src/users/backend/connection.rs
+++ b/crates/testkit/src/users/backend/connection.rs
@@ -1,4 +1,5 @@
-//! Connections of a backend server, byte by byte: what it does wrong no library would send.
+//! Connections of a backend server. They are handled without an HTTP library, since the injected faults
+//! are responses that a library wouldn't send.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,8 +17,10 @@
 use crate::backend::generated_body;
 use crate::http::{Query, request};
 
+/// Limit on the header fields of a request; a request with more ends the connection.
 const MAX_HEADERS: usize = 64;
-/// After this the connection may have been given to the next request.
+/// Pause before the second response of [`ResponseMode::DuplicatedLate`], long enough for the client to
+/// reuse the connection.
 const DUPLICATE_DELAY: Duration = Duration::from_millis(40);
 
 pub(super) async fn serve(listener: TcpListener, shared: Arc<Shared>, stop: CancellationToken) {
@@ -36,19 +39,20 @@
         };
         let stop = stop.clone();
         tokio::spawn(async move {
-            // How a connection ends is seen by the other side.
+            // The result is ignored: the client sees how the connection ends.
             stop.run_until_cancelled(connection.serve()).await;
         });
     }
 }
 
-/// The seal of the answer to a request: it names the request and the answer's bytes.
+/// Returns the value of the header `x-dfw-response-seal` for a response with a body of `bytes` bytes. It
+/// contains the request id, the length of the body and its digest.
 pub fn response_seal(id: &str, bytes: u64) -> String {
     let digest = blake3::hash(&generated_body(id, bytes)).to_hex();
     format!("{id}.{bytes}.{digest}")
 }
 
-/// The head of a request.
+/// Request line and headers of a request, as far as the backend server uses them.
 struct RequestHead {
     method: String,
     target: String,
@@ -77,11 +81,11 @@
     }
 }
 
-/// What goes on after a request.
+/// What to do with the connection after a request.
 enum NextStep {
     Request,
     Close,
-    /// Nothing is answered any more.
+    /// Keep the connection open and never respond on it again.
     NeverAnswer,
 }
 
@@ -150,7 +154,8 @@
         }
     }
 
-    /// Requests without an id, and those for another instance.
+    /// Responds with 400 to a request without an id, and with 421 to one for another instance. Returns
+    /// `None` if the request is neither.
     async fn reject_misaddressed(&mut self, head: &RequestHead) -> io::Result<Option<NextStep>> {
         let identity = &self.shared.identity;
         let is_misdirected = head
@@ -174,7 +179,8 @@
         Ok(Some(NextStep::Request))
     }
 
-    /// A slot, if there is one or the queue has room.
+    /// Waits for a slot until the request's deadline, or 60 seconds if it has none. Returns `None` if
+    /// there is no slot by then, or at once if the queue is full.
     async fn acquire_slot(
         &mut self,
         head: &RequestHead,
@@ -225,7 +231,7 @@
         });
     }
 
-    /// Works until the request is done; an error if its sender has gone.
+    /// Runs the request to its end; returns an error if the client disconnects first.
     async fn run(&mut self, head: &RequestHead) -> io::Result<()> {
         let work = head.number("work_ms").map(Duration::from_millis);
         let work = work.unwrap_or(self.shared.behaviour().default_work_time);
@@ -309,7 +315,7 @@
         self.stream.write_all(&bytes).await
     }
 
-    /// Reads whatever comes and answers nothing.
+    /// Reads and discards all input until the client disconnects.
     async fn discard_input(mut self) {
         let mut discarded = [0; 1_024];
         while self
@@ -374,7 +380,7 @@
             };
             self.buffer.advance(start);
             let len = usize::try_from(len).map_err(|_| io::ErrorKind::InvalidData)?;
-            // With the line break behind it.
+            // Two more bytes for the line break after the chunk.
             let chunk = self.read_exactly(len + 2).await?;
             if len == 0 {
                 return Ok(body);
@@ -384,7 +390,8 @@
     }
 }
 
-/// Ready once the other side has closed; what it sends meanwhile is kept.
+/// Waits until the client disconnects, and returns the error that describes how. Bytes that arrive
+/// meanwhile are kept in `buffer` for the next request.
 async fn wait_disconnect(stream: &mut TcpStream, buffer: &mut BytesMut) -> io::Error {
     loop {
         match stream.read_buf(buffer).await {
@@ -404,7 +411,7 @@
         ("x-dfw-deadline-ms", "10000"),
     ];
     let path = format!("/{path}");
-    // What became of it is in the record of whoever ran it.
+    // The result is ignored: tests look at the record of the backend server that ran the call.
     let _ = request(listener, Method::GET, host, &path, &headers, "").await;
 }
 
--- a/crates/testkit/src/users/configuration.rs
+++ b/crates/testkit/src/users/configuration.rs
@@ -1,15 +1,15 @@
-//! The configuration as the users' operators write it.
+//! Builds configurations in the JSON format that the users' operators write.
 
 use serde_json::{Value, json};
 
-/// What may be repeated of a route's requests.
+/// Whether requests of a route may be retried after they may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// Any number of times.
+    /// They may be retried any number of times.
     Idempotent,
-    /// Never.
+    /// They must not be retried.
     NonIdempotent,
-    /// Never; its bodies are large.
+    /// They must not be retried, and their bodies are large.
     Upload,
 }
 
@@ -23,27 +23,27 @@
     }
 }
 
-/// One route.
+/// A route, which maps requests to services.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Host that callers name.
+    /// Value of the `Host` header of its requests.
     pub host: String,
-    /// Beginning of their path, with a slash at both ends.
+    /// Prefix of the path of its requests, with a slash at both ends.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be retried.
     pub kind: RouteKind,
-    /// Longest time that a caller is kept waiting.
+    /// Limit on the time until the caller has a response.
     pub timeout_ms: u32,
-    /// Time within which an answer is worth most.
+    /// Latency to aim for; a response within it is worth more than a later one.
     pub target_latency_ms: u32,
-    /// Endpoints that one request may be sent to.
+    /// Limit on the number of endpoints to which a request is sent, one after another.
     pub attempts: u32,
-    /// Services by weight; one alone gets all.
+    /// Services and their weights. A single service gets all requests, regardless of its weight.
     pub destinations: Vec<(String, u32)>,
 }
 
 impl Route {
-    /// A route to one service.
+    /// Returns a route from [`DEFAULT_HOST`] to a single service.
     pub fn new(prefix: &str, kind: RouteKind, service: &str) -> Self {
         Self {
             host: DEFAULT_HOST.to_owned(),
@@ -57,18 +57,18 @@
     }
 }
 
-/// Host of routes that name no other.
+/// Host of the routes that [`Route::new`] returns.
 pub const DEFAULT_HOST: &str = "mesh.example";
 
-/// Longest time that a caller's connection may be idle, where a test asks for no other.
+/// Limit on the idle time of callers' connections in the configurations that [`json_text`] returns.
 pub const DEFAULT_IDLE_TIMEOUT_MS: u32 = 15_000;
 
-/// The text of a configuration.
+/// Returns a configuration as JSON text.
 pub fn json_text(version: u64, routes: &[Route], services: &[&str]) -> String {
     json_text_with_idle_timeout(version, routes, services, DEFAULT_IDLE_TIMEOUT_MS)
 }
 
-/// The text of a configuration under which callers' connections may be idle for so long.
+/// Like [`json_text`], with the given limit on the idle time of callers' connections.
 pub fn json_text_with_idle_timeout(
     version: u64,
     routes: &[Route],
--- a/crates/testkit/src/users/mesh.rs
+++ b/crates/testkit/src/users/mesh.rs
@@ -1,7 +1,9 @@
-//! VMs of the users' platform on this machine: a backend server and a node process on each.
+//! Starts a deployment on the users' platform: the store, and VMs with a backend server and a node
+//! process each.
 //!
-//! Every VM has a loopback address of its own, from which its node dials, so each link between two VMs,
-//! or between one and the store, can be cut, delayed or reset by itself.
+//! Every VM is a site of the [`Network`] with a loopback address of its own, from which its node
+//! connects. So each link between two VMs, or between a VM and the store, can be cut or delayed
+//! separately.
 
 mod caller_request;
 mod vm;
@@ -23,30 +25,31 @@
 use crate::network::{Forwarder, Network, Site};
 use crate::process::{LogLine, NodeProcess, Signal};
 
-/// Bounds a hang; no test judges speed by it.
+/// Limit on each wait. It only keeps a broken test from running forever; it doesn't measure speed.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A data centre and its region.
+/// Names of a data centre and of its region.
 pub type DataCentre = (&'static str, &'static str);
 
-/// Which VMs to start.
+/// Description of the VMs to start.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Where they stand.
+    /// Data centres in which VMs are started.
     pub data_centres: Vec<DataCentre>,
-    /// What they serve; each data centre has `vms_per_service` VMs of each.
+    /// Services. Each data centre has `vms_per_service` VMs for each service.
     pub services: Vec<&'static str>,
-    /// VMs of each service in each data centre.
+    /// Number of VMs for each service in each data centre.
     pub vms_per_service: usize,
-    /// How backend servers behave.
+    /// Behaviour of all backend servers.
     pub behaviour: Behaviour,
-    /// Where the nodes' log lines go, from level `info` on; without it their warnings go to standard
-    /// error.
+    /// Receives the nodes' log lines at level `info` and above. If `None`, warnings and errors go to the
+    /// standard error of this process.
     pub log_lines: Option<mpsc::UnboundedSender<LogLine>>,
 }
 
 impl Plan {
-    /// Two data centres of one region and one of another.
+    /// Returns a plan with two data centres in one region and one in another, and one VM for each service
+    /// in each data centre.
     pub fn new(services: &[&'static str]) -> Self {
         Self {
             data_centres: vec![
@@ -65,15 +68,15 @@
 /// A running deployment on the users' platform.
 #[derive(Debug)]
 pub struct Mesh {
-    /// What it was started from.
+    /// The plan that it was started from.
     pub plan: Plan,
     /// The platform's store.
     pub store: Store,
-    /// The links.
+    /// The links between VMs, and between VMs and the store.
     pub network: Arc<Network>,
-    /// The VMs, data centre by data centre.
+    /// The VMs, ordered by data centre and then by service.
     pub vms: Vec<Vm>,
-    /// Number of the store, as that of a VM.
+    /// Site of the store in the network.
     pub store_site: Site,
     program: PathBuf,
     base_arguments: Vec<String>,
@@ -82,7 +85,8 @@
 }
 
 impl Mesh {
-    /// Starts everything; `program` followed by `leading` runs a node.
+    /// Starts the store, the backend servers and the nodes. The command line of a node is `program`,
+    /// `base_arguments`, and the flags for its VM.
     pub async fn start(program: &Path, base_arguments: &[&str], plan: Plan) -> Result<Self> {
         let mut placements = Vec::new();
         for data_centre in &plan.data_centres {
@@ -102,7 +106,7 @@
         for ((_, region), _) in &placements {
             region_of.push(to_u8(region_index(region).unwrap_or(0))?);
         }
-        // The store stands in the first region.
+        // The store is in the first region.
         region_of.push(0);
         let store_site = to_u8(placements.len())?;
         let network = Network::new(region_of, 30.0);
@@ -170,7 +174,7 @@
         Ok(())
     }
 
-    /// Puts a backend server beside the node of a VM; it announces itself from now on.
+    /// Makes `backend` the backend server of a VM and starts its periodic announcements.
     fn attach_backend(&mut self, position: usize, backend: Arc<Backend>) {
         let vm = &mut self.vms[position];
         if let Some(node) = &vm.node {
@@ -189,7 +193,7 @@
         vm.backend = Some(backend);
     }
 
-    /// Takes the backend server of a VM away as a crash would, and waits until its address is free.
+    /// Stops the backend server of a VM as a crash would, and waits until its address is free.
     pub async fn crash_backend(&mut self, position: usize) {
         self.stop_announcements(position);
         let vm = &mut self.vms[position];
@@ -197,18 +201,21 @@
             backend.crash();
         }
         let address = vm.backend_address;
-        wait_until("the address is free", WAIT_TIMEOUT, || async move {
-            tokio::net::TcpListener::bind(address).await.is_ok()
-        })
+        wait_until(
+            "the backend server's address is free",
+            WAIT_TIMEOUT,
+            || async move { tokio::net::TcpListener::bind(address).await.is_ok() },
+        )
         .await;
     }
 
-    /// The backend server of a VM announces itself no more.
+    /// Stops the periodic announcements of a VM's backend server, which goes on running.
     pub fn stop_announcements(&mut self, position: usize) {
         self.vms[position].announcements = None;
     }
 
-    /// Starts another backend server at the address of a VM's one, of a service of choice.
+    /// Starts a new backend server for `service` at the address that a VM's backend server had. The old
+    /// one must be stopped already.
     pub async fn restart_backend(&mut self, position: usize, service: &str) -> Result<()> {
         let vm = &mut self.vms[position];
         vm.backend_restarts += 1;
@@ -220,18 +227,18 @@
         Ok(())
     }
 
-    /// Writes the settings file of a VM's node.
+    /// Writes [`Self::settings_text`] to the settings file of a VM's node.
     pub fn write_settings(&self, position: usize) -> Result<()> {
         let contents = self.settings_text(position);
         std::fs::write(&self.vms[position].settings_file, contents).map_err(error_text)
     }
 
-    /// The settings file of a VM's node.
+    /// Returns the path of the settings file of a VM's node.
     pub fn settings_path(&self, position: usize) -> &Path {
         &self.vms[position].settings_file
     }
 
-    /// What a VM's settings file says.
+    /// Returns the contents of the settings file of a VM's node.
     pub fn settings_text(&self, position: usize) -> String {
         let vm = &self.vms[position];
         let any_port = SocketAddr::new(vm.ip, 0);
@@ -257,7 +264,7 @@
         )
     }
 
-    /// Starts the node of a VM.
+    /// Writes the settings file of a VM's node and starts the node.
     pub async fn start_node(&mut self, position: usize) -> Result<()> {
         self.write_settings(position)?;
         let arguments = self.arguments(position);
@@ -276,7 +283,7 @@
         Ok(())
     }
 
-    /// Takes the node of a VM away; its process is killed and waited for.
+    /// Kills the node of a VM and waits for its exit.
     pub async fn kill_node(&mut self, position: usize) -> Result<()> {
         if let Some(node) = &self.vms[position].node {
             node.signal(Signal::Kill);
@@ -284,7 +291,7 @@
         self.wait_node_exit(position).await
     }
 
-    /// Takes the node of a VM away once its process has ended, as it was told to.
+    /// Waits until the node of a VM, which was stopped before, has exited. The VM has no node afterwards.
     pub async fn wait_node_exit(&mut self, position: usize) -> Result<()> {
         let vm = &mut self.vms[position];
         *vm.announce_address
@@ -316,13 +323,13 @@
         arguments
     }
 
-    /// Positions of the VMs of a service.
+    /// Returns the positions of the VMs of a service.
     pub fn vms_of(&self, service: &str) -> Vec<usize> {
         let of_service = |position: &usize| self.vms[*position].service == service;
         (0..self.vms.len()).filter(of_service).collect()
     }
 
-    /// The status page of a node.
+    /// Returns the response of a node to `/status`, or null if it doesn't respond.
     pub async fn status(&self, position: usize) -> serde_json::Value {
         let Some(node) = &self.vms[position].node else {
             return serde_json::Value::Null;
@@ -333,13 +340,15 @@
         serde_json::from_slice(&body).unwrap_or_default()
     }
 
-    /// The version that a node enforces, 0 if it does not answer.
+    /// Returns the configuration version that a node enforces, or 0 if there is none or the node doesn't
+    /// respond.
     pub async fn version_at(&self, position: usize) -> u64 {
         let status = self.status(position).await;
         status["enforced"]["version"].as_u64().unwrap_or(0)
     }
 
-    /// Waits until all nodes of a data centre but one follow that one, and returns its position.
+    /// Waits until all nodes of a data centre except one get the configuration from another node, and
+    /// returns the position of that one: the lead, which reads the store.
     pub async fn wait_lead(&self, data_centre: &str) -> usize {
         let vms = self.vms.iter().enumerate();
         let local_positions: Vec<usize> = vms
@@ -351,7 +360,7 @@
         while readers.len() != 1 {
             assert!(
                 tokio::time::Instant::now() < deadline,
-                "readers: {readers:?}"
+                "VMs that read the store themselves: {readers:?}"
             );
             tokio::time::sleep(Duration::from_millis(20)).await;
             readers.clear();
@@ -364,13 +373,13 @@
         readers[0]
     }
 
-    /// Waits until every running node enforces `version` or a later one.
+    /// Waits until every running node enforces configuration `version` or a later one.
     pub async fn wait_enforced(&self, version: u64) {
         for position in 0..self.vms.len() {
             if self.vms[position].node.is_none() {
                 continue;
             }
-            let description = format!("version {version} at VM {position}");
+            let description = format!("version {version} enforced at VM {position}");
             wait_until(&description, WAIT_TIMEOUT, || async {
                 self.version_at(position).await >= version
             })
@@ -378,7 +387,8 @@
         }
     }
 
-    /// Waits until every running node knows of as many backend servers that serve as there are.
+    /// Waits until every running node lists all backend servers that run, announce themselves and have a
+    /// running node.
     pub async fn wait_serving(&self) {
         let serving = self.vms.iter().filter(|vm| {
             let is_running = vm.node.is_some() && vm.backend.is_some();
@@ -389,7 +399,7 @@
             if self.vms[position].node.is_none() {
                 continue;
             }
-            let description = format!("{expected} backend servers known at VM {position}");
+            let description = format!("{expected} serving backend servers listed at VM {position}");
             wait_until(&description, WAIT_TIMEOUT, || async {
                 let status = self.status(position).await;
                 let members = status["members"].as_array().cloned().unwrap_or_default();
@@ -402,7 +412,7 @@
         }
     }
 
-    /// A caller's request through the node of a VM.
+    /// Sends a caller's request to the node of a VM and returns the response.
     pub async fn send_request(
         &self,
         position: usize,
--- a/crates/testkit/src/users/mesh/caller_request.rs
+++ b/crates/testkit/src/users/mesh/caller_request.rs
@@ -1,4 +1,4 @@
-//! Requests as callers of a VM make them.
+//! Requests that callers send to the node of a VM.
 
 use ::http::Method;
 
@@ -6,28 +6,29 @@
 
 /// Header with the id of a request.
 pub const REQUEST_ID: &str = "x-dfw-attempt-id";
-/// Header by which a backend server says that an answer is its own.
+/// Response header with which a backend server proves that it produced the response; see
+/// [`response_seal`](crate::users::backend::response_seal).
 pub const RESPONSE_SEAL: &str = "x-dfw-response-seal";
 
 /// A caller's request.
 #[derive(Clone, Debug)]
 pub struct CallerRequest<'a> {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Host that it names.
+    /// Value of the `Host` header.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// Its id.
+    /// Request id, sent in the header [`REQUEST_ID`].
     pub id: &'a str,
-    /// How long its caller waits.
+    /// Time that the caller waits for the response, sent in the header `x-dfw-deadline-ms`.
     pub deadline_ms: u64,
-    /// Its body.
+    /// Request body.
     pub body: &'a [u8],
 }
 
 impl<'a> CallerRequest<'a> {
-    /// A read of a path of the usual host.
+    /// Returns a GET request for a path of [`DEFAULT_HOST`], with a deadline of 5 seconds.
     pub fn get(path: &'a str, id: &'a str) -> Self {
         Self {
             method: Method::GET,
@@ -39,7 +40,7 @@
         }
     }
 
-    /// A request that is run once at most.
+    /// Like [`Self::get`], with the method POST.
     pub fn post(path: &'a str, id: &'a str) -> Self {
         Self {
             method: Method::POST,
--- a/crates/testkit/src/users/mesh/vm.rs
+++ b/crates/testkit/src/users/mesh/vm.rs
@@ -1,4 +1,4 @@
-//! One VM: its node, its backend server, and what the backend server announces.
+//! A VM: its node, its backend server, and the announcements that the backend server sends to the node.
 
 use std::net::{IpAddr, SocketAddr};
 use std::path::PathBuf;
@@ -12,25 +12,25 @@
 use crate::process::NodeProcess;
 use crate::users::backend::{AnnouncedState, Backend};
 
-/// Between two announcements of a backend server.
+/// Interval between two announcements of a backend server.
 const ANNOUNCEMENT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// One VM.
+/// A VM, which runs at most one node and one backend server.
 #[derive(Debug)]
 pub struct Vm {
-    /// Its number, by which links are named.
+    /// Site of the VM in the network.
     pub site: Site,
-    /// Its address.
+    /// Loopback address of the VM.
     pub ip: IpAddr,
-    /// Its data centre.
+    /// Names of its data centre and region.
     pub data_centre: DataCentre,
-    /// What its backend server serves.
+    /// Service for which the VM was started.
     pub service: String,
-    /// Its node, unless it was taken away.
+    /// The node; `None` while no node runs on this VM.
     pub node: Option<NodeProcess>,
-    /// Where its backend server listens, also while there is none.
+    /// Address of its backend server. A restarted backend server gets the same address.
     pub backend_address: SocketAddr,
-    /// Its backend server, unless it was taken away.
+    /// The backend server; `None` after a crash until the restart.
     pub backend: Option<Arc<Backend>>,
     pub(super) announcements: Option<AnnouncementTask>,
     pub(super) announce_address: Arc<Mutex<Option<SocketAddr>>>,
@@ -40,28 +40,31 @@
 }
 
 impl Vm {
-    /// The running node.
+    /// Returns the node; panics if none runs.
     pub fn node(&self) -> &NodeProcess {
-        self.node.as_ref().expect("the node was not taken away")
+        self.node.as_ref().expect("a node runs on this VM")
     }
 
-    /// The running backend server.
+    /// Returns the backend server; panics if none runs.
     pub fn backend(&self) -> &Arc<Backend> {
-        self.backend.as_ref().expect("the backend server runs")
+        self.backend
+            .as_ref()
+            .expect("a backend server runs on this VM")
     }
 
-    /// Where other nodes reach its node, whichever process that is.
+    /// Returns the address under which other nodes reach this VM's node. It stays the same when the node
+    /// is restarted.
     pub fn peer_address(&self) -> SocketAddr {
         self.forwarder.address
     }
 
-    /// Where its node takes announcements.
+    /// Returns the address on which the node accepts announcements of the backend server.
     pub fn announce_address(&self) -> SocketAddr {
         let announce = self.node().addresses.announce;
-        announce.expect("nodes of the platform take announcements")
+        announce.expect("nodes on the users' platform listen for announcements")
     }
 
-    /// What its backend server announces from now on.
+    /// Sets the state that the backend server's periodic announcements have from now on.
     pub fn set_announced_state(&self, announced_state: AnnouncedState) {
         if let Some(announcements) = &self.announcements {
             *announcements
@@ -72,7 +75,7 @@
     }
 }
 
-/// A backend server's announcements, which end when dropped.
+/// The task that sends a backend server's periodic announcements. Dropping it stops them.
 #[derive(Debug)]
 pub(super) struct AnnouncementTask {
     pub(super) announced_state: Arc<Mutex<AnnouncedState>>,
@@ -98,7 +101,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         if let Some(address) = address {
-            // One that is not acknowledged is followed by the next.
+            // A failure is ignored, since the next announcement follows after the interval.
             let _ = backend.announce(address, state).await;
         }
         tokio::time::sleep(ANNOUNCEMENT_INTERVAL).await;
--- a/crates/testkit/src/users/store.rs
+++ b/crates/testkit/src/users/store.rs
@@ -1,8 +1,9 @@
-//! Stand-in for the platform's store: rows, conditional transactions, a feed of changes, objects.
+//! Stand-in for the store of the users' platform: rows, conditional transactions, a feed of changes,
+//! and objects.
 //!
-//! It keeps everything in memory and loses nothing. Above its rates it answers 429. It can be told to
-//! turn away everybody or some callers, to be slow, to lose answers, to do a write later, and to drop
-//! its history.
+//! All data is kept in memory. Requests above the rate limits get status 429. Tests can make the store
+//! reject the requests of all clients or of some, delay responses, lose them, apply a transaction
+//! later, and drop the history of changes. "Caller" means a client of the store here.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -25,48 +26,49 @@
 
 use self::rows::{Feed, Rows};
 
-/// Calls a second of all callers together, as the site files have them.
+/// Limits on the requests of all callers together in a second, as in the users' site files.
 const MAX_WRITES_PER_S: f64 = 400.0;
 const MAX_READS_PER_S: f64 = 2_000.0;
 
-/// How the store turns callers away.
+/// Fault with which the store rejects a request before it processes it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CallFault {
-    /// It does not.
+    /// No fault: the request is processed.
     #[default]
     None,
-    /// 503: nothing was done.
+    /// Status 503.
     Unavailable,
-    /// 429: above the rates, whatever the caller has used.
+    /// Status 429, even if the request is within the rate limits.
     RateLimited,
-    /// The connection breaks.
+    /// The connection is closed without a response.
     Disconnect,
-    /// No answer ever comes.
+    /// The connection stays open, but there is never a response.
     NeverAnswer,
 }
 
-/// What goes wrong with transactions.
+/// Fault in the processing of transactions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WriteFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// They are done, and the answer is lost.
+    /// The transaction is applied, but the connection is closed without a response.
     AnswerLost,
-    /// The answer is lost, and they are done so much later, if their condition still holds.
+    /// The connection is closed without a response. The transaction is applied after this delay, if its
+    /// conditions hold then.
     Delayed(Duration),
 }
 
-/// What was asked of the store.
+/// Totals of requests since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestCounts {
-    /// Reads, feeds included.
+    /// Reads, feeds and rate-limited ones included.
     pub reads: u64,
-    /// Transactions and stored objects.
+    /// Transactions and all other requests with a method other than GET.
     pub writes: u64,
-    /// Calls above the rates.
+    /// Requests rejected with 429 because of a rate limit.
     pub refused: u64,
-    /// Most rows that one answer of a feed held.
+    /// Highest number of rows in one response of a feed.
     pub max_feed_rows: usize,
 }
 
@@ -90,10 +92,10 @@
     write_limiter: RateLimiter,
 }
 
-/// A running stand-in; it ends when dropped.
+/// A running store. Dropping it stops the server and closes its connections.
 #[derive(Debug)]
 pub struct Store {
-    /// Where it listens.
+    /// Address of its listener.
     pub address: SocketAddr,
     shared: Arc<Shared>,
     stop: CancellationToken,
@@ -103,7 +105,7 @@
 struct Shared {
     state: Mutex<State>,
     started_at: Instant,
-    /// Counts what feeds wait for: changes, and drops of history.
+    /// Incremented to wake the waiting feeds: on changes of rows, faults or the history.
     changed: watch::Sender<u64>,
 }
 
@@ -114,7 +116,7 @@
 }
 
 impl Store {
-    /// Starts on `address`.
+    /// Starts a store that listens on `address`.
     pub async fn start(address: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -153,20 +155,20 @@
         })
     }
 
-    /// The operator writes a row of the table `op`; returns its version.
+    /// Writes a row of the table `op`, as an operator does. Returns the version of the row.
     pub fn write_operator_row(&self, key: &str, value: &[u8]) -> u64 {
         let version = self.shared.state().rows.put("op", "", key, value.to_vec());
         self.shared.wake_feeds();
         version
     }
 
-    /// Turns everybody away from now on who has no trouble of their own.
+    /// Sets the fault for all callers for which [`Self::set_call_fault_for`] has set none.
     pub fn set_call_fault(&self, call_fault: CallFault) {
         self.shared.state().call_fault = call_fault;
         self.shared.wake_feeds();
     }
 
-    /// Turns one caller away, or no longer.
+    /// Sets the fault for one caller. With [`CallFault::None`], the fault for all callers applies to it.
     pub fn set_call_fault_for(&self, caller: IpAddr, call_fault: CallFault) {
         let mut state = self.shared.state();
         state.call_faults_by_caller.insert(caller, call_fault);
@@ -174,43 +176,46 @@
         self.shared.wake_feeds();
     }
 
-    /// Each answer takes so much longer.
+    /// Delays the processing of every request by this time.
     pub fn set_delay(&self, delay: Duration) {
         self.shared.state().delay = delay;
     }
 
-    /// What goes wrong with transactions from now on.
+    /// Sets the fault for transactions from now on.
     pub fn set_write_fault(&self, fault: WriteFault) {
         self.shared.state().write_fault = fault;
     }
 
-    /// Drops the history up to now; feeds that wait are told so.
+    /// Drops the history of changes so far. Feeds that wait get status 410.
     pub fn drop_history(&self) {
         self.shared.state().rows.drop_history();
         self.shared.wake_feeds();
     }
 
-    /// What was asked so far.
+    /// Returns a snapshot of the totals.
     pub fn counts(&self) -> RequestCounts {
         self.shared.state().counts
     }
 
-    /// How often one caller has read what operators write, refused reads included.
+    /// Returns how often a caller has read the table `op`, which operators write; rejected reads are
+    /// included.
     pub fn configuration_reads_of(&self, caller: IpAddr) -> u64 {
         let state = self.shared.state();
         state.configuration_reads.get(&caller).copied().unwrap_or(0)
     }
 
-    /// The value of a row of a part without a name.
+    /// Returns the value of a row in the part whose name is empty.
     pub fn value(&self, table: &str, key: &str) -> Option<Vec<u8>> {
         self.shared.state().rows.value(table, "", key)
     }
 }
 
-/// What becomes of a call.
+/// Way in which a request ends.
 enum CallOutcome {
     Respond(Response<Body>),
+    /// The connection is closed without a response.
     Disconnect,
+    /// The connection stays open without a response.
     NeverAnswer,
 }
 
@@ -235,10 +240,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Makes waiting feeds check the history and the faults again.
     fn wake_feeds(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
+    /// Returns the time since the start, as responses give it in the field `now`.
     fn elapsed_ms_text(&self) -> String {
         format!("{}ms", self.started_at.elapsed().as_millis())
     }
@@ -274,6 +281,7 @@
         }
     }
 
+    /// Returns the fault set for this caller, or else the one set for all.
     fn call_fault_of(&self, caller: IpAddr) -> CallFault {
         let state = self.state();
         let caller_fault = state
@@ -287,6 +295,7 @@
         }
     }
 
+    /// Returns how a request of `caller` ends if a fault is set for it.
     fn apply_call_fault(&self, caller: IpAddr) -> Option<CallOutcome> {
         let refuse = |status| CallOutcome::Respond(build_response(status, "{}"));
         match self.call_fault_of(caller) {
@@ -298,6 +307,7 @@
         }
     }
 
+    /// Counts a request and returns a 429 response if it is above the rate limit.
     fn check_rate_limit(&self, method: &Method) -> Option<Response<Body>> {
         let mut state = self.state();
         let allowed = match method == Method::GET {
@@ -391,7 +401,7 @@
         let mut changes = self.changed.subscribe();
         let deadline = tokio::time::Instant::now() + feed_query.wait;
         loop {
-            // A call that waits is not spared when its caller's trouble begins.
+            // `CallFault::Disconnect` also ends a feed that is waiting when the fault is set.
             if let Some(CallOutcome::Disconnect) = self.apply_call_fault(caller) {
                 return None;
             }
@@ -405,7 +415,7 @@
                 }
                 Feed::Changes(_) => (),
             }
-            // Either way the history is looked at again.
+            // After a change and after the timeout alike, the loop reads the history again.
             let _ = tokio::time::timeout_at(deadline, changes.changed()).await;
         }
     }
@@ -463,6 +473,6 @@
 }
 
 fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
-    let body = serde_json::to_vec(value).expect("rows always encode");
+    let body = serde_json::to_vec(value).expect("the response can be encoded as JSON");
     build_response(status, body)
 }
--- a/crates/testkit/src/users/store/rows.rs
+++ b/crates/testkit/src/users/store/rows.rs
@@ -1,4 +1,4 @@
-//! The rows of the store's stand-in, and the history of their changes.
+//! Rows of the store and the history of their changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,16 +6,16 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use serde::{Deserialize, Serialize};
 
-/// Rows of one answer at most.
+/// Limit on the rows in one response.
 pub(super) const PAGE_ROWS: usize = 500;
 
-/// Tables that only operators write.
+/// Tables that only operators may write; transactions of nodes on them are rejected.
 const OPERATOR_TABLES: [&str; 2] = ["op", "servers"];
 
 /// Table, part and key of a row.
 type RowName = (String, String, String);
 
-/// A row as it travels.
+/// A row, condition or change as JSON.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(super) struct WireRow {
     #[serde(rename = "tableName")]
@@ -47,26 +47,29 @@
     remove: Vec<WireRow>,
 }
 
-/// What became of a transaction.
+/// Result of a transaction.
 pub(super) enum Outcome {
+    /// Applied, with the new version of the store.
     Committed(u64),
-    /// The rows of its conditions as they are.
+    /// Not applied, with the current rows that its conditions name.
     ConditionFailed(Vec<WireRow>),
+    /// Not applied, since it writes a table that only operators may write.
     Forbidden,
 }
 
-/// What a feed has to tell.
+/// Changes after a version.
 pub(super) enum Feed {
     Changes(Vec<WireRow>),
+    /// Some of the changes are no longer in the history.
     HistoryDropped,
 }
 
-/// Which rows are asked for.
+/// Range of rows to return: `from` is inclusive, `to` exclusive.
 pub(super) struct RowRange<'a> {
     pub(super) table: &'a str,
     pub(super) part: &'a str,
     pub(super) from: &'a str,
-    /// Empty for no end.
+    /// If empty, the range has no end.
     pub(super) to: &'a str,
     pub(super) limit: usize,
 }
@@ -85,10 +88,11 @@
 #[derive(Debug, Default)]
 pub(super) struct Rows {
     rows: BTreeMap<RowName, StoredRow>,
+    /// Version of the latest change in any table.
     version: u64,
-    /// Changes in their order.
+    /// Changes in the order of their versions.
     history: Vec<WireRow>,
-    /// Changes up to this version are no longer known.
+    /// Changes up to this version have been dropped from the history.
     history_dropped_to: u64,
 }
 
@@ -146,7 +150,7 @@
         self.version += 1;
         for row in &transaction.writes {
             let value = row.value.as_deref().unwrap_or("");
-            // What cannot be read is kept as nothing: the product never sends it.
+            // A value that isn't valid base64 is stored as empty. Nodes never send one.
             self.insert(row.name(), BASE64.decode(value).unwrap_or_default());
         }
         for row in &transaction.remove {
@@ -155,6 +159,7 @@
         Outcome::Committed(self.version)
     }
 
+    /// Returns those of the named rows that exist, with their current values.
     fn current_rows(&self, rows: &[WireRow]) -> Vec<WireRow> {
         let known = rows.iter().filter_map(|row| {
             let name = row.name();
@@ -197,7 +202,7 @@
     }
 
     pub(super) fn drop_history(&mut self) {
-        // Whoever has read all of it is told as well.
+        // The version increases, so that feeds which have read the whole history fail too.
         self.version += 1;
         self.history_dropped_to = self.version;
         self.history.clear();
