--- a/crates/testkit/src/users/mesh/caller_request.rs
+++ b/crates/testkit/src/users/mesh/caller_request.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Like [`Self::get`], with the method POST.
+    /// Returns a POST request, which must run at most once; otherwise like [`Self::get`].
     pub fn post(path: &'a str, id: &'a str) -> Self {
         Self {
             method: Method::POST,
--- a/crates/testkit/src/users/store.rs
+++ b/crates/testkit/src/users/store.rs
@@ -26,8 +26,9 @@
 
 use self::rows::{Feed, Rows};
 
-/// Limits on the requests of all callers together in a second, as in the users' site files.
+/// Limit on the writes of all callers together, as in the users' site files.
 const MAX_WRITES_PER_S: f64 = 400.0;
+/// Limit on the reads of all callers together, as in the users' site files.
 const MAX_READS_PER_S: f64 = 2_000.0;
 
 /// Fault with which the store rejects a request before it processes it.
