--- a/src/node/liveness_log.rs
+++ b/src/node/liveness_log.rs
@@ -1,4 +1,4 @@
-//! Logs what changed between two views of the mesh, for whoever reads the log after a failure.
+//! Logs changes in the liveness of mesh members, for the analysis of failures.
 
 use std::collections::HashMap;
 
@@ -6,9 +6,10 @@
 use crate::proxy::log_limiter::{LogClass, LogLimiter};
 use crate::proxy::view::MembershipView;
 
-/// Logs each member whose liveness is not what it was, with the state of its backend server.
-/// Suspicions come and go with every pause of a VM, and all members are new to a node that starts:
-/// both are routine. A death or a return is not.
+/// Logs each member whose liveness differs between the views `before` and `after`.
+///
+/// Suspicions are routine, since every short pause of a VM causes one, and so are joins, since a starting node sees
+/// all members as new. Deaths, departures and returns are notable.
 pub(crate) fn log_liveness(
     decisions: &LogLimiter,
     before: &MembershipView,
@@ -25,9 +26,9 @@
             (None, _) => (LogClass::Routine, "member joined"),
             (Some(_), Liveness::Suspect) => (LogClass::Routine, "member is suspect"),
             (Some(Liveness::Suspect), Liveness::Alive) => {
-                (LogClass::Routine, "member answers again")
+                (LogClass::Routine, "member is no longer suspect")
             }
-            (Some(_), Liveness::Alive) => (LogClass::Notable, "member is back"),
+            (Some(_), Liveness::Alive) => (LogClass::Notable, "member is alive again"),
             (Some(_), Liveness::Dead) => (LogClass::Notable, "member is dead"),
             (Some(_), Liveness::Left) => (LogClass::Notable, "member left"),
         };
