--- a/crates/model/src/spread.rs
+++ b/crates/model/src/distribution.rs
@@ -6,11 +6,11 @@
 //! once sent and may arrive at any time, again, in any order, or never; content in flight may even
 //! reach the next process at its address. Nodes lose all memory when they crash.
 
-mod nodes;
+mod node_steps;
 mod state;
 
 use crate::checker::Specification;
-use crate::contents::{ApplyMutation, Contents, Form};
+use crate::configurations::{ApplyMutation, Contents, Form};
 pub use state::{Action, Bounds, FloorRule, Mutation, NODES_MAX, Node, Start, State};
 use state::{ORDERS, Phase, bit, renumbered};
 
--- a/crates/model/src/spread/state.rs
+++ b/crates/model/src/distribution/state.rs
@@ -1,6 +1,6 @@
 //! States, steps, bounds and rules of the specification.
 
-use crate::contents::Form;
+use crate::configurations::Form;
 
 /// Most nodes.
 pub const NODES_MAX: usize = 3;
@@ -10,7 +10,7 @@
 pub struct Bounds {
     /// Nodes, at most [`NODES_MAX`].
     pub nodes: usize,
-    /// Versions, at most [`crate::contents::VERSIONS_MAX`]; the first is in force everywhere at
+    /// Versions, at most [`crate::configurations::VERSIONS_MAX`]; the first is in force everywhere at
     /// the start.
     pub versions: u8,
     /// Processes that die.
--- a/crates/model/src/main.rs
+++ b/crates/model/src/main.rs
@@ -4,9 +4,9 @@
 
 use lexopt::prelude::*;
 use model::checker::{Report, Specification, check};
+use model::distribution::{Bounds, FloorRule, Spread};
 use model::publish::{self, Publish, Scenario};
 use model::request::{self, Requests};
-use model::spread::{Bounds, FloorRule, Spread};
 
 const HELP: &str = "\
 Usage: model distribution [OPTIONS]
--- a/crates/model/src/publish.rs
+++ b/crates/model/src/publish.rs
@@ -12,7 +12,7 @@
 mod state;
 
 use crate::checker::Specification;
-use crate::contents::record;
+use crate::configurations::record;
 use crate::operator::{Answer, Call, Command, End, Next, Objects, Operator, is_final_row};
 use properties::head;
 use state::Write;
--- a/crates/model/tests/distribution.rs
+++ b/crates/model/tests/distribution.rs
@@ -1,7 +1,7 @@
 //! Spread, apply and restart: the protocol holds at small bounds, and each mutation is caught.
 
 use model::checker::{Counterexample, EVENTUALLY, check};
-use model::spread::{Bounds, FloorRule, Mutation, Spread, Start, State};
+use model::distribution::{Bounds, FloorRule, Mutation, Spread, Start, State};
 
 const NEVER_BACK: &str = "a version never goes back at a node";
 const WHOLE: &str = "all of a version or none of it";
--- a/tests/testsuite/proofs.rs
+++ b/tests/testsuite/proofs.rs
@@ -44,7 +44,7 @@
 #[test]
 fn every_mutation_named_exists() {
     let page = read("docs/PROOFS.md");
-    let model_sources = ["spread/state.rs", "publish/state.rs", "request.rs"].map(|file| {
+    let model_sources = ["distribution/state.rs", "publish/state.rs", "request.rs"].map(|file| {
         let path = format!("crates/model/src/{file}");
         read(&path)
     });
