--- a/crates/model/src/checker.rs
+++ b/crates/model/src/checker.rs
@@ -28,11 +28,11 @@
         state
     }
     /// The first property that `state` violates.
-    fn violated(&self, state: &Self::State) -> Option<&'static str>;
+    fn violated_property(&self, state: &Self::State) -> Option<&'static str>;
     /// `state` with every fault ended, and none to come; `None` leaves it out of that check.
     fn without_faults(&self, state: &Self::State) -> Option<Self::State>;
     /// Whether everything has come about that must in the end.
-    fn settled(&self, state: &Self::State) -> bool;
+    fn is_settled(&self, state: &Self::State) -> bool;
 }
 
 /// How a property fails, by the shortest way.
@@ -43,7 +43,7 @@
     /// Steps from the initial state, in words.
     pub steps: Vec<String>,
     /// The state at the end.
-    pub last: S,
+    pub final_state: S,
 }
 
 /// What [`check`] found.
@@ -59,36 +59,38 @@
     pub elapsed: Duration,
 }
 
-/// Name of the property that [`Specification::settled`] stands for.
-pub const EVENTUALLY: &str = "eventually settled once faults end";
+/// Name of the property that [`Specification::is_settled`] stands for.
+pub const EVENTUALLY_SETTLED: &str = "eventually settled once faults end";
 
 /// Visits every state that `specification` can reach.
 pub fn check<T: Specification>(specification: &T) -> Report<T::State> {
     let started = Instant::now();
-    let mut reached = Vec::new();
-    let mut found = None;
-    for state in bfs_reach(initial(specification), |state| next(specification, state)) {
-        found = specification.violated(&state);
-        reached.push(state);
-        if found.is_some() {
+    let mut reachable_states = Vec::new();
+    let mut violated_property = None;
+    for state in bfs_reach(canonical_initial(specification), |state| {
+        successors(specification, state)
+    }) {
+        violated_property = specification.violated_property(&state);
+        reachable_states.push(state);
+        if violated_property.is_some() {
             break;
         }
     }
-    let states = reached.len();
+    let states = reachable_states.len();
     let mut states_without_faults = 0;
-    let counterexample = match found {
+    let counterexample = match violated_property {
         Some(property) => Some(counterexample(specification, property, |state| {
-            specification.violated(state).is_some()
+            specification.violated_property(state).is_some()
         })),
         None => {
-            let (count, stuck) = unsettled(specification, &reached);
+            let (count, unsettled) = find_unsettled(specification, &reachable_states);
             states_without_faults = count;
-            stuck.map(|stuck| {
-                counterexample(specification, EVENTUALLY, |state| {
+            unsettled.map(|unsettled| {
+                counterexample(specification, EVENTUALLY_SETTLED, |state| {
                     specification
                         .without_faults(state)
-                        .is_some_and(|calm| specification.canonical(calm) == stuck)
-                        || *state == stuck
+                        .is_some_and(|fault_free| specification.canonical(fault_free) == unsettled)
+                        || *state == unsettled
                 })
             })
         }
@@ -101,7 +103,7 @@
     }
 }
 
-fn next<T: Specification>(specification: &T, state: &T::State) -> Vec<T::State> {
+fn successors<T: Specification>(specification: &T, state: &T::State) -> Vec<T::State> {
     let steps = specification.steps(state);
     let states = steps
         .into_iter()
@@ -109,70 +111,74 @@
     states.filter(|next| next != state).collect()
 }
 
-fn initial<T: Specification>(specification: &T) -> T::State {
+fn canonical_initial<T: Specification>(specification: &T) -> T::State {
     specification.canonical(specification.initial())
 }
 
 /// Size of the graph without faults, and the first calm state from which a bottom component that
 /// is not settled can be reached.
-fn unsettled<T: Specification>(
+fn find_unsettled<T: Specification>(
     specification: &T,
-    reached: &[T::State],
+    reachable_states: &[T::State],
 ) -> (usize, Option<T::State>) {
-    let calm: Vec<T::State> = reached
+    let fault_free_states: Vec<T::State> = reachable_states
         .iter()
         .filter_map(|state| specification.without_faults(state))
         .map(|state| specification.canonical(state))
         .collect();
-    let components = strongly_connected_components(&calm, |state| next(specification, state));
+    let components =
+        strongly_connected_components(&fault_free_states, |state| successors(specification, state));
     let count = components.iter().map(Vec::len).sum();
-    let stuck = components.iter().find(|component| {
+    let unsettled_component = components.iter().find(|component| {
         let bottom = component.iter().all(|state| {
-            let next = next(specification, state);
-            next.iter().all(|state| component.contains(state))
+            let successors = successors(specification, state);
+            successors.iter().all(|state| component.contains(state))
         });
-        bottom && !component.iter().all(|state| specification.settled(state))
+        bottom
+            && !component
+                .iter()
+                .all(|state| specification.is_settled(state))
     });
-    let Some(stuck) = stuck else {
+    let Some(unsettled_component) = unsettled_component else {
         return (count, None);
     };
-    let origin = calm.iter().find(|state| {
+    let start = fault_free_states.iter().find(|state| {
         let path = bfs(
             *state,
-            |state| next(specification, state),
-            |state| stuck.contains(state),
+            |state| successors(specification, state),
+            |state| unsettled_component.contains(state),
         );
         path.is_some()
     });
-    (count, origin.cloned())
+    (count, start.cloned())
 }
 
 fn counterexample<T: Specification>(
     specification: &T,
     property: &'static str,
-    ends: impl Fn(&T::State) -> bool,
+    is_target: impl Fn(&T::State) -> bool,
 ) -> Counterexample<T::State> {
     let path = bfs(
-        &initial(specification),
-        |state| next(specification, state),
-        |state| ends(state),
+        &canonical_initial(specification),
+        |state| successors(specification, state),
+        |state| is_target(state),
     );
     let path = path.expect("the state was reached before");
     // The path's states are canonical; the steps are told with the numbers of one real run.
     let mut steps = Vec::new();
-    let mut last = specification.initial();
+    let mut state = specification.initial();
     for target in path.into_iter().skip(1) {
-        let all = specification.steps(&last);
-        let taken = all
+        let possible_steps = specification.steps(&state);
+        let taken = possible_steps
             .into_iter()
-            .find(|(_, state)| specification.canonical(state.clone()) == target);
-        let (action, state) = taken.expect("a step of the path");
+            .find(|(_, next_state)| specification.canonical(next_state.clone()) == target);
+        let (action, next_state) = taken.expect("a step of the path");
         steps.push(format!("{action:?}"));
-        last = state;
+        state = next_state;
     }
     Counterexample {
         property,
         steps,
-        last,
+        final_state: state,
     }
 }
--- a/crates/model/src/distribution.rs
+++ b/crates/model/src/distribution.rs
@@ -10,27 +10,27 @@
 mod state;
 
 use crate::checker::Specification;
-use crate::configurations::{ApplyMutation, Contents, Form};
-pub use state::{Action, Bounds, FloorRule, Mutation, NODES_MAX, Node, Start, State};
-use state::{ORDERS, Phase, bit, renumbered};
+use crate::configurations::{ApplyMutation, ConfigurationSet, ContentForm};
+pub use state::{Action, Bounds, FloorRule, Mutation, NODES_MAX, Node, StartCondition, State};
+use state::{NODE_PERMUTATIONS, Phase, bit, renumber_nodes};
 
 /// The protocol at given bounds.
 #[derive(Debug)]
-pub struct Spread {
+pub struct DistributionSpec {
     bounds: Bounds,
     rule: FloorRule,
     mutation: Option<Mutation>,
-    contents: Contents,
+    configurations: ConfigurationSet,
 }
 
-impl Spread {
+impl DistributionSpec {
     /// A protocol to check.
     pub fn new(bounds: Bounds, rule: FloorRule, mutation: Option<Mutation>) -> Self {
         Self {
             bounds,
             rule,
             mutation,
-            contents: Contents::new(bounds.open_version),
+            configurations: ConfigurationSet::new(bounds.dangling_version),
         }
     }
 
@@ -38,100 +38,115 @@
         (0..self.bounds.nodes).filter(move |peer| *peer != node)
     }
 
-    fn reach(state: &State, from: usize, to: usize) -> bool {
+    fn can_reach(state: &State, from: usize, to: usize) -> bool {
         let up = |node: usize| state.nodes[node].phase != Phase::Down;
         let cut = state.nodes[from].cut_off || state.nodes[to].cut_off;
         up(from) && up(to) && !cut
     }
 
-    fn version(&self, node: &Node) -> u8 {
-        self.contents.version(node.enforced)
+    fn enforced_version(&self, node: &Node) -> u8 {
+        self.configurations.version_of(node.enforced_id)
     }
 
-    fn enforce(&self, state: &mut State, at: usize, content: u8) {
-        let version = self.contents.version(content);
-        let node = &mut state.nodes[at];
-        node.enforced = content;
-        node.highest = node.highest.max(version);
-        node.staged = 0;
-        node.noted_by = 0;
+    fn enforce(&self, state: &mut State, index: usize, configuration_id: u8) {
+        let version = self.configurations.version_of(configuration_id);
+        let node = &mut state.nodes[index];
+        node.enforced_id = configuration_id;
+        node.highest_enforced = node.highest_enforced.max(version);
+        node.staged_version = 0;
+        node.recorded_by = 0;
     }
 
     /// Content as it arrives; `None` if it changes nothing.
-    fn deliver(&self, state: &State, at: usize, form: Form, version: u8) -> Option<State> {
-        let node = &state.nodes[at];
+    fn deliver_content(
+        &self,
+        state: &State,
+        index: usize,
+        form: ContentForm,
+        version: u8,
+    ) -> Option<State> {
+        let node = &state.nodes[index];
         if node.phase != Phase::Running {
             return None;
         }
-        let content = self.accepted(node, form, version)?;
+        let configuration_id = self.apply_result(node, form, version)?;
         let mut next = *state;
-        if self.mutation == Some(Mutation::ApplyInParts) && self.contents.is_whole(node.enforced) {
-            let part = self.contents.apply_in_part(node.enforced, version);
-            self.enforce(&mut next, at, part);
+        if self.mutation == Some(Mutation::ApplyInParts)
+            && self.configurations.is_published(node.enforced_id)
+        {
+            let partial_id = self
+                .configurations
+                .apply_first_changed_team(node.enforced_id, version);
+            self.enforce(&mut next, index, partial_id);
         } else if self.rule.witnesses == 0 {
-            self.enforce(&mut next, at, content);
-        } else if node.staged < version {
-            next.nodes[at].staged = version;
-            next.nodes[at].noted_by = 0;
+            self.enforce(&mut next, index, configuration_id);
+        } else if node.staged_version < version {
+            next.nodes[index].staged_version = version;
+            next.nodes[index].recorded_by = 0;
         }
         Some(next)
     }
 
-    fn accepted(&self, node: &Node, form: Form, version: u8) -> Option<u8> {
+    fn apply_result(&self, node: &Node, form: ContentForm, version: u8) -> Option<u8> {
         let mutation = match self.mutation {
-            Some(Mutation::ApplyWithoutComparing) => ApplyMutation::WithoutComparing,
-            Some(Mutation::ApplyWithoutDigest) => ApplyMutation::WithoutDigest,
-            Some(Mutation::ApplyWithoutClosureCheck) => ApplyMutation::WithoutClosureCheck,
-            _ if !self.contents.is_whole(node.enforced) => return None,
+            Some(Mutation::ApplyWithoutVersionCheck) => ApplyMutation::WithoutVersionCheck,
+            Some(Mutation::ApplyWithoutDigestCheck) => ApplyMutation::WithoutDigestCheck,
+            Some(Mutation::ApplyWithoutReferenceCheck) => ApplyMutation::WithoutReferenceCheck,
+            _ if !self.configurations.is_published(node.enforced_id) => return None,
             _ => {
                 return self
-                    .contents
-                    .apply(node.enforced, node.floor, form, version);
+                    .configurations
+                    .apply(node.enforced_id, node.floor, form, version);
             }
         };
-        self.contents
-            .apply_mutated(mutation, node.enforced, form, version)
+        self.configurations
+            .apply_mutated(mutation, node.enforced_id, form, version)
     }
 
-    fn may_enforce_staged(&self, state: &State, at: usize) -> bool {
-        let in_reach = self.peers(at).filter(|peer| Self::reach(state, at, *peer));
-        let all = u32::try_from(self.bounds.nodes - 1).expect("few nodes");
+    fn may_enforce_staged(&self, state: &State, index: usize) -> bool {
+        let reachable_peers = self
+            .peers(index)
+            .filter(|peer| Self::can_reach(state, index, *peer));
+        let peer_count = u32::try_from(self.bounds.nodes - 1).expect("few nodes");
         let available = match self.rule.waits_for_witnesses {
-            true => all,
-            false => u32::try_from(in_reach.count()).expect("few nodes"),
+            true => peer_count,
+            false => u32::try_from(reachable_peers.count()).expect("few nodes"),
         };
         let needed = self.rule.witnesses.min(available);
-        state.nodes[at].noted_by.count_ones() >= needed
+        state.nodes[index].recorded_by.count_ones() >= needed
     }
 
-    fn may_begin(&self, state: &State, at: usize) -> bool {
-        let node = &state.nodes[at];
-        if node.head_read || self.rule.start == Start::Nothing {
+    fn may_finish_start(&self, state: &State, index: usize) -> bool {
+        let node = &state.nodes[index];
+        if node.head_read || self.rule.start_condition == StartCondition::Unconditional {
             return true;
         }
         // The head comes first; peers are enough only if it cannot be had.
-        if !state.platform_away {
+        if !state.platform_down {
             return false;
         }
-        let all = u32::try_from(self.bounds.nodes - 1).expect("few nodes");
-        match self.rule.start {
-            Start::Nothing => true,
-            Start::HeadOnly => false,
-            Start::PeersInReach => {
-                let mut answering = self.answering(state, at);
-                node.heard != 0 && answering.all(|peer| node.heard & bit(peer) != 0)
+        let peer_count = u32::try_from(self.bounds.nodes - 1).expect("few nodes");
+        match self.rule.start_condition {
+            StartCondition::Unconditional => true,
+            StartCondition::HeadOnly => false,
+            StartCondition::AllReachablePeers => {
+                let mut answering = self.answering_peers(state, index);
+                node.answered_peers != 0
+                    && answering.all(|peer| node.answered_peers & bit(peer) != 0)
+            }
+            StartCondition::AllPeersBut(missing) => {
+                node.answered_peers.count_ones() + missing >= peer_count
             }
-            Start::AllPeersBut(missing) => node.heard.count_ones() + missing >= all,
         }
     }
 
     /// Peers that tell a started node what they remember. One that is itself starting does not: it
     /// has lost its memory, and its silence must not pass for "nothing known".
-    fn answering(&self, state: &State, at: usize) -> impl Iterator<Item = usize> {
-        let answers = move |peer: &usize| {
-            Self::reach(state, at, *peer) && state.nodes[*peer].phase == Phase::Running
+    fn answering_peers(&self, state: &State, index: usize) -> impl Iterator<Item = usize> {
+        let may_answer = move |peer: &usize| {
+            Self::can_reach(state, index, *peer) && state.nodes[*peer].phase == Phase::Running
         };
-        self.peers(at).filter(answers)
+        self.peers(index).filter(may_answer)
     }
 
     fn configuration_steps(&self, state: &State, steps: &mut Vec<(Action, State)>) {
@@ -140,121 +155,138 @@
                 steps.push((action, next));
             }
         };
-        if state.head < self.bounds.versions && !state.platform_away {
+        if state.head < self.bounds.versions && !state.platform_down {
             let mut next = *state;
             next.head += 1;
             add(Action::Commit, next);
         }
-        for at in 0..self.bounds.nodes {
-            let node = &state.nodes[at];
+        for index in 0..self.bounds.nodes {
+            let node = &state.nodes[index];
             if node.phase == Phase::Down {
                 continue;
             }
-            if node.phase == Phase::Starting && !state.platform_away {
+            if node.phase == Phase::Starting && !state.platform_down {
                 let mut next = *state;
-                next.nodes[at].head_read = true;
-                next.nodes[at].floor = node.floor.max(state.head);
+                next.nodes[index].head_read = true;
+                next.nodes[index].floor = node.floor.max(state.head);
                 // No address can have enforced more than the head, so the head stands for all that
                 // this address had noted of its peers and has lost.
-                for about in self.peers(at) {
-                    let memory = &mut next.nodes[at].memory[about];
-                    *memory = (*memory).max(state.head);
+                for subject in self.peers(index) {
+                    let highest_reported = &mut next.nodes[index].highest_reported[subject];
+                    *highest_reported = (*highest_reported).max(state.head);
                 }
-                add(Action::ReadHead(at), next);
+                add(Action::ReadHead(index), next);
             }
             if node.phase != Phase::Running {
                 continue;
             }
             for version in 1..=state.head {
-                for form in [Form::Delta, Form::Snapshot, Form::Damaged] {
-                    if self.may_arrive(state, at, form, version)
-                        && let Some(next) = self.deliver(state, at, form, version)
+                for form in [
+                    ContentForm::Delta,
+                    ContentForm::Snapshot,
+                    ContentForm::Damaged,
+                ] {
+                    if self.may_arrive(state, index, form, version)
+                        && let Some(next) = self.deliver_content(state, index, form, version)
                     {
-                        add(Action::Deliver(at, form, version), next);
+                        add(Action::Deliver(index, form, version), next);
                     }
                 }
             }
-            if self.mutation == Some(Mutation::NeverFetchAgain) {
+            if self.mutation == Some(Mutation::NeverRetryFetch) {
                 let mut next = *state;
-                next.nodes[at].fetch_failed = true;
-                add(Action::FetchLost(at), next);
+                next.nodes[index].fetch_failed = true;
+                add(Action::FetchFails(index), next);
             }
-            self.staged_steps(state, at, &mut add);
+            self.staged_steps(state, index, &mut add);
         }
     }
 
     /// Whether content can be on its way to a node: fetched from the platform or a peer, or still
     /// in flight from what any process at its address has fetched before. Damaged content can come
     /// from anywhere.
-    fn may_arrive(&self, state: &State, at: usize, form: Form, version: u8) -> bool {
-        let node = &state.nodes[at];
+    fn may_arrive(&self, state: &State, index: usize, form: ContentForm, version: u8) -> bool {
+        let node = &state.nodes[index];
         if node.fetch_failed {
             return false;
         }
         let peer_has = |peer: usize| {
-            Self::reach(state, at, peer) && self.version(&state.nodes[peer]) == version
+            Self::can_reach(state, index, peer)
+                && self.enforced_version(&state.nodes[peer]) == version
         };
-        let from_platform = version == state.head && !state.platform_away;
-        let in_flight = version <= node.highest;
-        form == Form::Damaged || from_platform || in_flight || self.peers(at).any(peer_has)
+        let from_platform = version == state.head && !state.platform_down;
+        let in_flight = version <= node.highest_enforced;
+        form == ContentForm::Damaged
+            || from_platform
+            || in_flight
+            || self.peers(index).any(peer_has)
     }
 
-    fn staged_steps(&self, state: &State, at: usize, add: &mut impl FnMut(Action, State)) {
-        let node = &state.nodes[at];
-        let version = node.staged;
+    fn staged_steps(&self, state: &State, index: usize, add: &mut impl FnMut(Action, State)) {
+        let node = &state.nodes[index];
+        let version = node.staged_version;
         if version == 0 {
             return;
         }
-        for peer in self.peers(at).filter(|peer| Self::reach(state, at, *peer)) {
+        for peer in self
+            .peers(index)
+            .filter(|peer| Self::can_reach(state, index, *peer))
+        {
             for answer_lost in [false, true] {
                 let mut next = *state;
-                let memory = &mut next.nodes[peer].memory[at];
-                *memory = (*memory).max(version);
+                let highest_reported = &mut next.nodes[peer].highest_reported[index];
+                *highest_reported = (*highest_reported).max(version);
                 if !answer_lost {
-                    next.nodes[at].noted_by |= bit(peer);
+                    next.nodes[index].recorded_by |= bit(peer);
                 }
-                let action = Action::Note {
-                    node: at,
+                let action = Action::RecordAtPeer {
+                    node: index,
                     peer,
                     answer_lost,
                 };
                 add(action, next);
             }
         }
-        if self.may_enforce_staged(state, at) {
+        if self.may_enforce_staged(state, index) {
             let mut next = *state;
-            match self.accepted(node, Form::Snapshot, version) {
-                Some(content) => self.enforce(&mut next, at, content),
-                None => next.nodes[at].staged = 0,
+            match self.apply_result(node, ContentForm::Snapshot, version) {
+                Some(configuration_id) => self.enforce(&mut next, index, configuration_id),
+                None => next.nodes[index].staged_version = 0,
             }
-            add(Action::Enforce(at), next);
+            add(Action::Enforce(index), next);
         }
     }
 }
 
-impl Specification for Spread {
+impl Specification for DistributionSpec {
     type State = State;
     type Action = Action;
 
     fn initial(&self) -> State {
-        let mut memory = [0; NODES_MAX];
-        memory[..self.bounds.nodes].fill(1);
-        let node = |at: usize| Node {
+        let mut initial_reports = [0; NODES_MAX];
+        initial_reports[..self.bounds.nodes].fill(1);
+        let node = |index: usize| Node {
             phase: Phase::Running,
-            enforced: 1,
+            enforced_id: 1,
             floor: 0,
-            staged: 0,
-            noted_by: 0,
-            heard: 0,
+            staged_version: 0,
+            recorded_by: 0,
+            answered_peers: 0,
             head_read: false,
             fetch_failed: false,
-            memory: std::array::from_fn(|of| if of == at { 0 } else { memory[of] }),
+            highest_reported: std::array::from_fn(|subject| {
+                if subject == index {
+                    0
+                } else {
+                    initial_reports[subject]
+                }
+            }),
             cut_off: false,
-            highest: 1,
+            highest_enforced: 1,
         };
         State {
             head: 1,
-            platform_away: false,
+            platform_down: false,
             nodes: std::array::from_fn(node),
             crashes: self.bounds.crashes,
             cuts: self.bounds.cuts,
@@ -273,28 +305,30 @@
 
     /// Nodes are alike, so states that differ only in their numbers are one.
     fn canonical(&self, state: State) -> State {
-        let orders = match self.bounds.nodes {
-            NODES_MAX => &ORDERS[..],
-            2 => &ORDERS[..2],
-            _ => &ORDERS[..1],
+        let permutations = match self.bounds.nodes {
+            NODES_MAX => &NODE_PERMUTATIONS[..],
+            2 => &NODE_PERMUTATIONS[..2],
+            _ => &NODE_PERMUTATIONS[..1],
         };
-        let all = orders.iter().map(|order| renumbered(&state, *order));
-        all.min().expect("at least one order")
+        let renumbered = permutations
+            .iter()
+            .map(|permutation| renumber_nodes(&state, *permutation));
+        renumbered.min().expect("at least one order")
     }
 
-    fn violated(&self, state: &State) -> Option<&'static str> {
+    fn violated_property(&self, state: &State) -> Option<&'static str> {
         let nodes = &state.nodes[..self.bounds.nodes];
-        for node in nodes.iter().filter(|node| node.enforced != 0) {
-            if self.version(node) < node.highest {
+        for node in nodes.iter().filter(|node| node.enforced_id != 0) {
+            if self.enforced_version(node) < node.highest_enforced {
                 return Some("a version never goes back at a node");
             }
-            if !self.contents.is_whole(node.enforced) {
+            if !self.configurations.is_published(node.enforced_id) {
                 return Some("all of a version or none of it");
             }
-            if !self.contents.is_closed(node.enforced) {
+            if !self.configurations.references_resolve(node.enforced_id) {
                 return Some("references close");
             }
-            if self.version(node) > state.head {
+            if self.enforced_version(node) > state.head {
                 return Some("only accepted versions are enforced");
             }
         }
@@ -302,21 +336,21 @@
     }
 
     fn without_faults(&self, state: &State) -> Option<State> {
-        let mut calm = *state;
-        calm.platform_away = false;
-        calm.crashes = 0;
-        calm.cuts = 0;
-        calm.outages = 0;
-        for node in &mut calm.nodes {
+        let mut fault_free = *state;
+        fault_free.platform_down = false;
+        fault_free.crashes = 0;
+        fault_free.cuts = 0;
+        fault_free.outages = 0;
+        for node in &mut fault_free.nodes {
             node.cut_off = false;
         }
-        Some(calm)
+        Some(fault_free)
     }
 
-    fn settled(&self, state: &State) -> bool {
+    fn is_settled(&self, state: &State) -> bool {
         let nodes = &state.nodes[..self.bounds.nodes];
         nodes
             .iter()
-            .all(|node| node.phase == Phase::Running && node.enforced == state.head)
+            .all(|node| node.phase == Phase::Running && node.enforced_id == state.head)
     }
 }
--- a/crates/model/src/distribution/node_steps.rs
+++ b/crates/model/src/distribution/node_steps.rs
@@ -1,9 +1,9 @@
 //! Steps of nodes among each other: statements, starts, and what goes wrong.
 
-use super::Spread;
-use super::state::{Action, Mutation, Phase, State, bit, without_memory};
+use super::DistributionSpec;
+use super::state::{Action, Mutation, Phase, State, bit, crashed};
 
-impl Spread {
+impl DistributionSpec {
     pub(super) fn gossip_steps(&self, state: &State, steps: &mut Vec<(Action, State)>) {
         for from in 0..self.bounds.nodes {
             for to in self.peers(from) {
@@ -12,72 +12,76 @@
                     continue;
                 }
                 // What any process at that address has said may arrive at any time.
-                for version in 1..=state.nodes[from].highest {
+                for version in 1..=state.nodes[from].highest_enforced {
                     let mut next = *state;
                     let node = &mut next.nodes[to];
-                    node.memory[from] = self.remember(node.memory[from], version);
+                    node.highest_reported[from] =
+                        self.record_report(node.highest_reported[from], version);
                     if next != *state {
                         steps.push((Action::Gossip { from, to, version }, next));
                     }
                 }
-                if Self::reach(state, from, to) {
+                if Self::can_reach(state, from, to) {
                     let mut next = *state;
-                    for about in self.peers(from).filter(|about| *about != to) {
-                        let theirs = state.nodes[from].memory[about];
-                        let memory = &mut next.nodes[to].memory[about];
-                        *memory = (*memory).max(theirs);
+                    for subject in self.peers(from).filter(|subject| *subject != to) {
+                        let sender_report = state.nodes[from].highest_reported[subject];
+                        let highest_reported = &mut next.nodes[to].highest_reported[subject];
+                        *highest_reported = (*highest_reported).max(sender_report);
                     }
                     if next != *state {
-                        steps.push((Action::ShareView { from, to }, next));
+                        steps.push((Action::ForwardReports { from, to }, next));
                     }
                 }
             }
         }
     }
 
-    fn remember(&self, known: u8, said: u8) -> u8 {
+    fn record_report(&self, recorded: u8, reported: u8) -> u8 {
         match self.mutation {
-            Some(Mutation::RememberLatest) => said,
-            _ => known.max(said),
+            Some(Mutation::RecordLatestReport) => reported,
+            _ => recorded.max(reported),
         }
     }
 
     pub(super) fn start_steps(&self, state: &State, steps: &mut Vec<(Action, State)>) {
-        for at in 0..self.bounds.nodes {
-            match state.nodes[at].phase {
+        for index in 0..self.bounds.nodes {
+            match state.nodes[index].phase {
                 Phase::Running => {}
                 Phase::Down => {
                     let mut next = *state;
-                    next.nodes[at].phase = Phase::Starting;
-                    steps.push((Action::Restart(at), next));
+                    next.nodes[index].phase = Phase::Starting;
+                    steps.push((Action::Restart(index), next));
                 }
                 Phase::Starting => {
-                    for peer in self.answering(state, at) {
+                    for peer in self.answering_peers(state, index) {
                         let mut next = *state;
-                        let theirs = &state.nodes[peer];
-                        let node = &mut next.nodes[at];
-                        node.floor = node.floor.max(theirs.memory[at]);
-                        let said = self.version(theirs).max(theirs.staged);
-                        node.memory[peer] = node.memory[peer].max(said);
-                        for about in self.peers(at).filter(|about| *about != peer) {
-                            let memory = &mut node.memory[about];
-                            *memory = (*memory).max(theirs.memory[about]);
+                        let answering = &state.nodes[peer];
+                        let node = &mut next.nodes[index];
+                        node.floor = node.floor.max(answering.highest_reported[index]);
+                        let reported = self
+                            .enforced_version(answering)
+                            .max(answering.staged_version);
+                        node.highest_reported[peer] = node.highest_reported[peer].max(reported);
+                        for subject in self.peers(index).filter(|subject| *subject != peer) {
+                            let highest_reported = &mut node.highest_reported[subject];
+                            *highest_reported =
+                                (*highest_reported).max(answering.highest_reported[subject]);
                         }
-                        node.heard |= bit(peer);
-                        if self.mutation == Some(Mutation::RememberLatest) {
+                        node.answered_peers |= bit(peer);
+                        if self.mutation == Some(Mutation::RecordLatestReport) {
                             // The greeting of the new process, which enforces nothing yet.
-                            next.nodes[peer].memory[at] = 0;
+                            next.nodes[peer].highest_reported[index] = 0;
                         }
                         if next != *state {
-                            steps.push((Action::HearPeer(at, peer), next));
+                            steps.push((Action::QueryPeer(index, peer), next));
                         }
                     }
-                    if self.may_begin(state, at) {
+                    if self.may_finish_start(state, index) {
                         let mut next = *state;
-                        next.nodes[at].phase = Phase::Running;
-                        next.nodes[at].heard = 0;
-                        next.nodes[at].head_read = false;
-                        steps.push((Action::Begin(at), next));
+                        next.nodes[index].phase = Phase::Running;
+                        next.nodes[index].answered_peers = 0;
+                        next.nodes[index].head_read = false;
+                        steps.push((Action::FinishStart(index), next));
                     }
                 }
             }
@@ -85,33 +89,33 @@
     }
 
     pub(super) fn fault_steps(&self, state: &State, steps: &mut Vec<(Action, State)>) {
-        if state.platform_away {
+        if state.platform_down {
             let mut next = *state;
-            next.platform_away = false;
-            steps.push((Action::PlatformReturns, next));
+            next.platform_down = false;
+            steps.push((Action::PlatformRecovers, next));
         } else if state.outages > 0 {
             let mut next = *state;
-            next.platform_away = true;
+            next.platform_down = true;
             next.outages -= 1;
-            steps.push((Action::PlatformGoes, next));
+            steps.push((Action::PlatformFails, next));
         }
-        for at in 0..self.bounds.nodes {
-            let node = &state.nodes[at];
+        for index in 0..self.bounds.nodes {
+            let node = &state.nodes[index];
             if node.cut_off {
                 let mut next = *state;
-                next.nodes[at].cut_off = false;
-                steps.push((Action::Heal(at), next));
+                next.nodes[index].cut_off = false;
+                steps.push((Action::Heal(index), next));
             } else if state.cuts > 0 {
                 let mut next = *state;
-                next.nodes[at].cut_off = true;
+                next.nodes[index].cut_off = true;
                 next.cuts -= 1;
-                steps.push((Action::CutOff(at), next));
+                steps.push((Action::CutOff(index), next));
             }
             if node.phase != Phase::Down && state.crashes > 0 {
                 let mut next = *state;
                 next.crashes -= 1;
-                next.nodes[at] = without_memory(node);
-                steps.push((Action::Crash(at), next));
+                next.nodes[index] = crashed(node);
+                steps.push((Action::Crash(index), next));
             }
         }
     }
--- a/crates/model/src/distribution/state.rs
+++ b/crates/model/src/distribution/state.rs
@@ -1,6 +1,6 @@
 //! States, steps, bounds and rules of the specification.
 
-use crate::configurations::Form;
+use crate::configurations::ContentForm;
 
 /// Most nodes.
 pub const NODES_MAX: usize = 3;
@@ -20,7 +20,7 @@
     /// Times that the platform is away.
     pub outages: u8,
     /// A version that was accepted by mistake although a reference in it does not close.
-    pub open_version: Option<u8>,
+    pub dangling_version: Option<u8>,
 }
 
 /// How a node makes sure that its address never goes back.
@@ -31,16 +31,16 @@
     /// With too few peers in reach: wait for them, rather than enforce unwitnessed.
     pub waits_for_witnesses: bool,
     /// What a started node that could not read the head must have heard before it enforces.
-    pub start: Start,
+    pub start_condition: StartCondition,
 }
 
 /// What a started node that could not read the head must have heard before it enforces anything.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Start {
+pub enum StartCondition {
     /// Nothing: it starts without a floor.
-    Nothing,
+    Unconditional,
     /// Every peer in reach, at least one.
-    PeersInReach,
+    AllReachablePeers,
     /// All peers but so many.
     AllPeersBut(u32),
     /// It waits until it can read the head.
@@ -52,19 +52,19 @@
     pub const PEERS_ONLY: Self = Self {
         witnesses: 0,
         waits_for_witnesses: false,
-        start: Start::PeersInReach,
+        start_condition: StartCondition::AllReachablePeers,
     };
     /// No start without the head.
     pub const HEAD_ONLY: Self = Self {
         witnesses: 0,
         waits_for_witnesses: false,
-        start: Start::HeadOnly,
+        start_condition: StartCondition::HeadOnly,
     };
     /// One peer notes a version before it is enforced; a start hears every peer in reach.
     pub const ONE_WITNESS: Self = Self {
         witnesses: 1,
         waits_for_witnesses: true,
-        start: Start::PeersInReach,
+        start_condition: StartCondition::AllReachablePeers,
     };
     /// As [`Self::ONE_WITNESS`], but a node without peers in reach enforces unwitnessed.
     pub const ONE_WITNESS_IN_REACH: Self = Self {
@@ -73,19 +73,19 @@
     };
     /// As [`Self::ONE_WITNESS`], but a start does with the answers of all peers but one.
     pub const ONE_WITNESS_FEWER_ANSWERS: Self = Self {
-        start: Start::AllPeersBut(1),
+        start_condition: StartCondition::AllPeersBut(1),
         ..Self::ONE_WITNESS
     };
     /// As [`Self::TWO_WITNESSES`], but a start does with the answers of all peers but one.
     pub const TWO_WITNESSES_FEWER_ANSWERS: Self = Self {
-        start: Start::AllPeersBut(1),
+        start_condition: StartCondition::AllPeersBut(1),
         ..Self::TWO_WITNESSES
     };
     /// Two peers note a version before it is enforced; a start hears every peer in reach.
     pub const TWO_WITNESSES: Self = Self {
         witnesses: 2,
         waits_for_witnesses: true,
-        start: Start::PeersInReach,
+        start_condition: StartCondition::AllReachablePeers,
     };
 }
 
@@ -93,17 +93,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     /// Apply without comparing versions.
-    ApplyWithoutComparing,
+    ApplyWithoutVersionCheck,
     /// Apply a delta or snapshot without verifying the digest.
-    ApplyWithoutDigest,
+    ApplyWithoutDigestCheck,
     /// Apply without checking that references close.
-    ApplyWithoutClosureCheck,
+    ApplyWithoutReferenceCheck,
     /// Enforce team by team rather than all at once.
     ApplyInParts,
     /// Peers remember what an address last said, not the highest.
-    RememberLatest,
+    RecordLatestReport,
     /// A failed fetch is never repeated.
-    NeverFetchAgain,
+    NeverRetryFetch,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -118,28 +118,28 @@
 pub struct Node {
     pub(crate) phase: Phase,
     /// Number of the content enforced.
-    pub(crate) enforced: u8,
+    pub(crate) enforced_id: u8,
     pub(crate) floor: u8,
     /// Version whose content is held, verified, but not yet enforced (0: none), and the peers that
     /// have noted it.
-    pub(crate) staged: u8,
-    pub(crate) noted_by: u8,
+    pub(crate) staged_version: u8,
+    pub(crate) recorded_by: u8,
     /// Peers heard since the start.
-    pub(crate) heard: u8,
+    pub(crate) answered_peers: u8,
     pub(crate) head_read: bool,
     pub(crate) fetch_failed: bool,
     /// Highest version that each address has reported.
-    pub(crate) memory: [u8; NODES_MAX],
+    pub(crate) highest_reported: [u8; NODES_MAX],
     pub(crate) cut_off: bool,
     /// Highest version ever enforced at this address. Only the property looks at it.
-    pub(crate) highest: u8,
+    pub(crate) highest_enforced: u8,
 }
 
 /// The state of all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct State {
     pub(crate) head: u8,
-    pub(crate) platform_away: bool,
+    pub(crate) platform_down: bool,
     pub(crate) nodes: [Node; NODES_MAX],
     pub(crate) crashes: u8,
     pub(crate) cuts: u8,
@@ -152,9 +152,9 @@
 pub enum Action {
     Commit,
     ReadHead(usize),
-    FetchLost(usize),
-    Deliver(usize, Form, u8),
-    Note {
+    FetchFails(usize),
+    Deliver(usize, ContentForm, u8),
+    RecordAtPeer {
         node: usize,
         peer: usize,
         answer_lost: bool,
@@ -165,18 +165,18 @@
         to: usize,
         version: u8,
     },
-    ShareView {
+    ForwardReports {
         from: usize,
         to: usize,
     },
     Crash(usize),
     Restart(usize),
-    HearPeer(usize, usize),
-    Begin(usize),
+    QueryPeer(usize, usize),
+    FinishStart(usize),
     CutOff(usize),
     Heal(usize),
-    PlatformGoes,
-    PlatformReturns,
+    PlatformFails,
+    PlatformRecovers,
 }
 
 pub(crate) const fn bit(index: usize) -> u8 {
@@ -184,7 +184,7 @@
 }
 
 /// The orders in which three nodes can be numbered; the first two serve two nodes.
-pub(crate) const ORDERS: [[usize; NODES_MAX]; 6] = [
+pub(crate) const NODE_PERMUTATIONS: [[usize; NODES_MAX]; 6] = [
     [0, 1, 2],
     [1, 0, 2],
     [0, 2, 1],
@@ -193,39 +193,42 @@
     [2, 0, 1],
 ];
 
-pub(crate) fn renumbered(state: &State, order: [usize; NODES_MAX]) -> State {
-    let mask = |mask: u8| {
-        let moved = (0..NODES_MAX).filter(|to| mask & bit(order[*to]) != 0);
-        moved.fold(0, |sum, to| sum | bit(to))
+pub(crate) fn renumber_nodes(state: &State, permutation: [usize; NODES_MAX]) -> State {
+    let renumber_mask = |mask: u8| {
+        let new_indexes =
+            (0..NODES_MAX).filter(|new_index| mask & bit(permutation[*new_index]) != 0);
+        new_indexes.fold(0, |mask, new_index| mask | bit(new_index))
     };
-    let node = |to: usize| {
-        let node = &state.nodes[order[to]];
+    let renumbered_node = |new_index: usize| {
+        let node = &state.nodes[permutation[new_index]];
         Node {
-            noted_by: mask(node.noted_by),
-            heard: mask(node.heard),
-            memory: std::array::from_fn(|of| node.memory[order[of]]),
+            recorded_by: renumber_mask(node.recorded_by),
+            answered_peers: renumber_mask(node.answered_peers),
+            highest_reported: std::array::from_fn(|subject| {
+                node.highest_reported[permutation[subject]]
+            }),
             ..*node
         }
     };
     State {
-        nodes: std::array::from_fn(node),
+        nodes: std::array::from_fn(renumbered_node),
         ..*state
     }
 }
 
 /// What is left of a node when its process dies: what others have sent it, and what the property
 /// has noted.
-pub(crate) fn without_memory(node: &Node) -> Node {
+pub(crate) fn crashed(node: &Node) -> Node {
     Node {
         phase: Phase::Down,
-        enforced: 0,
+        enforced_id: 0,
         floor: 0,
-        staged: 0,
-        noted_by: 0,
-        heard: 0,
+        staged_version: 0,
+        recorded_by: 0,
+        answered_peers: 0,
         head_read: false,
         fetch_failed: false,
-        memory: [0; NODES_MAX],
+        highest_reported: [0; NODES_MAX],
         ..*node
     }
 }
--- a/crates/model/src/main.rs
+++ b/crates/model/src/main.rs
@@ -4,9 +4,9 @@
 
 use lexopt::prelude::*;
 use model::checker::{Report, Specification, check};
-use model::distribution::{Bounds, FloorRule, Spread};
-use model::publish::{self, Publish, Scenario};
-use model::request::{self, Requests};
+use model::distribution::{Bounds, DistributionSpec, FloorRule};
+use model::publish::{self, PublishSpec, Scenario};
+use model::request::{self, RequestSpec};
 
 const HELP: &str = "\
 Usage: model distribution [OPTIONS]
@@ -41,7 +41,7 @@
 
 type Result<T> = std::result::Result<T, lexopt::Error>;
 
-const RULES: [(&str, FloorRule); 7] = [
+const FLOOR_RULES: [(&str, FloorRule); 7] = [
     ("peers-only", FloorRule::PEERS_ONLY),
     ("head-only", FloorRule::HEAD_ONLY),
     ("one-witness", FloorRule::ONE_WITNESS),
@@ -71,9 +71,9 @@
 fn run() -> Result<bool> {
     let mut parser = lexopt::Parser::from_env();
     match parser.next()? {
-        Some(Value(name)) if name == "distribution" => distribution(&mut parser),
-        Some(Value(name)) if name == "publish" => publication(&mut parser),
-        Some(Value(name)) if name == "request" => requests(&mut parser),
+        Some(Value(name)) if name == "distribution" => check_distribution(&mut parser),
+        Some(Value(name)) if name == "publish" => check_publication(&mut parser),
+        Some(Value(name)) if name == "request" => check_requests(&mut parser),
         _ => {
             print!("{HELP}");
             Ok(true)
@@ -81,16 +81,16 @@
     }
 }
 
-fn distribution(parser: &mut lexopt::Parser) -> Result<bool> {
+fn check_distribution(parser: &mut lexopt::Parser) -> Result<bool> {
     let mut bounds = Bounds {
         nodes: 2,
         versions: 2,
         crashes: 2,
         cuts: 1,
         outages: 1,
-        open_version: None,
+        dangling_version: None,
     };
-    let mut only = None;
+    let mut selected_rule = None;
     while let Some(option) = parser.next()? {
         match option {
             Long("nodes") => bounds.nodes = parser.value()?.parse()?,
@@ -98,21 +98,21 @@
             Long("crashes") => bounds.crashes = parser.value()?.parse()?,
             Long("cuts") => bounds.cuts = parser.value()?.parse()?,
             Long("outages") => bounds.outages = parser.value()?.parse()?,
-            Long("open-version") => bounds.open_version = Some(parser.value()?.parse()?),
-            Long("rule") => only = Some(parser.value()?.string()?),
+            Long("open-version") => bounds.dangling_version = Some(parser.value()?.parse()?),
+            Long("rule") => selected_rule = Some(parser.value()?.string()?),
             _ => return Err(option.unexpected()),
         }
     }
-    let chosen = |name: &str| only.as_ref().is_none_or(|only| only == name);
+    let is_selected = |name: &str| selected_rule.as_ref().is_none_or(|rule| rule == name);
     let mut all_hold = true;
-    for (name, rule) in RULES.iter().filter(|(name, _)| chosen(name)) {
+    for (name, rule) in FLOOR_RULES.iter().filter(|(name, _)| is_selected(name)) {
         println!("Checking spread, apply and restart, floor rule {name}, {bounds:?}");
-        all_hold &= report(&Spread::new(bounds, *rule, None));
+        all_hold &= check_and_print(&DistributionSpec::new(bounds, *rule, None));
     }
     Ok(all_hold)
 }
 
-fn publication(parser: &mut lexopt::Parser) -> Result<bool> {
+fn check_publication(parser: &mut lexopt::Parser) -> Result<bool> {
     let (mut outages, mut losses, mut runs) = (1, 2, 3);
     while let Some(option) = parser.next()? {
         match option {
@@ -135,12 +135,12 @@
             runs,
         };
         println!("Checking publication by two operators, {bounds:?}");
-        all_hold &= report(&Publish::new(bounds, None));
+        all_hold &= check_and_print(&PublishSpec::new(bounds, None));
     }
     Ok(all_hold)
 }
 
-fn requests(parser: &mut lexopt::Parser) -> Result<bool> {
+fn check_requests(parser: &mut lexopt::Parser) -> Result<bool> {
     let (mut requests, mut attempts, mut faults) = (1, 3, 3);
     while let Some(option) = parser.next()? {
         match option {
@@ -159,13 +159,13 @@
             faults,
         };
         println!("Checking requests on their way, {bounds:?}");
-        all_hold &= report(&Requests::new(bounds, None));
+        all_hold &= check_and_print(&RequestSpec::new(bounds, None));
     }
     Ok(all_hold)
 }
 
 /// Checks and prints; whether all properties hold.
-fn report<T: Specification>(specification: &T) -> bool {
+fn check_and_print<T: Specification>(specification: &T) -> bool {
     let report: Report<T::State> = check(specification);
     println!(
         "Checked {} states, and {} without faults, in {:.2} s",
@@ -181,6 +181,6 @@
     for (number, step) in counterexample.steps.iter().enumerate() {
         println!("{:4}. {step}", number + 1);
     }
-    println!("      {:?}\n", counterexample.last);
+    println!("      {:?}\n", counterexample.final_state);
     false
 }
--- a/crates/model/src/operator.rs
+++ b/crates/model/src/operator.rs
@@ -1,6 +1,6 @@
 //! Runs the product's own `publish` one platform call at a time.
 //!
-//! An operator's command is a function of the answers that it has had. [`Operator::next`] runs it
+//! An operator's command is a function of the answers that it has had. [`Operator::progress_after`] runs it
 //! anew on those answers up to its next call and says which that is, so a model can choose every
 //! answer, let other operators run in between, and keep the answers as the command's whole state.
 //! Runs are remembered by their answers, so each is made once.
@@ -22,7 +22,7 @@
 
 /// A call of the platform's table.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum TableCall {
     /// Read a row.
     Row(String),
     /// Run a transaction.
@@ -46,7 +46,7 @@
 
 /// How a command ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum End {
+pub enum CommandOutcome {
     /// Done, as this version.
     Published(u64),
     /// Refused: the operator is told that nothing was changed.
@@ -57,11 +57,11 @@
 
 /// What a command does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Progress {
     /// It calls the platform.
-    Call(Call),
+    Call(TableCall),
     /// It has ended.
-    End(End),
+    Ended(CommandOutcome),
 }
 
 /// Which command is run.
@@ -86,7 +86,7 @@
     id: String,
     records: Vec<TeamRecord>,
     objects: Arc<Objects>,
-    known: RefCell<HashMap<(Command, Vec<Answer>), Next>>,
+    cached_runs: RefCell<HashMap<(Command, Vec<Answer>), Progress>>,
 }
 
 /// The object store of a model: everything that anybody has stored.
@@ -109,7 +109,7 @@
             id: id.to_owned(),
             records,
             objects: Arc::clone(objects),
-            known: RefCell::default(),
+            cached_runs: RefCell::default(),
         }
     }
 
@@ -124,51 +124,51 @@
     }
 
     /// What `command` does after `answers`.
-    pub fn next(&self, command: Command, answers: &[Answer]) -> Next {
+    pub fn progress_after(&self, command: Command, answers: &[Answer]) -> Progress {
         let key = (command, answers.to_vec());
-        if let Some(next) = self.known.borrow().get(&key) {
-            return next.clone();
+        if let Some(progress) = self.cached_runs.borrow().get(&key) {
+            return progress.clone();
         }
-        let next = self.run(command, answers);
-        self.known.borrow_mut().insert(key, next.clone());
-        next
+        let progress = self.replay(command, answers);
+        self.cached_runs.borrow_mut().insert(key, progress.clone());
+        progress
     }
 
-    fn run(&self, command: Command, answers: &[Answer]) -> Next {
-        let replay = Replay {
+    fn replay(&self, command: Command, answers: &[Answer]) -> Progress {
+        let platform = ReplayPlatform {
             answers: Mutex::new(answers.iter().cloned().collect()),
-            call: Mutex::default(),
+            pending_call: Mutex::default(),
             objects: Arc::clone(&self.objects),
         };
         let mut context = Context::from_waker(Waker::noop());
-        let ended = match command {
+        let outcome = match command {
             Command::Publish {
                 expected,
                 resumed,
                 new_id,
             } => {
                 let options = self.options(expected, resumed, new_id);
-                let run = pin!(publish::publish(&replay, &options));
-                run.poll(&mut context).map(|result| match result {
-                    Ok(published) => End::Published(published.stamp.version.0),
-                    Err(error) => ended_by(&error),
+                let command_run = pin!(publish::publish(&platform, &options));
+                command_run.poll(&mut context).map(|result| match result {
+                    Ok(published) => CommandOutcome::Published(published.stamp.version.0),
+                    Err(error) => outcome_of_error(&error),
                 })
             }
             Command::Settle => {
-                let run = pin!(publish::abandon(&replay, &self.id, "operator", 0));
-                run.poll(&mut context).map(|result| match result {
-                    Ok(Some(version)) => End::Published(version.0),
-                    Ok(None) => End::Refused,
-                    Err(error) => ended_by(&error),
+                let command_run = pin!(publish::abandon(&platform, &self.id, "operator", 0));
+                command_run.poll(&mut context).map(|result| match result {
+                    Ok(Some(version)) => CommandOutcome::Published(version.0),
+                    Ok(None) => CommandOutcome::Refused,
+                    Err(error) => outcome_of_error(&error),
                 })
             }
         };
-        match ended {
-            Poll::Ready(end) => Next::End(end),
+        match outcome {
+            Poll::Ready(outcome) => Progress::Ended(outcome),
             Poll::Pending => {
-                let call = replay.call.into_inner();
+                let call = platform.pending_call.into_inner();
                 let call = call.unwrap_or_else(PoisonError::into_inner);
-                Next::Call(call.expect("it waits for nothing but the platform"))
+                Progress::Call(call.expect("it waits for nothing but the platform"))
             }
         }
     }
@@ -189,31 +189,34 @@
     }
 }
 
-fn ended_by(error: &Error) -> End {
+fn outcome_of_error(error: &Error) -> CommandOutcome {
     match error {
         Error::OutcomeUnknown { expected, .. } | Error::Unsettled { expected, .. } => {
-            End::Unknown(expected.map(|version| version.0))
+            CommandOutcome::Unknown(expected.map(|version| version.0))
         }
-        _ => End::Refused,
+        _ => CommandOutcome::Refused,
     }
 }
 
 /// The platform of one run: gives the answers in turn, and then none.
-struct Replay {
+struct ReplayPlatform {
     answers: Mutex<VecDeque<Answer>>,
-    call: Mutex<Option<Call>>,
+    pending_call: Mutex<Option<TableCall>>,
     objects: Arc<Objects>,
 }
 
-impl Replay {
-    async fn answer(&self, call: Call) -> Answer {
+impl ReplayPlatform {
+    async fn answer(&self, call: TableCall) -> Answer {
         let answer = self
             .answers
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .pop_front();
         let Some(answer) = answer else {
-            *self.call.lock().unwrap_or_else(PoisonError::into_inner) = Some(call);
+            *self
+                .pending_call
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner) = Some(call);
             return std::future::pending().await;
         };
         answer
@@ -226,9 +229,9 @@
     }
 }
 
-impl Table for Replay {
+impl Table for ReplayPlatform {
     async fn transact(&self, transaction: &Transaction) -> store::Result<Outcome> {
-        match self.answer(Call::Transact(transaction.clone())).await {
+        match self.answer(TableCall::Transact(transaction.clone())).await {
             Answer::Committed => Ok(Outcome::Committed),
             Answer::ConditionFailed => Ok(Outcome::ConditionFailed),
             Answer::Lost => Err(store::Error::OutcomeUnknown {
@@ -239,7 +242,7 @@
     }
 
     async fn row(&self, key: &str) -> store::Result<Option<Row>> {
-        match self.answer(Call::Row(key.to_owned())).await {
+        match self.answer(TableCall::Row(key.to_owned())).await {
             Answer::Row(row) => Ok(row.map(|(revision, value)| Row { revision, value })),
             _ => Err(unavailable()),
         }
@@ -250,7 +253,7 @@
     }
 }
 
-impl ObjectStore for Replay {
+impl ObjectStore for ReplayPlatform {
     async fn put_object(&self, digest: &Digest, bytes: &[u8]) -> store::Result<()> {
         let mut objects = self
             .objects
@@ -269,11 +272,11 @@
 }
 
 /// Whether a row never changes once it is there.
-pub fn is_final_row(key: &str) -> bool {
+pub fn is_immutable_row(key: &str) -> bool {
     key.starts_with(VERSION_PREFIX)
 }
 
 /// Number of a version, for messages and comparisons.
-pub fn number(stamp: Stamp) -> u64 {
+pub fn version_number(stamp: Stamp) -> u64 {
     stamp.version.0
 }
--- a/crates/model/src/publish.rs
+++ b/crates/model/src/publish.rs
@@ -12,15 +12,17 @@
 mod state;
 
 use crate::checker::Specification;
-use crate::configurations::record;
-use crate::operator::{Answer, Call, Command, End, Next, Objects, Operator, is_final_row};
-use properties::head;
-use state::Write;
-pub use state::{Action, Bounds, Mutation, Running, Scenario, State};
+use crate::configurations::parse_team_record;
+use crate::operator::{
+    Answer, Command, CommandOutcome, Objects, Operator, Progress, TableCall, is_immutable_row,
+};
+use properties::head_version;
+use state::TableWrite;
+pub use state::{Action, Bounds, Mutation, OperatorState, Scenario, State};
 
 /// The protocol at given bounds.
 #[derive(Debug)]
-pub struct Publish {
+pub struct PublishSpec {
     bounds: Bounds,
     mutation: Option<Mutation>,
     operators: Vec<Operator>,
@@ -28,16 +30,22 @@
     initial: State,
 }
 
-impl Publish {
+impl PublishSpec {
     /// A protocol to check.
     pub fn new(bounds: Bounds, mutation: Option<Mutation>) -> Self {
         let objects = Arc::new(Objects::default());
-        let operators = teams_of(bounds.scenario)
+        let operators = published_teams(bounds.scenario)
             .iter()
             .enumerate()
-            .map(|(at, text)| Operator::new(&format!("id{at}"), vec![record(text)], &objects))
+            .map(|(index, text)| {
+                Operator::new(
+                    &format!("id{index}"),
+                    vec![parse_team_record(text)],
+                    &objects,
+                )
+            })
             .collect::<Vec<_>>();
-        let running = Running {
+        let first_run = OperatorState {
             command: Command::Publish {
                 expected: None,
                 resumed: false,
@@ -45,54 +53,59 @@
             },
             answers: Vec::new(),
             runs: 1,
-            saw: None,
-            ended: None,
+            head_seen: None,
+            outcome: None,
         };
         let mut spec = Self {
             bounds,
             mutation: None,
             initial: State {
                 rows: BTreeMap::new(),
-                in_flight: BTreeSet::new(),
-                operators: vec![running; operators.len()],
-                accepted: Vec::new(),
+                delayed_writes: BTreeSet::new(),
+                operators: vec![first_run; operators.len()],
+                accepted_rows: Vec::new(),
                 outages: bounds.outages,
                 losses: bounds.losses,
             },
             operators,
             objects,
         };
-        spec.initial = spec.first_version();
+        spec.initial = spec.publish_first_version();
         spec.mutation = mutation;
         spec
     }
 
     /// Publishes version 1 undisturbed.
-    fn first_version(&self) -> State {
-        let texts = [team("scales", "weigh", ""), team("prices", "read", "")];
-        let records = texts.iter().map(|text| record(text)).collect();
+    fn publish_first_version(&self) -> State {
+        let texts = [
+            team_file("scales", "weigh", ""),
+            team_file("prices", "read", ""),
+        ];
+        let records = texts.iter().map(|text| parse_team_record(text)).collect();
         let operator = Operator::new("first", records, &self.objects);
         let command = self.initial.operators[0].command;
         let mut state = self.initial.clone();
         let mut answers = Vec::new();
-        while let Next::Call(call) = operator.next(command, &answers) {
+        while let Progress::Call(call) = operator.progress_after(command, &answers) {
             answers.push(match call {
-                Call::Row(key) => Answer::Row(state.rows.get(&key).cloned()),
-                Call::Transact(transaction) => self.run(&mut state, &Write::new(&transaction)),
+                TableCall::Row(key) => Answer::Row(state.rows.get(&key).cloned()),
+                TableCall::Transact(transaction) => {
+                    self.transact(&mut state, &TableWrite::new(&transaction))
+                }
             });
         }
         state
     }
 
-    fn run(&self, state: &mut State, write: &Write) -> Answer {
-        let needed = |(key, _): &&(String, u64)| match self.mutation {
+    fn transact(&self, state: &mut State, write: &TableWrite) -> Answer {
+        let is_checked = |(key, _): &&(String, u64)| match self.mutation {
             Some(Mutation::WithoutHeadCondition) => key != HEAD_KEY,
-            Some(Mutation::Unconditionally) => false,
+            Some(Mutation::CommitUnconditionally) => false,
             Some(Mutation::WithoutIdCondition) => !key.starts_with("publish/"),
             _ => true,
         };
         let revision = |key: &String| state.rows.get(key).map_or(0, |row| row.0);
-        let mut conditions = write.conditions.iter().filter(needed);
+        let mut conditions = write.conditions.iter().filter(is_checked);
         if !conditions.all(|(key, expected)| revision(key) == *expected) {
             return Answer::ConditionFailed;
         }
@@ -100,8 +113,8 @@
             let row = state.rows.entry(key.clone()).or_default();
             row.0 += 1;
             row.1.clone_from(value);
-            if is_final_row(key) {
-                state.accepted.push(value.clone());
+            if is_immutable_row(key) {
+                state.accepted_rows.push(value.clone());
             }
             if self.mutation == Some(Mutation::CommitInParts) {
                 break;
@@ -111,77 +124,88 @@
     }
 
     /// Gives an operator an answer, and then all that can be answered at any time alike.
-    fn answered(&self, state: &mut State, at: usize, answer: Answer) {
-        let running = &mut state.operators[at];
-        running.answers.push(answer);
-        while let Next::Call(Call::Row(key)) =
-            self.operators[at].next(running.command, &running.answers)
-            && is_final_row(&key)
+    fn deliver_answer(&self, state: &mut State, index: usize, answer: Answer) {
+        let operator_state = &mut state.operators[index];
+        operator_state.answers.push(answer);
+        while let Progress::Call(TableCall::Row(key)) =
+            self.operators[index].progress_after(operator_state.command, &operator_state.answers)
+            && is_immutable_row(&key)
         {
             let row = state.rows.get(&key).cloned();
-            running.answers.push(Answer::Row(row));
+            operator_state.answers.push(Answer::Row(row));
         }
     }
 
-    fn operator_steps(&self, state: &State, at: usize, steps: &mut Vec<(Action, State)>) {
-        let running = &state.operators[at];
-        if let Some(end) = running.ended {
-            if let End::Unknown(seen) = end {
-                self.run_again(state, at, seen, steps);
+    fn operator_steps(&self, state: &State, index: usize, steps: &mut Vec<(Action, State)>) {
+        let operator_state = &state.operators[index];
+        if let Some(outcome) = operator_state.outcome {
+            if let CommandOutcome::Unknown(reported_head) = outcome {
+                self.rerun_steps(state, index, reported_head, steps);
             }
             return;
         }
         let mut step = |action, answer, mut next: State| {
-            self.answered(&mut next, at, answer);
+            self.deliver_answer(&mut next, index, answer);
             steps.push((action, next));
         };
-        let operator = at;
-        let call = match self.operators[at].next(running.command, &running.answers) {
-            Next::End(end) => {
+        let operator = index;
+        let call = match self.operators[index]
+            .progress_after(operator_state.command, &operator_state.answers)
+        {
+            Progress::Ended(outcome) => {
                 let mut next = state.clone();
-                next.operators[at].ended = Some(self.told(end));
-                next.operators[at].answers.clear();
-                steps.push((Action::Ends { operator, end }, next));
+                next.operators[index].outcome = Some(self.reported_outcome(outcome));
+                next.operators[index].answers.clear();
+                steps.push((Action::CommandEnds { operator, outcome }, next));
                 return;
             }
-            Next::Call(call) => call,
+            Progress::Call(call) => call,
         };
         if state.outages > 0 {
             let mut next = state.clone();
             next.outages -= 1;
-            step(Action::PlatformAway { operator }, Answer::Unavailable, next);
+            step(
+                Action::PlatformUnavailable { operator },
+                Answer::Unavailable,
+                next,
+            );
         }
         match call {
-            Call::Row(key) => {
+            TableCall::Row(key) => {
                 let row = state.rows.get(&key).cloned();
                 let mut next = state.clone();
-                if key == HEAD_KEY && running.saw.is_none() {
-                    next.operators[at].saw = Some(head(state));
+                if key == HEAD_KEY && operator_state.head_seen.is_none() {
+                    next.operators[index].head_seen = Some(head_version(state));
                 }
                 step(Action::Reads { operator, key }, Answer::Row(row), next);
             }
-            Call::Transact(transaction) => {
-                let write = Write::new(&transaction);
+            TableCall::Transact(transaction) => {
+                let write = TableWrite::new(&transaction);
                 let mut next = state.clone();
-                let answer = self.run(&mut next, &write);
+                let answer = self.transact(&mut next, &write);
                 let action = match answer {
                     Answer::Committed => Action::Commits { operator },
                     _ => Action::ConditionFails { operator },
                 };
-                let effect = next.clone();
+                let after_transaction = next.clone();
                 step(action, answer, next);
                 if state.losses == 0 {
                     return;
                 }
-                for on_its_way_back in [true, false] {
-                    let mut next = if on_its_way_back { &effect } else { state }.clone();
+                for request_arrived in [true, false] {
+                    let mut next = if request_arrived {
+                        &after_transaction
+                    } else {
+                        state
+                    }
+                    .clone();
                     next.losses -= 1;
-                    if !on_its_way_back {
-                        next.in_flight.insert(write.clone());
+                    if !request_arrived {
+                        next.delayed_writes.insert(write.clone());
                     }
                     let action = Action::AnswerLost {
                         operator,
-                        on_its_way_back,
+                        request_arrived,
                     };
                     step(action, Answer::Lost, next);
                 }
@@ -189,29 +213,32 @@
         }
     }
 
-    fn told(&self, end: End) -> End {
-        match (self.mutation, end) {
-            (Some(Mutation::LostMeansRefused), End::Unknown(_)) => End::Refused,
-            _ => end,
+    fn reported_outcome(&self, outcome: CommandOutcome) -> CommandOutcome {
+        match (self.mutation, outcome) {
+            (Some(Mutation::LostAnswerMeansRefused), CommandOutcome::Unknown(_)) => {
+                CommandOutcome::Refused
+            }
+            _ => outcome,
         }
     }
 
-    fn run_again(
+    fn rerun_steps(
         &self,
         state: &State,
-        at: usize,
-        seen: Option<u64>,
+        index: usize,
+        reported_head: Option<u64>,
         steps: &mut Vec<(Action, State)>,
     ) {
-        let running = &state.operators[at];
-        if running.runs >= self.bounds.runs {
+        let operator_state = &state.operators[index];
+        if operator_state.runs >= self.bounds.runs {
             return;
         }
-        let seen = match running.command {
-            Command::Publish { .. } => seen,
+        let reported_head = match operator_state.command {
+            Command::Publish { .. } => reported_head,
             Command::Settle => None,
         };
-        let expected = seen.filter(|_| self.mutation != Some(Mutation::ResumeOnNewHead));
+        let expected =
+            reported_head.filter(|_| self.mutation != Some(Mutation::ResumeOnCurrentHead));
         let resume = Command::Publish {
             expected,
             resumed: self.mutation != Some(Mutation::ResumeAsFirstRun),
@@ -219,20 +246,20 @@
         };
         let mut commands = vec![Command::Settle];
         // Without the version that was seen, the product refuses to go on with the files.
-        if seen.is_some() {
+        if reported_head.is_some() {
             commands.push(resume);
         }
         for command in commands {
             let mut next = state.clone();
-            next.operators[at] = Running {
+            next.operators[index] = OperatorState {
                 command,
                 answers: Vec::new(),
-                runs: running.runs + 1,
-                saw: running.saw,
-                ended: None,
+                runs: operator_state.runs + 1,
+                head_seen: operator_state.head_seen,
+                outcome: None,
             };
-            let action = Action::RunsAgain {
-                operator: at,
+            let action = Action::RunsCommandAgain {
+                operator: index,
                 command,
             };
             steps.push((action, next));
@@ -240,18 +267,27 @@
     }
 }
 
-fn teams_of(scenario: Scenario) -> Vec<String> {
+fn published_teams(scenario: Scenario) -> Vec<String> {
     match scenario {
-        Scenario::SameTeam => vec![team("scales", "sheet", ""), team("scales", "photo", "")],
-        Scenario::DifferentTeams => vec![team("scales", "sheet", ""), team("prices", "list", "")],
+        Scenario::SameTeam => vec![
+            team_file("scales", "sheet", ""),
+            team_file("scales", "photo", ""),
+        ],
+        Scenario::DifferentTeams => vec![
+            team_file("scales", "sheet", ""),
+            team_file("prices", "list", ""),
+        ],
         Scenario::CrossReference => {
             let calls = "[calls]\nscales = [\"weigh\"]\n";
-            vec![team("scales", "sheet", ""), team("prices", "read", calls)]
+            vec![
+                team_file("scales", "sheet", ""),
+                team_file("prices", "read", calls),
+            ]
         }
     }
 }
 
-fn team(name: &str, resource: &str, calls: &str) -> String {
+fn team_file(name: &str, resource: &str, calls: &str) -> String {
     format!(
         "team = \"{name}\"\n[service.{name}]\nslots_per_endpoint = 1\n\
          connections_per_endpoint = 1\n[service.{name}.resource.{resource}]\nidempotent = true\n\
@@ -259,7 +295,7 @@
     )
 }
 
-impl Specification for Publish {
+impl Specification for PublishSpec {
     type State = State;
     type Action = Action;
 
@@ -269,36 +305,40 @@
 
     fn steps(&self, state: &State) -> Vec<(Action, State)> {
         let mut steps = Vec::new();
-        for at in 0..self.operators.len() {
-            self.operator_steps(state, at, &mut steps);
+        for index in 0..self.operators.len() {
+            self.operator_steps(state, index, &mut steps);
         }
-        for write in &state.in_flight {
+        for write in &state.delayed_writes {
             let mut next = state.clone();
-            if self.run(&mut next, write) == Answer::Committed {
-                steps.push((Action::LostWriteArrives, next));
+            if self.transact(&mut next, write) == Answer::Committed {
+                steps.push((Action::DelayedWriteArrives, next));
             }
         }
         steps
     }
 
-    fn violated(&self, state: &State) -> Option<&'static str> {
+    fn violated_property(&self, state: &State) -> Option<&'static str> {
         self.first_violation(state)
     }
 
     /// Every command may then be run again once more, which has to settle it.
     fn without_faults(&self, state: &State) -> Option<State> {
-        let mut calm = state.clone();
-        calm.outages = 0;
-        calm.losses = 0;
-        for operator in &mut calm.operators {
+        let mut fault_free = state.clone();
+        fault_free.outages = 0;
+        fault_free.losses = 0;
+        for operator in &mut fault_free.operators {
             operator.runs = operator.runs.min(self.bounds.runs - 1);
         }
-        Some(calm)
+        Some(fault_free)
     }
 
-    fn settled(&self, state: &State) -> bool {
-        let known =
-            |running: &Running| matches!(running.ended, Some(End::Published(_) | End::Refused));
-        state.operators.iter().all(known)
+    fn is_settled(&self, state: &State) -> bool {
+        let is_outcome_known = |operator_state: &OperatorState| {
+            matches!(
+                operator_state.outcome,
+                Some(CommandOutcome::Published(_) | CommandOutcome::Refused)
+            )
+        };
+        state.operators.iter().all(is_outcome_known)
     }
 }
--- a/crates/model/src/publish/state.rs
+++ b/crates/model/src/publish/state.rs
@@ -4,7 +4,7 @@
 
 use dragonflywall::store::{Condition, Transaction};
 
-use crate::operator::{Answer, Command, End};
+use crate::operator::{Answer, Command, CommandOutcome};
 
 /// What the operators publish at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,29 +38,29 @@
     /// Commit without the condition on the publication's id.
     WithoutIdCondition,
     /// Put the rows whatever is there.
-    Unconditionally,
+    CommitUnconditionally,
     /// Write the head, the version's row and the id one after the other.
     CommitInParts,
     /// Run a lost publication again under a new id.
     NewIdOnResume,
     /// Resume on the head of the moment, not on the version that the operator has seen.
-    ResumeOnNewHead,
+    ResumeOnCurrentHead,
     /// Resume as if no earlier run were unsettled: any failure is a refusal.
     ResumeAsFirstRun,
     /// Take a lost answer for a refusal.
-    LostMeansRefused,
+    LostAnswerMeansRefused,
 }
 
 /// One operator's command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Running {
+pub struct OperatorState {
     pub(super) command: Command,
     pub(super) answers: Vec<Answer>,
     pub(super) runs: u8,
     /// The version that the operator saw when the first run read the head. Only a property looks
     /// at it.
-    pub(super) saw: Option<u64>,
-    pub(super) ended: Option<End>,
+    pub(super) head_seen: Option<u64>,
+    pub(super) outcome: Option<CommandOutcome>,
 }
 
 /// The state of table, network and operators.
@@ -68,22 +68,22 @@
 pub struct State {
     pub(super) rows: BTreeMap<String, (u64, String)>,
     /// Writes on their way, as (conditions, puts).
-    pub(super) in_flight: BTreeSet<Write>,
-    pub(super) operators: Vec<Running>,
+    pub(super) delayed_writes: BTreeSet<TableWrite>,
+    pub(super) operators: Vec<OperatorState>,
     /// Versions' rows in the order in which they were accepted. Only properties look at it.
-    pub(super) accepted: Vec<String>,
+    pub(super) accepted_rows: Vec<String>,
     pub(super) outages: u8,
     pub(super) losses: u8,
 }
 
 /// A transaction in a form that can be ordered and hashed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(super) struct Write {
+pub(super) struct TableWrite {
     pub(super) conditions: Vec<(String, u64)>,
     pub(super) puts: Vec<(String, String)>,
 }
 
-impl Write {
+impl TableWrite {
     pub(super) fn new(transaction: &Transaction) -> Self {
         let condition = |condition: &Condition| match condition {
             Condition::Absent { key } => (key.clone(), 0),
@@ -104,7 +104,7 @@
         operator: usize,
         key: String,
     },
-    PlatformAway {
+    PlatformUnavailable {
         operator: usize,
     },
     Commits {
@@ -115,14 +115,14 @@
     },
     AnswerLost {
         operator: usize,
-        on_its_way_back: bool,
+        request_arrived: bool,
     },
-    LostWriteArrives,
-    Ends {
+    DelayedWriteArrives,
+    CommandEnds {
         operator: usize,
-        end: End,
+        outcome: CommandOutcome,
     },
-    RunsAgain {
+    RunsCommandAgain {
         operator: usize,
         command: Command,
     },
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -18,7 +18,7 @@
 /// Requests at most.
 pub const REQUESTS_MAX: usize = 2;
 /// Gates, each with its backend server.
-pub const GATES: usize = 2;
+pub const GATE_COUNT: usize = 2;
 
 /// How far the search goes.
 #[derive(Clone, Copy, Debug)]
@@ -39,17 +39,17 @@
     /// Try a non-idempotent request again whatever became of it.
     RetryAlways,
     /// Say "not run" when a connection is lost after forwarding began.
-    LostMeansNotRun,
+    LostConnectionMeansNotRun,
     /// Say "not run" when the deadline passes after forwarding began.
     TimeoutMeansNotRun,
     /// Forward a request that has been taken out of the queue as refused.
-    RunRefused,
+    RunRefusedRequest,
     /// Use a connection for another request while an answer is outstanding on it.
-    ReuseWithAnswerOutstanding,
+    ReuseConnectionWithAnswerOutstanding,
     /// Tell the verdict of the last attempt alone.
-    ForgetEarlierAttempts,
+    IgnoreEarlierAttempts,
     /// Never answer a request whose attempt was lost.
-    HoldBack,
+    NeverAnswerAfterFailure,
 }
 
 /// Where an attempt is.
@@ -64,7 +64,7 @@
     /// Refused by the gate; the refusal is on its way back.
     Refused,
     /// Nothing of it is left.
-    Over,
+    Finished,
 }
 
 /// One attempt of one request.
@@ -74,34 +74,34 @@
     gate: usize,
     stage: Stage,
     /// Whether the entry still waits for it.
-    awaited: bool,
+    entry_waits: bool,
     /// Whether the gate still waits for the backend server's answer.
     gate_waits: bool,
 }
 
 /// What a caller has been told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Told {
+pub enum CallerOutcome {
     /// Nothing yet.
-    Waiting,
+    Pending,
     /// The answer to this request.
-    Answer(usize),
+    Answered(usize),
     /// It did not run.
     NotRun,
     /// It may have run.
     MayHaveRun,
     /// The connection broke: the caller knows nothing.
-    Broken,
+    ConnectionLost,
 }
 
 /// One caller's request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Request {
-    told: Told,
+    outcome: CallerOutcome,
     /// The attempts that failed, and whether each was proved not to have run.
     proved_not_run: Vec<bool>,
     /// Times that a backend server ran it.
-    ran: u8,
+    run_count: u8,
 }
 
 /// The state of all.
@@ -110,7 +110,7 @@
     requests: Vec<Request>,
     attempts: Vec<Attempt>,
     /// Request whose answer is still outstanding on a gate's idle connection to its backend server.
-    outstanding: [Option<usize>; GATES],
+    outstanding_answers: [Option<usize>; GATE_COUNT],
     faults: u8,
 }
 
@@ -120,42 +120,42 @@
 pub enum Action {
     Forward { request: usize, gate: usize },
     Refuse { attempt: usize },
-    Hand { attempt: usize },
+    HandToBackend { attempt: usize },
     Run { attempt: usize },
-    Answer { attempt: usize },
+    AnswerArrives { attempt: usize },
     RefusalArrives { attempt: usize },
-    LateAnswerTaken { attempt: usize },
+    LateAnswerUsed { attempt: usize },
     PeerConnectionLost { attempt: usize },
     BackendConnectionLost { attempt: usize },
-    Deadline { attempt: usize },
-    GateDies { gate: usize },
-    BackendServerDies { gate: usize },
-    EntryDies,
-    CallerHangsUp { request: usize },
+    DeadlinePasses { attempt: usize },
+    GateCrashes { gate: usize },
+    BackendServerCrashes { gate: usize },
+    EntryCrashes,
+    CallerDisconnects { request: usize },
 }
 
 /// The protocol at given bounds.
 #[derive(Debug)]
-pub struct Requests {
+pub struct RequestSpec {
     bounds: Bounds,
     mutation: Option<Mutation>,
 }
 
-impl Requests {
+impl RequestSpec {
     /// A protocol to check.
     pub fn new(bounds: Bounds, mutation: Option<Mutation>) -> Self {
         Self { bounds, mutation }
     }
 
-    fn mutated(&self, mutation: Mutation) -> bool {
+    fn has_mutation(&self, mutation: Mutation) -> bool {
         self.mutation == Some(mutation)
     }
 
     /// Whether the product tries again after these failures.
-    fn tries_again(&self, proved_not_run: &[bool]) -> bool {
+    fn retries_after(&self, proved_not_run: &[bool]) -> bool {
         let treatment = Treatment {
             class: Class::Interactive,
-            idempotent: self.bounds.idempotent || self.mutated(Mutation::RetryAlways),
+            idempotent: self.bounds.idempotent || self.has_mutation(Mutation::RetryAlways),
             timeout_ms: 1,
             attempts: self.bounds.attempts,
             spill: Spill::Mesh,
@@ -168,62 +168,73 @@
             true => Failed::NotRun,
             false => Failed::MayHaveRun,
         });
-        let again = failures.map(|failed| attempts.again(failed, &mut tokens));
-        again.last().unwrap_or(true)
+        let retries = failures.map(|failed| attempts.again(failed, &mut tokens));
+        retries.last().unwrap_or(true)
     }
 
     /// The entry learns that an attempt failed: tries again, or tells the caller at once.
-    fn failed(&self, state: &mut State, attempt: usize, verdict: Verdict) {
-        state.attempts[attempt].awaited = false;
+    fn record_failure(&self, state: &mut State, attempt: usize, verdict: Verdict) {
+        state.attempts[attempt].entry_waits = false;
         let request = &mut state.requests[state.attempts[attempt].request];
-        if request.told != Told::Waiting {
+        if request.outcome != CallerOutcome::Pending {
             return;
         }
         request.proved_not_run.push(verdict == Verdict::NotRun);
-        if self.tries_again(&request.proved_not_run) {
+        if self.retries_after(&request.proved_not_run) {
             return;
         }
         // One attempt that may have run taints all that follow.
-        let earlier = request.proved_not_run.iter().all(|proved| *proved);
-        let proved = earlier || self.mutated(Mutation::ForgetEarlierAttempts);
-        request.told = match verdict {
-            Verdict::NotRun if proved => Told::NotRun,
-            _ => Told::MayHaveRun,
+        let all_not_run = request.proved_not_run.iter().all(|proved| *proved);
+        let report_not_run = all_not_run || self.has_mutation(Mutation::IgnoreEarlierAttempts);
+        request.outcome = match verdict {
+            Verdict::NotRun if report_not_run => CallerOutcome::NotRun,
+            _ => CallerOutcome::MayHaveRun,
         };
     }
 
-    fn lost(&self) -> Verdict {
-        match self.mutated(Mutation::LostMeansNotRun) {
+    fn lost_connection_verdict(&self) -> Verdict {
+        match self.has_mutation(Mutation::LostConnectionMeansNotRun) {
             true => Verdict::NotRun,
             false => Verdict::MayHaveRun,
         }
     }
 
     fn forward_steps(&self, state: &State, steps: &mut Vec<(Action, State)>) {
-        for (at, request) in state.requests.iter().enumerate() {
-            let awaited = |attempt: &Attempt| attempt.request == at && attempt.awaited;
-            if request.told != Told::Waiting || state.attempts.iter().any(awaited) {
+        for (index, request) in state.requests.iter().enumerate() {
+            let is_in_progress =
+                |attempt: &Attempt| attempt.request == index && attempt.entry_waits;
+            if request.outcome != CallerOutcome::Pending
+                || state.attempts.iter().any(is_in_progress)
+            {
                 continue;
             }
-            if self.mutated(Mutation::HoldBack) && !request.proved_not_run.is_empty() {
+            if self.has_mutation(Mutation::NeverAnswerAfterFailure)
+                && !request.proved_not_run.is_empty()
+            {
                 continue;
             }
-            for gate in 0..GATES {
+            for gate in 0..GATE_COUNT {
                 let mut next = state.clone();
                 next.attempts.push(Attempt {
-                    request: at,
+                    request: index,
                     gate,
                     stage: Stage::AtGate,
-                    awaited: true,
+                    entry_waits: true,
                     gate_waits: false,
                 });
-                steps.push((Action::Forward { request: at, gate }, next));
+                steps.push((
+                    Action::Forward {
+                        request: index,
+                        gate,
+                    },
+                    next,
+                ));
             }
         }
     }
 
-    fn attempt_steps(&self, state: &State, at: usize, steps: &mut Vec<(Action, State)>) {
-        let attempt = &state.attempts[at];
+    fn attempt_steps(&self, state: &State, index: usize, steps: &mut Vec<(Action, State)>) {
+        let attempt = &state.attempts[index];
         let mut step = |action, change: &dyn Fn(&mut State)| {
             let mut next = state.clone();
             change(&mut next);
@@ -231,57 +242,63 @@
         };
         match attempt.stage {
             Stage::AtGate => {
-                step(Action::Refuse { attempt: at }, &|next| {
-                    next.attempts[at].stage = Stage::Refused;
+                step(Action::Refuse { attempt: index }, &|next| {
+                    next.attempts[index].stage = Stage::Refused;
                 });
-                let reuse = self.mutated(Mutation::ReuseWithAnswerOutstanding);
-                let outstanding = state.outstanding[attempt.gate];
-                step(Action::Hand { attempt: at }, &|next| {
-                    next.attempts[at].stage = Stage::Sent;
-                    next.attempts[at].gate_waits = true;
+                let reuses_connection =
+                    self.has_mutation(Mutation::ReuseConnectionWithAnswerOutstanding);
+                let outstanding_answer = state.outstanding_answers[attempt.gate];
+                step(Action::HandToBackend { attempt: index }, &|next| {
+                    next.attempts[index].stage = Stage::Sent;
+                    next.attempts[index].gate_waits = true;
                 });
-                if let (true, Some(earlier)) = (reuse && attempt.awaited, outstanding) {
-                    step(Action::LateAnswerTaken { attempt: at }, &|next| {
-                        next.attempts[at].stage = Stage::Over;
-                        next.outstanding[attempt.gate] = None;
-                        next.attempts[at].awaited = false;
+                if let (true, Some(earlier)) =
+                    (reuses_connection && attempt.entry_waits, outstanding_answer)
+                {
+                    step(Action::LateAnswerUsed { attempt: index }, &|next| {
+                        next.attempts[index].stage = Stage::Finished;
+                        next.outstanding_answers[attempt.gate] = None;
+                        next.attempts[index].entry_waits = false;
                         let request = &mut next.requests[attempt.request];
-                        if request.told == Told::Waiting {
-                            request.told = Told::Answer(earlier);
+                        if request.outcome == CallerOutcome::Pending {
+                            request.outcome = CallerOutcome::Answered(earlier);
                         }
                     });
                 }
             }
-            Stage::Sent => step(Action::Run { attempt: at }, &|next| {
-                next.requests[attempt.request].ran += 1;
-                next.attempts[at].stage = Stage::Ran;
+            Stage::Sent => step(Action::Run { attempt: index }, &|next| {
+                next.requests[attempt.request].run_count += 1;
+                next.attempts[index].stage = Stage::Ran;
                 if !attempt.gate_waits {
                     // The gate has given up on it, and so on the connection.
-                    next.outstanding[attempt.gate] = Some(attempt.request);
+                    next.outstanding_answers[attempt.gate] = Some(attempt.request);
                 }
             }),
-            Stage::Ran => step(Action::Answer { attempt: at }, &|next| {
-                next.attempts[at].stage = Stage::Over;
+            Stage::Ran => step(Action::AnswerArrives { attempt: index }, &|next| {
+                next.attempts[index].stage = Stage::Finished;
                 let request = &mut next.requests[attempt.request];
-                if attempt.gate_waits && attempt.awaited && request.told == Told::Waiting {
-                    request.told = Told::Answer(attempt.request);
+                if attempt.gate_waits
+                    && attempt.entry_waits
+                    && request.outcome == CallerOutcome::Pending
+                {
+                    request.outcome = CallerOutcome::Answered(attempt.request);
                 }
-                next.attempts[at].awaited = false;
+                next.attempts[index].entry_waits = false;
             }),
             Stage::Refused => {
-                step(Action::RefusalArrives { attempt: at }, &|next| {
-                    next.attempts[at].stage = Stage::Over;
-                    if attempt.awaited {
-                        self.failed(next, at, Verdict::NotRun);
+                step(Action::RefusalArrives { attempt: index }, &|next| {
+                    next.attempts[index].stage = Stage::Finished;
+                    if attempt.entry_waits {
+                        self.record_failure(next, index, Verdict::NotRun);
                     }
                 });
-                if self.mutated(Mutation::RunRefused) {
-                    step(Action::Hand { attempt: at }, &|next| {
-                        next.requests[attempt.request].ran += 1;
+                if self.has_mutation(Mutation::RunRefusedRequest) {
+                    step(Action::HandToBackend { attempt: index }, &|next| {
+                        next.requests[attempt.request].run_count += 1;
                     });
                 }
             }
-            Stage::Over => {}
+            Stage::Finished => {}
         }
     }
 
@@ -295,95 +312,96 @@
             change(&mut next);
             steps.push((action, next));
         };
-        for (at, attempt) in state.attempts.iter().enumerate() {
-            if attempt.awaited {
+        for (index, attempt) in state.attempts.iter().enumerate() {
+            if attempt.entry_waits {
                 // What is at the gate goes on there: the entry only does not hear of it.
-                step(Action::PeerConnectionLost { attempt: at }, &|next| {
-                    self.failed(next, at, self.lost());
+                step(Action::PeerConnectionLost { attempt: index }, &|next| {
+                    self.record_failure(next, index, self.lost_connection_verdict());
                 });
-                step(Action::Deadline { attempt: at }, &|next| {
-                    let verdict = match self.mutated(Mutation::TimeoutMeansNotRun) {
+                step(Action::DeadlinePasses { attempt: index }, &|next| {
+                    let verdict = match self.has_mutation(Mutation::TimeoutMeansNotRun) {
                         true => Verdict::NotRun,
                         false => Verdict::MayHaveRun,
                     };
-                    next.attempts[at].gate_waits = false;
-                    self.failed(next, at, verdict);
+                    next.attempts[index].gate_waits = false;
+                    self.record_failure(next, index, verdict);
                 });
             }
             if matches!(attempt.stage, Stage::Sent | Stage::Ran) && attempt.gate_waits {
                 // What was sent may still run.
-                step(Action::BackendConnectionLost { attempt: at }, &|next| {
-                    next.attempts[at].gate_waits = false;
-                    self.failed(next, at, self.lost());
+                step(Action::BackendConnectionLost { attempt: index }, &|next| {
+                    next.attempts[index].gate_waits = false;
+                    self.record_failure(next, index, self.lost_connection_verdict());
                 });
             }
         }
-        for gate in 0..GATES {
+        for gate in 0..GATE_COUNT {
             if state.attempts.iter().any(|attempt| attempt.gate == gate) {
-                step(Action::GateDies { gate }, &|next| {
-                    self.die(next, gate, |stage| stage != Stage::Sent);
+                step(Action::GateCrashes { gate }, &|next| {
+                    self.crash(next, gate, |stage| stage != Stage::Sent);
                 });
-                step(Action::BackendServerDies { gate }, &|next| {
-                    self.die(next, gate, |stage| {
+                step(Action::BackendServerCrashes { gate }, &|next| {
+                    self.crash(next, gate, |stage| {
                         matches!(stage, Stage::Sent | Stage::Ran)
                     });
                 });
             }
         }
-        step(Action::EntryDies, &|next| {
+        step(Action::EntryCrashes, &|next| {
             for request in &mut next.requests {
-                if request.told == Told::Waiting {
-                    request.told = Told::Broken;
+                if request.outcome == CallerOutcome::Pending {
+                    request.outcome = CallerOutcome::ConnectionLost;
                 }
             }
             for attempt in &mut next.attempts {
-                attempt.awaited = false;
+                attempt.entry_waits = false;
             }
         });
-        for (at, request) in state.requests.iter().enumerate() {
-            if request.told == Told::Waiting {
-                step(Action::CallerHangsUp { request: at }, &|next| {
-                    next.requests[at].told = Told::Broken;
+        for (index, request) in state.requests.iter().enumerate() {
+            if request.outcome == CallerOutcome::Pending {
+                step(Action::CallerDisconnects { request: index }, &|next| {
+                    next.requests[index].outcome = CallerOutcome::ConnectionLost;
                 });
             }
         }
     }
 
-    /// A process behind the entry dies: what it held in stages `gone` is gone, and whoever waited
+    /// A process behind the entry dies: what it held in stages `is_lost` is gone, and whoever waited
     /// for any of its attempts sees the connection break.
-    fn die(&self, state: &mut State, gate: usize, gone: impl Fn(Stage) -> bool) {
-        state.outstanding[gate] = None;
-        for at in 0..state.attempts.len() {
-            let attempt = &mut state.attempts[at];
-            if attempt.gate != gate || attempt.stage == Stage::Over {
+    fn crash(&self, state: &mut State, gate: usize, is_lost: impl Fn(Stage) -> bool) {
+        state.outstanding_answers[gate] = None;
+        for index in 0..state.attempts.len() {
+            let attempt = &mut state.attempts[index];
+            if attempt.gate != gate || attempt.stage == Stage::Finished {
                 continue;
             }
-            let waited = attempt.awaited && gone(attempt.stage) || attempt.gate_waits;
+            let failure_detected =
+                attempt.entry_waits && is_lost(attempt.stage) || attempt.gate_waits;
             attempt.gate_waits = false;
-            if gone(attempt.stage) {
-                attempt.stage = Stage::Over;
+            if is_lost(attempt.stage) {
+                attempt.stage = Stage::Finished;
             }
-            if waited && attempt.awaited {
-                self.failed(state, at, self.lost());
+            if failure_detected && attempt.entry_waits {
+                self.record_failure(state, index, self.lost_connection_verdict());
             }
         }
     }
 }
 
-impl Specification for Requests {
+impl Specification for RequestSpec {
     type State = State;
     type Action = Action;
 
     fn initial(&self) -> State {
         let request = Request {
-            told: Told::Waiting,
+            outcome: CallerOutcome::Pending,
             proved_not_run: Vec::new(),
-            ran: 0,
+            run_count: 0,
         };
         State {
             requests: vec![request; self.bounds.requests],
             attempts: Vec::new(),
-            outstanding: [None; GATES],
+            outstanding_answers: [None; GATE_COUNT],
             faults: self.bounds.faults,
         }
     }
@@ -391,22 +409,22 @@
     fn steps(&self, state: &State) -> Vec<(Action, State)> {
         let mut steps = Vec::new();
         self.forward_steps(state, &mut steps);
-        for at in 0..state.attempts.len() {
-            self.attempt_steps(state, at, &mut steps);
+        for index in 0..state.attempts.len() {
+            self.attempt_steps(state, index, &mut steps);
         }
         self.fault_steps(state, &mut steps);
         steps
     }
 
-    fn violated(&self, state: &State) -> Option<&'static str> {
-        for (at, request) in state.requests.iter().enumerate() {
-            if request.ran > 1 && !self.bounds.idempotent {
+    fn violated_property(&self, state: &State) -> Option<&'static str> {
+        for (index, request) in state.requests.iter().enumerate() {
+            if request.run_count > 1 && !self.bounds.idempotent {
                 return Some("a non-idempotent request runs at most once");
             }
-            if request.told == Told::NotRun && request.ran > 0 {
+            if request.outcome == CallerOutcome::NotRun && request.run_count > 0 {
                 return Some("a request that is called not run did not run");
             }
-            if matches!(request.told, Told::Answer(of) if of != at) {
+            if matches!(request.outcome, CallerOutcome::Answered(answered) if answered != index) {
                 return Some("every caller gets the answer to its own request");
             }
         }
@@ -414,13 +432,13 @@
     }
 
     fn without_faults(&self, state: &State) -> Option<State> {
-        let mut calm = state.clone();
-        calm.faults = 0;
-        Some(calm)
+        let mut fault_free = state.clone();
+        fault_free.faults = 0;
+        Some(fault_free)
     }
 
-    fn settled(&self, state: &State) -> bool {
-        let told = |request: &Request| request.told != Told::Waiting;
-        state.requests.iter().all(told)
+    fn is_settled(&self, state: &State) -> bool {
+        let has_outcome = |request: &Request| request.outcome != CallerOutcome::Pending;
+        state.requests.iter().all(has_outcome)
     }
 }
--- a/crates/model/tests/distribution.rs
+++ b/crates/model/tests/distribution.rs
@@ -1,25 +1,25 @@
 //! Spread, apply and restart: the protocol holds at small bounds, and each mutation is caught.
 
-use model::checker::{Counterexample, EVENTUALLY, check};
-use model::distribution::{Bounds, FloorRule, Mutation, Spread, Start, State};
+use model::checker::{Counterexample, EVENTUALLY_SETTLED, check};
+use model::distribution::{Bounds, DistributionSpec, FloorRule, Mutation, StartCondition, State};
 
-const NEVER_BACK: &str = "a version never goes back at a node";
-const WHOLE: &str = "all of a version or none of it";
+const NO_VERSION_REGRESSION: &str = "a version never goes back at a node";
+const ALL_OR_NOTHING: &str = "all of a version or none of it";
 
 /// Two nodes, every kind of fault once.
-const SMALL: Bounds = Bounds {
+const SMALL_BOUNDS: Bounds = Bounds {
     nodes: 2,
     versions: 2,
     crashes: 1,
     cuts: 1,
     outages: 1,
-    open_version: None,
+    dangling_version: None,
 };
 
-const WITH_OPEN_VERSION: Bounds = Bounds {
+const WITH_DANGLING_VERSION: Bounds = Bounds {
     versions: 3,
-    open_version: Some(2),
-    ..SMALL
+    dangling_version: Some(2),
+    ..SMALL_BOUNDS
 };
 
 fn counterexample(
@@ -27,41 +27,41 @@
     rule: FloorRule,
     mutation: Option<Mutation>,
 ) -> Option<Counterexample<State>> {
-    check(&Spread::new(bounds, rule, mutation)).counterexample
+    check(&DistributionSpec::new(bounds, rule, mutation)).counterexample
 }
 
-fn caught(bounds: Bounds, rule: FloorRule, mutation: Mutation) -> Counterexample<State> {
+fn expect_caught(bounds: Bounds, rule: FloorRule, mutation: Mutation) -> Counterexample<State> {
     let found = counterexample(bounds, rule, Some(mutation));
     found.expect("the checker catches the mutation")
 }
 
 #[test]
-fn two_nodes_hold_with_one_witness_and_two_deaths() {
+fn one_witness_is_enough_for_two_nodes_and_two_crashes() {
     let bounds = Bounds {
         crashes: 2,
-        ..SMALL
+        ..SMALL_BOUNDS
     };
-    let report = check(&Spread::new(bounds, FloorRule::ONE_WITNESS, None));
+    let report = check(&DistributionSpec::new(bounds, FloorRule::ONE_WITNESS, None));
     assert!(report.counterexample.is_none(), "{report:?}");
     assert!(report.states > 10_000, "{report:?}");
 }
 
 #[test]
-fn three_versions_hold() {
+fn properties_hold_with_three_versions() {
     let bounds = Bounds {
         versions: 3,
-        ..SMALL
+        ..SMALL_BOUNDS
     };
     let found = counterexample(bounds, FloorRule::TWO_WITNESSES, None);
     assert!(found.is_none(), "{found:?}");
 }
 
 #[test]
-fn three_nodes_hold_with_two_witnesses() {
+fn two_witnesses_are_enough_for_three_nodes() {
     let bounds = Bounds {
         nodes: 3,
         cuts: 0,
-        ..SMALL
+        ..SMALL_BOUNDS
     };
     let found = counterexample(bounds, FloorRule::TWO_WITNESSES, None);
     assert!(found.is_none(), "{found:?}");
@@ -71,18 +71,22 @@
 /// The node enforced 2 and died before any peer heard of it; its successor could not reach the
 /// platform and took the floor from peers that knew only of 1.
 #[test]
-fn floor_from_peers_alone_goes_back() {
-    let found = counterexample(SMALL, FloorRule::PEERS_ONLY, None).expect("a counterexample");
-    assert_eq!(found.property, NEVER_BACK);
+fn floor_from_peers_alone_allows_an_older_version() {
+    let found =
+        counterexample(SMALL_BOUNDS, FloorRule::PEERS_ONLY, None).expect("a counterexample");
+    assert_eq!(found.property, NO_VERSION_REGRESSION);
     assert_eq!(found.steps.len(), 8, "{found:?}");
 }
 
 /// As above, though one peer knew: that peer is the one that is cut off when the successor asks.
 #[test]
 fn one_witness_is_not_enough_when_it_is_cut_off() {
-    let bounds = Bounds { nodes: 3, ..SMALL };
+    let bounds = Bounds {
+        nodes: 3,
+        ..SMALL_BOUNDS
+    };
     let found = counterexample(bounds, FloorRule::ONE_WITNESS, None).expect("a counterexample");
-    assert_eq!(found.property, NEVER_BACK);
+    assert_eq!(found.property, NO_VERSION_REGRESSION);
     assert!(found.steps.iter().any(|step| step.starts_with("CutOff")));
 }
 
@@ -93,11 +97,11 @@
     let bounds = Bounds {
         nodes: 3,
         cuts: 0,
-        ..SMALL
+        ..SMALL_BOUNDS
     };
     let rule = FloorRule::ONE_WITNESS_FEWER_ANSWERS;
     let found = counterexample(bounds, rule, None).expect("a counterexample");
-    assert_eq!(found.property, NEVER_BACK);
+    assert_eq!(found.property, NO_VERSION_REGRESSION);
     let rule = FloorRule::TWO_WITNESSES_FEWER_ANSWERS;
     let found = counterexample(bounds, rule, None);
     assert!(found.is_none(), "{found:?}");
@@ -105,69 +109,77 @@
 
 /// As above, though the node asked for a witness: nobody was in reach, and it enforced anyway.
 #[test]
-fn enforcing_unwitnessed_goes_back() {
+fn enforcing_without_a_reachable_witness_allows_an_older_version() {
     let rule = FloorRule::ONE_WITNESS_IN_REACH;
-    let found = counterexample(SMALL, rule, None).expect("a counterexample");
-    assert_eq!(found.property, NEVER_BACK);
+    let found = counterexample(SMALL_BOUNDS, rule, None).expect("a counterexample");
+    assert_eq!(found.property, NO_VERSION_REGRESSION);
 }
 
 #[test]
 fn start_without_floor_is_caught() {
     let rule = FloorRule {
-        start: Start::Nothing,
+        start_condition: StartCondition::Unconditional,
         ..FloorRule::TWO_WITNESSES
     };
-    let found = counterexample(SMALL, rule, None).expect("a counterexample");
-    assert_eq!(found.property, NEVER_BACK);
+    let found = counterexample(SMALL_BOUNDS, rule, None).expect("a counterexample");
+    assert_eq!(found.property, NO_VERSION_REGRESSION);
 }
 
 #[test]
 fn apply_without_comparing_versions_is_caught() {
-    let mutation = Mutation::ApplyWithoutComparing;
-    let found = caught(SMALL, FloorRule::HEAD_ONLY, mutation);
-    assert_eq!(found.property, NEVER_BACK);
+    let mutation = Mutation::ApplyWithoutVersionCheck;
+    let found = expect_caught(SMALL_BOUNDS, FloorRule::HEAD_ONLY, mutation);
+    assert_eq!(found.property, NO_VERSION_REGRESSION);
 }
 
 #[test]
 fn apply_without_verifying_the_digest_is_caught() {
-    let mutation = Mutation::ApplyWithoutDigest;
-    let found = caught(SMALL, FloorRule::HEAD_ONLY, mutation);
-    assert_eq!(found.property, WHOLE);
+    let mutation = Mutation::ApplyWithoutDigestCheck;
+    let found = expect_caught(SMALL_BOUNDS, FloorRule::HEAD_ONLY, mutation);
+    assert_eq!(found.property, ALL_OR_NOTHING);
 }
 
 #[test]
 fn apply_in_parts_is_caught() {
     let mutation = Mutation::ApplyInParts;
-    let found = caught(SMALL, FloorRule::HEAD_ONLY, mutation);
-    assert_eq!(found.property, WHOLE);
+    let found = expect_caught(SMALL_BOUNDS, FloorRule::HEAD_ONLY, mutation);
+    assert_eq!(found.property, ALL_OR_NOTHING);
 }
 
 /// A publisher with a fault in it has accepted version 2 although a team in it calls a service that
 /// it does not hold. No node enforces it; all stay at version 1 and go on to version 3.
 #[test]
-fn open_version_is_passed_over() {
-    let found = counterexample(WITH_OPEN_VERSION, FloorRule::HEAD_ONLY, None);
+fn version_with_dangling_reference_is_skipped() {
+    let found = counterexample(WITH_DANGLING_VERSION, FloorRule::HEAD_ONLY, None);
     assert!(found.is_none(), "{found:?}");
 }
 
 #[test]
-fn apply_without_closure_check_is_caught() {
-    let mutation = Mutation::ApplyWithoutClosureCheck;
-    let found = caught(WITH_OPEN_VERSION, FloorRule::HEAD_ONLY, mutation);
+fn apply_without_reference_check_is_caught() {
+    let mutation = Mutation::ApplyWithoutReferenceCheck;
+    let found = expect_caught(WITH_DANGLING_VERSION, FloorRule::HEAD_ONLY, mutation);
     assert_eq!(found.property, "references close");
 }
 
 /// The first statement of a restarted process, which enforces nothing yet, replaces what a peer
 /// remembered of its address; asking for the floor then erases the floor.
 #[test]
-fn remembering_only_the_latest_statement_is_caught() {
-    let found = caught(SMALL, FloorRule::TWO_WITNESSES, Mutation::RememberLatest);
-    assert_eq!(found.property, NEVER_BACK);
+fn recording_only_the_latest_report_is_caught() {
+    let found = expect_caught(
+        SMALL_BOUNDS,
+        FloorRule::TWO_WITNESSES,
+        Mutation::RecordLatestReport,
+    );
+    assert_eq!(found.property, NO_VERSION_REGRESSION);
 }
 
 /// One lost fetch, and a node stays at its version for ever although everything is back.
 #[test]
-fn never_fetching_again_is_caught() {
-    let found = caught(SMALL, FloorRule::TWO_WITNESSES, Mutation::NeverFetchAgain);
-    assert_eq!(found.property, EVENTUALLY);
+fn never_retrying_a_fetch_is_caught() {
+    let found = expect_caught(
+        SMALL_BOUNDS,
+        FloorRule::TWO_WITNESSES,
+        Mutation::NeverRetryFetch,
+    );
+    assert_eq!(found.property, EVENTUALLY_SETTLED);
 }
--- a/crates/model/tests/request.rs
+++ b/crates/model/tests/request.rs
@@ -1,7 +1,7 @@
 //! Requests on their way: the promises to callers hold, and each mutation is caught.
 
-use model::checker::{EVENTUALLY, check};
-use model::request::{Bounds, Mutation, Requests};
+use model::checker::{EVENTUALLY_SETTLED, check};
+use model::request::{Bounds, Mutation, RequestSpec};
 
 const AT_MOST_ONCE: &str = "a non-idempotent request runs at most once";
 const NOT_RUN: &str = "a request that is called not run did not run";
@@ -34,72 +34,76 @@
 };
 
 #[track_caller]
-fn holds(bounds: Bounds) {
-    let report = check(&Requests::new(bounds, None));
+fn assert_holds(bounds: Bounds) {
+    let report = check(&RequestSpec::new(bounds, None));
     assert!(report.counterexample.is_none(), "{report:?}");
 }
 
 #[track_caller]
-fn caught(bounds: Bounds, mutation: Mutation, property: &str) {
-    let report = check(&Requests::new(bounds, Some(mutation)));
+fn assert_caught(bounds: Bounds, mutation: Mutation, property: &str) {
+    let report = check(&RequestSpec::new(bounds, Some(mutation)));
     let found = report.counterexample.expect("a counterexample");
     assert_eq!(found.property, property, "{:?}", found.steps);
 }
 
 #[test]
-fn payments_hold() {
-    holds(PAYMENTS);
+fn one_payment_holds() {
+    assert_holds(PAYMENTS);
 }
 
 #[test]
-fn reads_hold() {
-    holds(READS);
+fn one_read_holds() {
+    assert_holds(READS);
 }
 
 #[test]
 fn two_payments_at_once_hold() {
-    holds(TWO_PAYMENTS);
+    assert_holds(TWO_PAYMENTS);
 }
 
 /// A payment runs, its answer is lost, and the entry sends it to another backend server.
 #[test]
 fn retrying_always_is_caught() {
-    caught(PAYMENTS, Mutation::RetryAlways, AT_MOST_ONCE);
+    assert_caught(PAYMENTS, Mutation::RetryAlways, AT_MOST_ONCE);
 }
 
 /// The connection to the gate breaks while the payment is on its way, and the entry calls it not
 /// run; the payment is tried again, or the caller does so.
 #[test]
-fn calling_a_lost_attempt_not_run_is_caught() {
-    caught(SINGLE_ATTEMPT, Mutation::LostMeansNotRun, NOT_RUN);
+fn reporting_a_lost_attempt_as_not_run_is_caught() {
+    assert_caught(SINGLE_ATTEMPT, Mutation::LostConnectionMeansNotRun, NOT_RUN);
 }
 
 #[test]
-fn calling_a_late_attempt_not_run_is_caught() {
-    caught(SINGLE_ATTEMPT, Mutation::TimeoutMeansNotRun, NOT_RUN);
+fn reporting_a_late_attempt_as_not_run_is_caught() {
+    assert_caught(SINGLE_ATTEMPT, Mutation::TimeoutMeansNotRun, NOT_RUN);
 }
 
 /// The gate refuses a payment whose wait in the queue is over, and a slot takes it all the same.
 #[test]
-fn running_what_was_refused_is_caught() {
-    caught(SINGLE_ATTEMPT, Mutation::RunRefused, NOT_RUN);
+fn running_a_refused_request_is_caught() {
+    assert_caught(SINGLE_ATTEMPT, Mutation::RunRefusedRequest, NOT_RUN);
 }
 
 /// A read is lost at the first endpoint and refused by the second; the caller hears "not run".
 #[test]
-fn forgetting_earlier_attempts_is_caught() {
-    caught(READS, Mutation::ForgetEarlierAttempts, NOT_RUN);
+fn ignoring_earlier_attempts_is_caught() {
+    assert_caught(READS, Mutation::IgnoreEarlierAttempts, NOT_RUN);
 }
 
 /// A caller gives up, her answer comes late on a connection that already carries another's request,
 /// and he gets her answer.
 #[test]
 fn reusing_a_connection_with_an_answer_outstanding_is_caught() {
-    let mutation = Mutation::ReuseWithAnswerOutstanding;
-    caught(TWO_PAYMENTS, mutation, OWN_ANSWER);
+    let mutation = Mutation::ReuseConnectionWithAnswerOutstanding;
+    assert_caught(TWO_PAYMENTS, mutation, OWN_ANSWER);
 }
 
 #[test]
-fn holding_back_a_failed_request_is_caught() {
-    caught(PAYMENTS, Mutation::HoldBack, EVENTUALLY);
+fn never_answering_a_failed_request_is_caught() {
+    assert_caught(
+        PAYMENTS,
+        Mutation::NeverAnswerAfterFailure,
+        EVENTUALLY_SETTLED,
+    );
 }
