--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,22 @@
 //! dragonflywall distributes the configuration of a service mesh and enforces it.
 //!
-//! Each service team keeps a short file beside its code. `publish` turns the accepted set of these
-//! files into one version, a transaction on the platform's table. Every node (one small process on
-//! each backend server VM) learns of the version by gossip, fetches its content from a peer or the
-//! object store, checks it, and swaps it in whole. The same node carries the calls: as a caller's
-//! entry, and as the only gate to its own backend server.
+//! Each service team keeps a short configuration file next to its code. The `publish` command merges
+//! team files into a new version of the configuration and commits it in one transaction on the
+//! platform's table. A node process runs on each backend server VM. It learns of a new version by
+//! gossip, fetches the content from a peer or the object store, verifies it, and replaces the
+//! enforced configuration as a whole. The same node is a proxy: it routes requests of callers on its
+//! VM, and all requests to the VM's backend server pass through its admission control.
 //!
-//! Data flows through the modules as follows:
+//! The modules:
 //!
-//! - [`core`]: plain data that all others share.
-//! - [`ops`]: what an operator does, commands apart from queries; talks to [`store`].
-//! - [`distribution`], [`membership`], [`decide`]: decisions as state machines without sockets or
-//!   a clock of their own.
-//! - [`node`]: the actors that give these state machines their sockets and their time.
+//! - [`core`]: plain data types that all other modules share.
+//! - [`ops`]: operator commands and, separate from them, queries; both use [`store`].
+//! - [`store`]: clients of the table and the object store.
+//! - [`platform`]: adapter to the interfaces of the users' platform.
+//! - [`distribution`], [`membership`], [`decide`]: decision logic as state machines that open no
+//!   sockets and read no clock.
+//! - [`peer`]: the gRPC protocol between nodes.
+//! - [`node`]: the actors that run these state machines and provide their sockets and time.
 
 pub mod core;
 pub mod decide;
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,9 +1,9 @@
-//! The platform's transactional table and object store, behind traits.
+//! Traits for the platform's transactional table and object store.
 //!
-//! The traits are the edge of a process: [`http::HttpStore`] speaks the product's own protocol,
-//! [`crate::platform::store::PlatformStore`] that of the users' platform, and tests put a fake in their
-//! place. A write whose answer was lost is an error of its own, [`Error::OutcomeUnknown`], since it
-//! must be looked up and never simply repeated.
+//! [`http::HttpStore`] implements them with dragonflywall's own protocol,
+//! [`crate::platform::store::PlatformStore`] with that of the users' platform, and tests with fakes.
+//! A write whose response was lost has an error of its own, [`Error::OutcomeUnknown`]: the caller
+//! must look up whether the write took effect and must not repeat it blindly.
 
 pub mod http;
 pub mod retrying;
@@ -24,52 +24,54 @@
 use crate::core::version::Digest;
 use crate::platform::store::PlatformStore;
 
-/// Result of this module.
+/// Result of a call to the platform.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why the platform gave no answer, or not the hoped-for one.
+/// Why a call to the platform failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It was not reached, or said it is unavailable; nothing was written.
+    /// The platform could not be reached, or it responded that it is unavailable. Nothing was
+    /// written.
     #[snafu(display("the platform is unavailable: {reason}"))]
     Unavailable {
-        /// As reported.
+        /// The failure, in words.
         reason: String,
     },
-    /// It refuses for now because of its rate ceiling; nothing was written.
-    #[snafu(display("the platform refuses for now: its rate ceiling is reached"))]
+    /// The platform rejected the request because its rate limit is reached. Nothing was written.
+    #[snafu(display("the platform rejected the request: its rate limit is reached"))]
     RateLimited,
-    /// The request was sent and no answer came: a write may have taken effect.
-    #[snafu(display("the platform's answer was lost: {reason}"))]
+    /// The request was sent, but no usable response was received. A write may have taken effect.
+    #[snafu(display("the outcome of a request to the platform is unknown: {reason}"))]
     OutcomeUnknown {
-        /// As reported.
+        /// The failure, in words.
         reason: String,
     },
-    /// No answer came in time: a write may have taken effect.
-    #[snafu(display("the platform gave no answer in {after_ms} ms"))]
+    /// The response, or the next part of its body, did not arrive in time. A write may have taken
+    /// effect.
+    #[snafu(display("the platform sent no data for {after_ms} ms"))]
     TimedOut {
-        /// How long it was waited for.
+        /// The timeout, in milliseconds.
         after_ms: u64,
     },
-    /// It answered something that is not of its protocol.
-    #[snafu(display("the platform answered unexpectedly: {reason}"))]
+    /// The request could not be built, or the response does not follow the protocol.
+    #[snafu(display("protocol error in a call to the platform: {reason}"))]
     Protocol {
-        /// As reported.
+        /// The violation, in words.
         reason: String,
     },
-    /// It no longer knows what has changed since the position that was asked for.
-    #[snafu(display("the platform has dropped the history that was asked for"))]
+    /// The platform no longer stores the changes since the requested position.
+    #[snafu(display("the platform has dropped the requested part of its history"))]
     HistoryGone,
 }
 
-/// The body of an answer.
+/// Decodes the JSON body of a response.
 pub(crate) fn decode_json<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
     serde_json::from_slice(body).map_err(|error| Error::Protocol {
         reason: error.to_string(),
     })
 }
 
-/// An answer whose status the protocol does not have here.
+/// The error for a response status that the protocol doesn't define for the request.
 pub(crate) fn unexpected_status<T>(status: StatusCode) -> Result<T> {
     ProtocolSnafu {
         reason: format!("status {status}"),
@@ -77,16 +79,16 @@
     .fail()
 }
 
-/// A row as stored.
+/// A row of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Grows with each write of the row, from 1.
+    /// Starts at 1 or above and increases with each write of the row.
     pub revision: u64,
-    /// JSON text.
+    /// The content, as JSON text.
     pub value: String,
 }
 
-/// What must hold for a transaction to take effect.
+/// A precondition of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Condition {
@@ -95,7 +97,7 @@
         /// Key of the row.
         key: String,
     },
-    /// The row exists at this revision.
+    /// The row exists and has this revision.
     Revision {
         /// Key of the row.
         key: String,
@@ -104,20 +106,20 @@
     },
 }
 
-/// A conditional transaction: all puts or none.
+/// A conditional transaction: if all conditions hold, all puts are applied, otherwise none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// All must hold.
+    /// Preconditions, all of which must hold.
     pub conditions: Vec<Condition>,
-    /// Rows to write.
+    /// New row values by key.
     pub puts: BTreeMap<String, String>,
 }
 
-/// What became of a transaction.
+/// Result of a transaction that the platform processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It took effect.
+    /// All puts were applied.
     Committed,
     /// A condition did not hold; nothing was written.
     ConditionFailed,
@@ -129,8 +131,8 @@
     fn transact(&self, transaction: &Transaction) -> impl Future<Output = Result<Outcome>> + Send;
     /// Reads one row.
     fn row(&self, key: &str) -> impl Future<Output = Result<Option<Row>>> + Send;
-    /// Reads all rows whose key starts with `prefix`, in the order of keys, after key `after`, at
-    /// most `limit`.
+    /// Reads the rows whose key starts with `prefix` and is greater than `after`, in ascending order
+    /// of keys, at most `limit` rows.
     fn rows(
         &self,
         prefix: &str,
@@ -139,35 +141,41 @@
     ) -> impl Future<Output = Result<BTreeMap<String, Row>>> + Send;
 }
 
-/// The object store: content addressed by digest, so writing twice does no harm.
+/// The object store. Objects are addressed by the digest of their content, so a repeated write
+/// changes nothing.
 pub trait ObjectStore: Send + Sync + 'static {
     /// Stores `bytes` under their digest.
     fn put_object(&self, digest: &Digest, bytes: &[u8]) -> impl Future<Output = Result<()>> + Send;
-    /// Reads an object.
+    /// Reads the object with this digest, if it exists.
     fn object(&self, digest: &Digest) -> impl Future<Output = Result<Option<Vec<u8>>>> + Send;
 }
 
-/// A place in the history of a configuration feed.
+/// A position in the history of a [`Feed`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position(pub u64);
 
-/// What a feed told.
+/// The result of reading a [`Feed`].
 #[derive(Debug)]
 pub struct FeedUpdate {
-    /// Where to go on from.
+    /// The position to continue reading from.
     pub position: Position,
-    /// The newest configuration, if there is one that was not told before.
+    /// The newest configuration; `None` if it is unchanged since the requested position, absent, or
+    /// cannot be decoded.
     pub configuration: Option<Configuration>,
-    /// Length of the answer.
+    /// Length of the response body.
     pub len_bytes: usize,
 }
 
-/// A configuration that operators write into the store as a whole, instead of publishing it.
+/// A source of configurations that operators write into the store as a whole instead of using
+/// `publish`.
 pub trait Feed: Send + Sync + 'static {
-    /// The newest configuration. The answer begins within `answer_timeout`, or there is none.
+    /// Reads the newest configuration. Fails if the response does not begin within
+    /// `answer_timeout`.
     fn newest(&self, answer_timeout: Duration) -> impl Future<Output = Result<FeedUpdate>> + Send;
-    /// The newest configuration written after `position`, or nothing after about `max_wait`; the answer begins
-    /// within `answer_timeout` then. A configuration that cannot be used is left out.
+    /// Long-polls for the newest configuration written after `position`. If there is none, the
+    /// store responds without a configuration after about `max_wait`. Fails if the response does not
+    /// begin within `max_wait` plus `answer_timeout`. A configuration that cannot be decoded is
+    /// reported as `None`.
     fn newest_after(
         &self,
         position: Position,
@@ -176,7 +184,7 @@
     ) -> impl Future<Output = Result<FeedUpdate>> + Send;
 }
 
-/// The store that a node was set up with.
+/// The table client that a node uses, depending on its settings.
 #[derive(Clone, Debug)]
 pub(crate) enum NodeStore {
     Native(HttpStore),
--- a/src/store/http.rs
+++ b/src/store/http.rs
@@ -1,13 +1,15 @@
-//! HTTP/JSON client of the table and object store, in the product's own protocol.
+//! HTTP/JSON client of the table and object store, in dragonflywall's own protocol.
 //!
-//! | request | meaning |
-//! |---|---|
-//! | `POST /table/transact` | a [`Transaction`]; answers an [`Outcome`] |
-//! | `GET /table/row?key=K` | a [`Row`], or 404 |
-//! | `GET /table/rows?prefix=P&after=K&limit=N` | a map of [`Row`]s |
-//! | `PUT /objects/DIGEST`, `GET /objects/DIGEST` | content |
+//! | request | body of the request | body of the response |
+//! |---|---|---|
+//! | `POST /table/transact` | a [`Transaction`] | an [`Outcome`] |
+//! | `GET /table/row?key=K` | none | a [`Row`], or status 404 |
+//! | `GET /table/rows?prefix=P&after=K&limit=N` | none | a map from keys to [`Row`]s |
+//! | `PUT /objects/DIGEST` | the object | ignored |
+//! | `GET /objects/DIGEST` | none | the object, or status 404 |
 //!
-//! 429 is the rate ceiling and 503 an outage; both are sent before anything is written.
+//! Status 429 means that the rate limit is reached, and 503 an outage. The platform sends both before
+//! it writes anything.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -23,19 +25,19 @@
 };
 use crate::core::version::Digest;
 
-/// Longest wait for one answer. The platform may be slow for long; a caller that waits on it does
-/// nothing else, so it tries again later instead.
+/// Time within which a response must begin. The platform can be slow for a long time, and a caller
+/// is blocked while it waits for the response, so it gives up and tries again later instead.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The platform over HTTP.
+/// Client of a platform that speaks dragonflywall's own protocol.
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     transport: Transport,
 }
 
 impl HttpStore {
-    /// A client for the platform at `base_url`, such as `http://10.0.0.9:7000`. `dial_from` is the
-    /// local address to connect from, if it matters.
+    /// Creates a client for the platform at `base_url`, such as `http://10.0.0.9:7000`. Connections
+    /// are opened from the local address `dial_from`, or from one that the system selects.
     pub fn new(base_url: &str, dial_from: Option<IpAddr>) -> Self {
         Self {
             transport: Transport::new(base_url, dial_from),
@@ -59,9 +61,9 @@
 
 impl Table for HttpStore {
     async fn transact(&self, transaction: &Transaction) -> Result<Outcome> {
-        let body = serde_json::to_vec(transaction).expect("a transaction always encodes");
+        let body = serde_json::to_vec(transaction).expect("a transaction can be encoded as JSON");
         match self.call(Method::POST, "/table/transact", body).await? {
-            // A garbled answer and a server's own failure say nothing of the write behind them.
+            // After an undecodable response or a 5xx status, the write may have taken effect.
             (StatusCode::OK, body) => decode_json(&body).map_err(|error| Error::OutcomeUnknown {
                 reason: error.to_string(),
             }),
--- a/src/store/retrying.rs
+++ b/src/store/retrying.rs
@@ -1,4 +1,4 @@
-//! A platform whose rate ceiling is waited out, and whose lost answers are asked for again.
+//! Retries of calls to the table and object store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,30 +7,34 @@
 use crate::core::version::Digest;
 use crate::decide::pacing::{Backoff, jittered_ms};
 
-/// Tries in all. With the waits below they span about 3 s: a herd of 520 restarting nodes, each
-/// with a handful of reads, is through the table's 2,000 reads a second by then. An operator who
-/// is refused after that should look at what uses the table, not wait longer.
+/// Attempts per call, including the first. With the delays of [`RETRY_BACKOFF`] they span about 3 s.
+/// By then 520 nodes that restart at once have finished their few reads each, at the table's limit of
+/// 2,000 reads per second. An operator whose call is still rejected should find out what uses up the
+/// limit instead of waiting longer.
 const ATTEMPTS_MAX: u32 = 6;
+/// Delays between attempts that were rejected because of the rate limit: 100 ms, doubled each time up
+/// to 3,200 ms.
 const RETRY_BACKOFF: Backoff = Backoff::new(100, 3_200);
 
-/// Lost answers of what may be repeated: one. A connection that the platform closed while it was
-/// idle, or a failover, costs one answer; after two the platform is down, and each further try may
-/// wait its whole timeout.
+/// Retries of an idempotent call whose response was lost. An idle connection that the platform has
+/// closed, or a failover, loses one response. After a second loss the platform is down, and each
+/// further attempt could block for the whole response timeout.
 const LOST_RESPONSE_RETRIES_MAX: u32 = 1;
 
-/// Repeats what may be repeated.
+/// A table and object store client that retries failed calls where this is safe.
 ///
-/// - The rate ceiling is waited out, with growing, jittered waits. It guards against a command that
-///   fails by chance while a herd of nodes restarts: the ceiling is shared, and one refused read
-///   would fail the whole publication. "Busy" is said before anything is written, so repeating is
-///   safe for writes too.
-/// - A lost answer to a read, or to a put under the content's own digest, is asked for once more.
-///   Without that a single closed connection fails a publication that has not begun. A transaction
-///   is not repeated here: [`crate::ops::command::publish`] settles it.
+/// - A call that exceeds the rate limit is retried after an exponential, jittered delay. The limit is
+///   shared by all clients, so without retries a single rejected read fails a whole publication that
+///   happens to run while many nodes restart. The platform checks the limit before it writes
+///   anything, so retrying is safe for writes too.
+/// - A read, or a put of an object under its own digest, is retried once if its response was lost.
+///   Otherwise a single closed connection fails a publication that has not written anything yet. A
+///   transaction is not retried here: [`crate::ops::command::publish`] finds out whether it took
+///   effect.
 #[derive(Clone, Debug)]
 pub struct Retrying<S>(pub S);
 
-/// Whether asking twice is the same as asking once.
+/// Whether a call can be repeated without a further effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Idempotent {
     Yes,
--- a/src/store/rows.rs
+++ b/src/store/rows.rs
@@ -1,11 +1,11 @@
-//! The rows that dragonflywall keeps in the platform's table.
+//! The rows that dragonflywall stores in the platform's table.
 //!
-//! | key | value | written by |
-//! |---|---|---|
-//! | `head` | [`HeadRow`] | each publication, conditionally |
-//! | `version/N` | [`VersionRow`] | with the head, once; the audit trail |
-//! | `publish/ID` | [`PublishRow`] | with the head or when abandoned, once; settles lost answers |
-//! | `node/ADDRESS` | [`NodeRow`] | that node, seldom, and when its backend server changes |
+//! | key | value | written | purpose |
+//! |---|---|---|---|
+//! | `head` | [`HeadRow`] | by each publication, on condition that it is unchanged | the accepted version |
+//! | `version/N` | [`VersionRow`] | once, in the transaction that writes `head` | the audit trail |
+//! | `publish/ID` | [`PublishRow`] | once, in that transaction or when an operator abandons the publication | the outcome of a publication whose response was lost |
+//! | `node/ADDRESS` | [`NodeRow`] | by the node, at long intervals and when its backend server changes | seeds for nodes that start |
 
 use std::net::SocketAddr;
 
@@ -23,52 +23,53 @@
 /// Prefix of node rows.
 pub const NODE_PREFIX: &str = "node/";
 
-/// Key of a version's row; zeros keep the table's order that of versions.
+/// Key of a version's row. The number is zero-padded, so that the table's key order is the order of
+/// versions.
 pub fn version_key(version: Version) -> String {
     format!("{VERSION_PREFIX}{:012}", version.0)
 }
 
-/// Key of the row that a publication leaves under its id.
+/// Key of the row that records the outcome of a publication.
 pub fn publish_key(publish_id: &str) -> String {
     format!("publish/{publish_id}")
 }
 
-/// Key of a node's registration.
+/// Key of the row in which a node registers itself.
 pub fn node_key(node: NodeId) -> String {
     format!("{NODE_PREFIX}{node}")
 }
 
-/// The accepted version.
+/// The row that names the accepted version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeadRow {
-    /// Number and digest.
+    /// Number and digest of the accepted version.
     pub stamp: Stamp,
 }
 
-/// What one publication did: a line of the audit trail.
+/// One version and how it was published: an entry of the audit trail.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRow {
-    /// Number and digest.
+    /// Number and digest of this version.
     pub stamp: Stamp,
-    /// The version it was made from.
+    /// The version that the publication changed.
     pub parent: Stamp,
-    /// Id of the publication.
+    /// ID of the publication.
     pub publish_id: String,
-    /// Who published.
+    /// Name of the operator who published the version.
     pub operator: String,
-    /// When, in milliseconds since the epoch, by the publisher's clock.
+    /// Time of the publication by the operator's clock, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// Why this version exists.
+    /// Whether the version is a publication of team files or a rollback.
     pub kind: PublicationKind,
-    /// Teams whose record changed.
+    /// Teams whose record differs from the parent version.
     pub teams_changed: Vec<TeamName>,
-    /// Object with the whole configuration.
+    /// Digest of the object that contains the whole configuration.
     pub snapshot_object: Digest,
-    /// Object with the difference from the parent.
+    /// Digest of the object that contains the difference from the parent version.
     pub delta_object: Digest,
 }
 
-/// Why a version exists.
+/// How the content of a version came about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum PublicationKind {
@@ -76,44 +77,44 @@
     Publish,
     /// An earlier version's content was published again.
     Rollback {
-        /// The earlier version.
+        /// Number of the earlier version.
         to: Version,
     },
 }
 
-/// What became of a publication; the row is written once and never changed.
+/// The final outcome of a publication. The row is written once and never changed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "outcome")]
 pub enum PublishRow {
-    /// It made a version.
+    /// The publication created a version.
     Committed {
-        /// The version.
+        /// Number of the version.
         version: Version,
-        /// Digest of what was asked for.
+        /// Digest of the publication request, to detect a different request under the same ID.
         request: Digest,
     },
-    /// An operator settled that it shall never take effect.
+    /// An operator abandoned the publication, so it can no longer take effect.
     Abandoned {
-        /// Who.
+        /// Name of that operator.
         operator: String,
-        /// When, in milliseconds since the epoch, by that operator's clock.
+        /// Time of the decision by that operator's clock, in milliseconds since the Unix epoch.
         time_ms: u64,
     },
 }
 
-/// Where a node may be reached, and what stands beside it: hints for its start and that of others, nothing
-/// more.
+/// A node's registration: its addresses and its backend server. Nodes use it only as a hint when they
+/// start, to find peers and to restore the state of their own backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRow {
-    /// Peer address inside its data centre.
+    /// Address for peers of the same data centre.
     pub node: NodeId,
-    /// Peer address from elsewhere.
+    /// Address for peers of other data centres.
     pub external: SocketAddr,
-    /// Where it stands.
+    /// Region and data centre of the node.
     pub place: Place,
-    /// Last renewal in milliseconds since the epoch.
+    /// Time of the last renewal by the node's clock, in milliseconds since the Unix epoch.
     pub renewed_ms: u64,
-    /// The last word of the backend server beside it, if that announces itself and takes work.
+    /// Last announcement of the node's backend server, if it announces itself and accepts requests.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub backend: Option<Announcement>,
 }
--- a/src/store/transport.rs
+++ b/src/store/transport.rs
@@ -1,7 +1,8 @@
-//! One call to the store over HTTP, and what its outcome proves.
+//! HTTP calls to a store, with failures classified by whether a write may have taken effect.
 //!
-//! 429 is a rate ceiling and 503 an outage; both are answered before anything is done. A connection
-//! that could not be made proves the same. Whatever else goes wrong proves nothing of a write.
+//! The store sends status 429 (rate limit reached) and 503 (outage) before it does anything, so nothing
+//! was written. The same is true if the connection could not be opened. After any other failure a write
+//! may have taken effect.
 
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -18,14 +19,15 @@
 use super::{Error, Result, UnavailableSnafu};
 use crate::util::clock;
 
+/// Time within which a TCP connection to the store must open.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest pause between two pieces of an answer.
+/// Time within which the next part of a response body must arrive.
 const BODY_STALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections are closed: 520 nodes that ask every few seconds must not hold the store's
-/// connections open.
+/// Time after which an idle connection is closed. 520 nodes that each send a request every few seconds
+/// must not keep connections of the store open.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A client of one store, whatever it speaks over HTTP.
+/// HTTP client of one store, independent of the store's protocol.
 #[derive(Clone, Debug)]
 pub(crate) struct Transport {
     shared: Arc<Shared>,
@@ -38,8 +40,8 @@
 }
 
 impl Transport {
-    /// A client for the store at `base_url`, such as `http://10.0.0.9:7000`. `dial_from` is the local
-    /// address to connect from, if it matters.
+    /// Creates a client for the store at `base_url`, such as `http://10.0.0.9:7000`. Connections are
+    /// opened from the local address `dial_from`, or from one that the system selects.
     pub(crate) fn new(base_url: &str, dial_from: Option<IpAddr>) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -57,8 +59,8 @@
         }
     }
 
-    /// Makes a call. Its answer begins within `timeout`, and each further piece of it comes within
-    /// [`BODY_STALL_TIMEOUT`].
+    /// Sends a request and reads the whole response. Fails if the response does not begin within
+    /// `timeout`, or if a part of its body takes longer than [`BODY_STALL_TIMEOUT`].
     pub(crate) async fn call(
         &self,
         method: Method,
@@ -80,7 +82,7 @@
         match status {
             StatusCode::TOO_MANY_REQUESTS => Err(Error::RateLimited),
             StatusCode::SERVICE_UNAVAILABLE => UnavailableSnafu {
-                reason: "it reports an outage",
+                reason: "status 503 Service Unavailable",
             }
             .fail(),
             _ => Ok((status, body)),
@@ -90,7 +92,7 @@
     async fn send(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>> {
         self.shared.client.request(request).await.map_err(|error| {
             let reason = error_chain(&error);
-            // Only a failed connect proves that the store saw nothing of a write.
+            // Only a failed connect proves that the store did not receive the request.
             if error.is_connect() {
                 Error::Unavailable { reason }
             } else {
