--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,13 +1,14 @@
-//! The users' platform: its names, formats and calls, translated into the product's own.
+//! Adapter to the users' platform: the interfaces of the system that dragonflywall's users run it on.
 //!
-//! Nothing here decides anything, and nothing outside spells a name of the platform. See
-//! `docs/design/platform.md`.
+//! The adapter translates the platform's names, formats and calls into dragonflywall's own and contains
+//! no further logic. No other module uses the platform's names. See `docs/design/platform.md`.
 //!
-//! - [`settings`]: the settings file.
-//! - [`node_requests`]: readiness and announcements, as they are asked for and made.
-//! - [`configuration`]: what its operators write into the store.
-//! - [`store`]: the calls of its store.
-//! - [`headers`]: header names of requests and answers.
+//! - [`settings`]: the settings file of a node.
+//! - [`node_requests`]: readiness probes and announcements of backend servers.
+//! - [`configuration`]: the format in which operators write the configuration into the store.
+//! - [`duration`]: the format of durations.
+//! - [`store`]: client of the store.
+//! - [`headers`]: names of the HTTP headers exchanged with callers and backend servers.
 
 pub(crate) mod configuration;
 pub(crate) mod duration;
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -1,10 +1,10 @@
-//! The configuration as the platform's operators write it, and the product's in its place.
+//! Decoder for the configuration format of the users' platform.
 //!
-//! Routes and services come as tables: `columns` names the fields, `rows` holds lists of values in
-//! that order, null for one that is left out. Each service becomes a team's record of its own, so
-//! that the difference between two versions names the services that changed. A route goes to the
-//! record of its service, or of the first of those that it is split among, as a resource and a
-//! route that callers reach by host.
+//! Routes and services are tables: `columns` names the fields, and each entry of `rows` lists the
+//! values in that order, with null for an absent field. Each service becomes a separate team record, so
+//! that the difference between two versions names the services that changed. A route becomes a
+//! resource and a route by host in the record of its service; if its requests are split among several
+//! services, the route is in the record of the first one.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -20,24 +20,26 @@
 use crate::core::names::{HostName, ResourceName, ServiceName, TeamName};
 use crate::core::version::Version;
 
-/// Result of this module.
+/// Result of decoding a configuration.
 pub(crate) type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why a configuration cannot be used; nothing of it is.
+/// Why a configuration is rejected. No part of a rejected configuration is used.
 #[derive(Debug, Snafu)]
 pub(crate) enum Error {
-    #[snafu(display("the configuration cannot be read"))]
+    #[snafu(display("the configuration cannot be decoded from JSON"))]
     InvalidJson { source: serde_json::Error },
-    #[snafu(display("{item} has no usable `{field}`"))]
+    #[snafu(display("{item}: the field `{field}` is missing or invalid"))]
     InvalidField { item: String, field: &'static str },
-    #[snafu(display("{item} names service `{service}`, which is not there"))]
+    #[snafu(display("{item}: the service `{service}` does not exist"))]
     UnknownService { item: String, service: String },
 }
 
-/// Requests that may wait at one endpoint, as a multiple of the connections that it takes. The
-/// platform names none; who waits too long is refused by its deadline long before.
+/// Queue length of an endpoint, per connection that the endpoint accepts. The platform's format has no
+/// queue length. A request that waits too long is rejected because of its deadline long before this
+/// limit matters.
 const QUEUE_LEN_PER_CONNECTION: u32 = 4;
 
+/// The configuration as operators write it.
 #[derive(Debug, Deserialize)]
 struct WireConfiguration {
     version: u64,
@@ -46,36 +48,40 @@
     limits: Option<WireLimits>,
 }
 
+/// A table of the configuration.
 #[derive(Debug, Deserialize)]
 struct WireTable {
     columns: Vec<String>,
     rows: Vec<Vec<Value>>,
 }
 
-/// What callers may send.
+/// Limits on the requests and connections of callers.
 #[derive(Debug, Deserialize)]
 struct WireLimits {
     #[serde(rename = "maxHeaderBytes")]
     max_header_bytes: u32,
     #[serde(rename = "maxBodyBytes")]
     max_body_bytes: u64,
-    /// For the head of one request.
+    /// Time within which a caller must send the head of a request.
     #[serde(rename = "headerTimeout")]
     header_timeout: String,
-    /// Between two requests of a connection.
+    /// Time after which a caller's connection is closed if it sends no further request.
     #[serde(rename = "idleTimeout")]
     idle_timeout: String,
 }
 
+/// One of several services that share the requests of a route.
 #[derive(Debug, Deserialize)]
 struct WeightedService {
     service: String,
     weight: u32,
 }
 
-/// One row of a table, by the names of its columns.
+/// The fields of one table row, by column name.
 struct RowFields<'a> {
+    /// Kind and name of the row in error messages, such as ``route `reports` ``.
     item: String,
+    /// Values other than null.
     values: BTreeMap<&'a str, &'a Value>,
 }
 
@@ -123,7 +129,7 @@
     u32::try_from(parse_ms(value.as_str()?)?).ok()
 }
 
-/// Reads the bytes of a configuration.
+/// Decodes a configuration from JSON.
 pub(crate) fn decode(bytes: &[u8]) -> Result<Configuration> {
     let wire: WireConfiguration = serde_json::from_slice(bytes).context(InvalidJsonSnafu)?;
     let mut teams = BTreeMap::new();
@@ -142,9 +148,10 @@
     for row in &wire.routes.rows {
         let fields = RowFields::new("route", &wire.routes.columns, row);
         let route = decode_route(&fields)?;
-        // Two that match the same requests would be refused as a whole; the first one holds.
+        // Two routes that match the same requests make a configuration invalid as a whole, so only the
+        // first one is kept.
         if !seen_matches.insert((route.record.host.clone(), route.record.path.clone())) {
-            log::warn!(route = fields.item; "a route matches the same requests as another one");
+            log::warn!(route = fields.item; "ignoring a route that matches the same requests as an earlier one");
             continue;
         }
         insert_route(&mut teams, &fields.item, route)?;
@@ -161,10 +168,11 @@
 
 fn decode_service(fields: &RowFields<'_>) -> Result<(ServiceName, ServiceRecord)> {
     let name = fields.required(Value::as_str, "name")?;
-    // Connections that an endpoint takes from all its callers together.
+    // The limit of one endpoint, for all of its callers together.
     let connections = fields.required(as_u32, "maxConnections")?;
     let record = ServiceRecord {
-        // Backend servers announce their own number; there is nothing else to go by.
+        // The format has no slots. Backend servers announce their own number, and this one applies only
+        // until then.
         slots_per_endpoint: connections,
         connections_per_endpoint: connections,
         queue_len: connections.saturating_mul(QUEUE_LEN_PER_CONNECTION),
@@ -177,7 +185,7 @@
     Ok((ServiceName::new(name), record))
 }
 
-/// A route and what applies to its requests, wherever they go.
+/// A route and the treatment of its requests, which is the same for all of its targets.
 struct DecodedRoute {
     treatment: Treatment,
     record: RouteRecord,
@@ -224,21 +232,21 @@
     let priority = fields.optional(as_u32, "priority")?.unwrap_or(0);
     Ok(Treatment {
         class: Class::Interactive,
-        // Uploads and every kind that may come to be known are run once at most.
+        // Requests of all other kinds, including kinds added in the future, are run at most once.
         idempotent: kind == "idempotent",
-        // The longest that a caller is to be kept waiting.
+        // The longest time that a caller waits for the response.
         timeout_ms: fields.required(as_duration_ms, "timeout")?,
-        // Endpoints that one request may be sent to.
+        // Number of endpoints that one request may be sent to.
         attempts: fields.optional(as_u32, "attempts")?.unwrap_or(1),
         spill: Spill::Mesh,
         priority: u8::try_from(priority).unwrap_or(u8::MAX),
-        // An answer within this time earns its full worth.
+        // A response within this time has its full value to the caller.
         target_latency_ms: fields.optional(as_duration_ms, "targetLatency")?,
     })
 }
 
-/// Puts a route into the record of its service, and what applies to its requests into that of each
-/// service that runs them.
+/// Adds a route to the record of its service, and its treatment as a resource to the record of each
+/// service that runs its requests. `item` names the route in errors.
 fn insert_route(
     teams: &mut BTreeMap<TeamName, TeamRecord>,
     item: &str,
--- a/src/platform/duration.rs
+++ b/src/platform/duration.rs
@@ -1,6 +1,7 @@
-//! Times as the platform writes them: a number and `ms` or `s`.
+//! Durations in the platform's format: a number followed by the unit `ms` or `s`.
 
-/// Milliseconds of a time such as `1500ms` or `2.5s`; none if it is not one.
+/// Parses a duration such as `1500ms` or `2.5s` into milliseconds. Returns `None` if the text is not a
+/// duration.
 pub(crate) fn parse_ms(text: &str) -> Option<u64> {
     let (number, unit_ms) = match text.strip_suffix("ms") {
         Some(number) => (number, 1.0),
@@ -8,7 +9,8 @@
     };
     let number: f64 = number.parse().ok()?;
     let ms = (number * unit_ms).round();
-    // Far above any time on the platform, far below where the number loses whole milliseconds.
+    // The upper bound is far above any duration on the platform, and far below the values at which an
+    // `f64` cannot represent every whole number of milliseconds.
     let in_range = (0.0..1e12).contains(&ms);
     in_range.then_some(ms as u64)
 }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,19 +1,20 @@
-//! The platform's header names.
+//! Names of the HTTP headers of the users' platform.
 
 use http::HeaderName;
 
 use crate::proxy::header_profile::HeaderProfile;
 
-/// With callers and backend servers.
+/// The headers that a node exchanges with callers and backend servers.
 pub(crate) static PROFILE: HeaderProfile = HeaderProfile {
-    // An attempt of a caller: what a node sends once more keeps its id.
+    // Identifies one attempt of the caller. A retry by a node keeps the ID.
     request_id: HeaderName::from_static("x-dfw-attempt-id"),
     deadline_ms: HeaderName::from_static("x-dfw-deadline-ms"),
     callers_set_deadline: true,
-    // Calls of a backend server bear no token, but their ids tell which request led to them.
+    // A backend server sends no token with its calls. The ID of a call begins with the ID of the request
+    // that led to it.
     call_token: None,
     calls_extend_request_id: true,
-    // The service of the VM where the request began, not of the caller.
+    // The service of the VM on which the request entered the mesh, not the service of the direct caller.
     caller_service: Some(HeaderName::from_static("x-dfw-caller")),
     expected_instance: Some(HeaderName::from_static("x-dfw-expected-instance")),
     instance: Some(HeaderName::from_static("x-dfw-instance")),
--- a/src/platform/node_requests.rs
+++ b/src/platform/node_requests.rs
@@ -1,11 +1,11 @@
-//! What the platform asks of a node: whether it is ready, and to take announcements of the VM's
-//! backend server.
+//! Requests that the users' platform sends to a node: readiness probes, and announcements of the
+//! backend server on the node's VM.
 //!
 //! | listener | request | meaning |
 //! |---|---|---|
-//! | `ready` | `GET /-/readyz` | 200 if the node takes requests, else 503 |
-//! | `control` | `PUT /-/instances/NAME` | the backend server NAME says how it is |
-//! | `control` | `DELETE /-/instances/NAME` | the backend server NAME leaves |
+//! | `ready` | `GET /-/readyz` | responds with status 200 if the node accepts requests, otherwise 503 |
+//! | `control` | `PUT /-/instances/NAME` | the backend server NAME announces its state |
+//! | `control` | `DELETE /-/instances/NAME` | the backend server NAME has shut down |
 
 use std::net::SocketAddr;
 
@@ -22,10 +22,10 @@
 const READY_PATH: &str = "/-/readyz";
 const INSTANCES_PATH: &str = "/-/instances/";
 
-/// Result of this module.
+/// Result of parsing an announcement.
 pub(crate) type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why a request at the `control` address is no announcement.
+/// Why a request to the `control` address is rejected.
 #[derive(Debug, Snafu)]
 pub(crate) enum Error {
     #[snafu(display("{method} {path} is not a call of the platform"))]
@@ -46,28 +46,28 @@
 #[derive(Debug, Deserialize)]
 struct AnnouncementBody {
     service: String,
-    /// Where it listens.
+    /// Socket address that it listens on.
     address: String,
     /// `ready` or `draining`.
     state: String,
-    /// Requests that it runs at a time.
+    /// Number of requests that it runs concurrently.
     slots: u32,
-    /// How much longer it is slow after its start; not how long it has been.
+    /// Remaining time of its warm-up, during which it is slow.
     #[serde(rename = "coldRemaining")]
     cold_remaining: Option<String>,
-    /// Rises with each call of one start, and begins anew with the next.
+    /// Increases with each announcement, and starts again when the backend server restarts.
     seq: u64,
-    /// When it started, in milliseconds since the epoch.
+    /// Time of its start, in milliseconds since the Unix epoch.
     born: Option<u64>,
 }
 
-/// Whether a request asks for readiness.
+/// Whether a request is a readiness probe.
 pub(crate) fn is_readiness_probe(method: &Method, path: &str) -> bool {
     *method == Method::GET && path == READY_PATH
 }
 
-/// The announcement that a request at the `control` address makes. `local` is the backend server
-/// of this VM as the settings name it.
+/// Parses a request to the `control` address. `local` is this VM's backend server according to the
+/// settings.
 pub(crate) fn parse_announcement(
     method: &Method,
     path: &str,
@@ -115,7 +115,8 @@
     })
 }
 
-/// One that leaves says little of itself, at times only its name.
+/// The announcement that a backend server has shut down. The request may contain nothing but the name, so
+/// service and address come from the settings.
 fn removal_announcement(instance: &str, body: &[u8], local: &BackendServer) -> Announcement {
     #[derive(Default, Deserialize)]
     struct RemovalBody {
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -1,21 +1,21 @@
-//! The settings file that the platform gives a process, and what its keys mean.
+//! Decoder for the settings file that the users' platform gives a node.
 //!
 //! | key | meaning |
 //! |---|---|
 //! | `ip`, `zone`, `region` | the VM's address, data centre and region |
 //! | `service`, `appAddr` | service and address of the VM's backend server |
-//! | `listen.outbound` | where callers on the VM, its backend server too, send their requests |
-//! | `listen.inbound` | free for us: other nodes connect here |
-//! | `listen.ready` | where readiness is asked for |
-//! | `listen.control` | where the VM's backend server announces itself |
-//! | `seeds` | `listen.control` addresses of other VMs; stale ones may be among them |
-//! | `platform.address` | the store |
-//! | `limits.linkMbps` | rate of the VM's link, each way |
-//! | `limits.maxFds` | descriptors that the process may open |
-//! | `limits.memoryMb` | memory that the process may use |
-//! | `bounds` | figures of the users' rules, as `name=value` |
+//! | `listen.outbound` | listens for requests of callers on the VM, including its backend server |
+//! | `listen.inbound` | not used by the platform itself; here it listens for other nodes |
+//! | `listen.ready` | listens for readiness probes |
+//! | `listen.control` | listens for announcements of the VM's backend server |
+//! | `seeds` | `listen.control` addresses of other VMs; some may be outdated |
+//! | `platform.address` | address of the store |
+//! | `limits.linkMbps` | bandwidth of the VM's link in each direction, in Mbit/s |
+//! | `limits.maxFds` | number of file descriptors that the process may open |
+//! | `limits.memoryMb` | memory that the process may use, in MB |
+//! | `bounds` | limits that the users set for a node, as a list of `name=value` |
 //!
-//! Keys that are not used are ignored: new ones may come.
+//! Unknown keys are ignored, because the platform may add new ones.
 
 use std::net::{IpAddr, SocketAddr};
 use std::str::FromStr;
@@ -28,25 +28,26 @@
 use crate::core::names::{DataCentreName, RegionName, ServiceName};
 use crate::node::settings::{BackendServer, LogFormat, Settings};
 
-/// Port of the operator listener. The platform gives none; it is the one that the deploy file names
-/// for metrics.
+/// Port of the operator listener. The settings file has none; this is the port that
+/// `deploy/system.toml` gives for metrics.
 const OPERATOR_PORT: u16 = 9464;
 
-/// Part of the time between the request to stop and the kill that is kept for the way out.
+/// Part of the grace period, which lasts from the stop signal to the kill, that is reserved for shutting
+/// down after requests have drained, in milliseconds.
 const EXIT_MARGIN_MS: u64 = 500;
 
-/// The platform asks for readiness once a second and needs two refusals, so callers come for up to
-/// two seconds more.
+/// Shortest time that a stopping node goes on serving callers, in milliseconds. The platform probes
+/// readiness once a second and needs two failed probes, so new callers arrive for up to two seconds.
 const MIN_SERVING_MS: u64 = 2_200;
 
-/// Result of this module; otherwise every fault of the file, a line each.
+/// Result of decoding a settings file. The error lists all problems of the file, one string each.
 pub(crate) type Result<T, E = Vec<String>> = std::result::Result<T, E>;
 
-/// Reads the text of a settings file.
+/// Decodes the text of a settings file.
 pub(crate) fn decode(text: &str) -> Result<Settings> {
     let table = text
         .parse::<Table>()
-        .map_err(|error| vec![format!("not TOML: {}", error.message())])?;
+        .map_err(|error| vec![format!("invalid TOML: {}", error.message())])?;
     let mut reader = SettingsReader {
         table: &table,
         problems: Vec::new(),
@@ -58,6 +59,7 @@
     }
 }
 
+/// Reads values by key and collects the problems of missing and invalid ones.
 struct SettingsReader<'a> {
     table: &'a Table,
     problems: Vec<String>,
@@ -102,7 +104,7 @@
             .maybe_retry_percent(bounds.percent("retryBudgetRatio"))
             .maybe_retry_reserve(bounds.integer("budgetExtra"))
             .maybe_link_kbit_per_s(self.link_kbit_per_s())
-            // All callers of a VM have its address.
+            // This limit applies to each caller address, and all callers on a VM share one address.
             .caller_connections_max(u32::MAX)
             .maybe_descriptors_max(self.limit("maxFds"))
             .maybe_memory_mb(self.limit("memoryMb"))
@@ -120,12 +122,13 @@
         table.get(*key)
     }
 
+    /// A required string. Adds a problem if it is missing or has another type.
     fn string(&mut self, path: &[&str]) -> Option<String> {
         let value = self.value(path);
         let text = value.and_then(Value::as_str).map(str::to_owned);
         let problem = match value {
             None => "is missing",
-            Some(_) => "is not a text",
+            Some(_) => "is not a string",
         };
         if text.is_none() {
             self.problems
@@ -134,6 +137,7 @@
         text
     }
 
+    /// A required string that parses as a `T`. Adds a problem if it doesn't.
     fn parsed<T: FromStr>(&mut self, path: &[&str]) -> Option<T>
     where
         T::Err: std::fmt::Display,
@@ -149,7 +153,8 @@
         }
     }
 
-    /// Peers of the named VMs: ports are the same on all of them.
+    /// Peer addresses of the seed VMs. A seed is a `listen.control` address; its port is replaced by this
+    /// node's own peer port, because all VMs use the same ports.
     fn seeds(&mut self, peer_listen: Option<SocketAddr>) -> Vec<SocketAddr> {
         let port = peer_listen.map_or(0, |address| address.port());
         let mut seeds = Vec::new();
@@ -160,14 +165,16 @@
                 .and_then(|text| text.parse::<SocketAddr>().ok())
             {
                 Some(address) => seeds.push(SocketAddr::new(address.ip(), port)),
-                // Only a hint: without it peers are found through the store.
-                None => log::warn!(seed:? = seed.to_string(); "a seed is not an address"),
+                // Seeds are only hints: peers are also found through the store.
+                None => {
+                    log::warn!(seed:? = seed.to_string(); "ignoring a seed that is not a socket address")
+                }
             }
         }
         seeds
     }
 
-    /// The platform says it in megabits, mostly with a fraction.
+    /// Bandwidth of the VM's link. The file has it in Mbit/s, usually with a fraction.
     fn link_kbit_per_s(&self) -> Option<u32> {
         let value = self.value(&["limits", "linkMbps"])?;
         let whole = value.as_integer().map(|mbit| mbit as f64);
@@ -175,7 +182,7 @@
         (mbit > 0.0).then_some((mbit * 1_000.0) as u32)
     }
 
-    /// A whole number of the limits; none if it is missing, zero or no such number.
+    /// A positive integer below `limits`; `None` if it is missing, zero or anything else.
     fn limit(&self, name: &str) -> Option<u32> {
         let number = self.value(&["limits", name])?.as_integer()?;
         u32::try_from(number).ok().filter(|number| *number > 0)
@@ -193,10 +200,10 @@
     }
 }
 
-/// Time from the request to stop to the kill where the file does not tell it.
+/// Grace period from the stop signal to the kill if the file does not set one, in milliseconds.
 const DEFAULT_GRACE_MS: u64 = 6_000;
 
-/// The users' figures; one that is missing or unreadable leaves the product's own.
+/// Names and values of `bounds`. For a value that is missing or invalid, dragonflywall's default applies.
 struct Bounds(Vec<(String, String)>);
 
 impl Bounds {
@@ -213,6 +220,7 @@
         self.get(name)?.parse().ok()
     }
 
+    /// A fraction such as `0.2`, in percent.
     fn percent(&self, name: &str) -> Option<u32> {
         let share: f64 = self.get(name)?.parse().ok()?;
         (0.0..=10.0)
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,14 +1,14 @@
-//! The calls of the platform's store.
+//! HTTP client of the store of the users' platform.
 //!
 //! | call | meaning |
 //! |---|---|
-//! | `POST /-/rows-tx` | a conditional transaction; 200, or 412 if a condition does not hold |
-//! | `GET /-/rows-get` | rows of one table and part, by a range of keys |
-//! | `GET /-/rows-feed` | rows that have changed since a version; 410 if that is too long ago |
+//! | `POST /-/rows-tx` | runs a conditional transaction; status 200, or 412 if a condition does not hold |
+//! | `GET /-/rows-get` | reads a range of keys from one part of a table |
+//! | `GET /-/rows-feed` | long-polls for rows changed since a transaction number; status 410 if the store no longer has that history |
 //!
-//! The product's rows lie in one table of its own, [`OWN_TABLE`], under their own keys. A row's
-//! `ver` counts the transactions of the whole store; the product takes it as the row's revision, as
-//! it only asks whether a row is still the one that it read.
+//! dragonflywall's rows are in a table of their own, [`OWN_TABLE`]. A row's `ver` is the number of the
+//! transaction that wrote it last, counted for the whole store. The client uses it as the row's
+//! [`revision`](Row::revision), which only serves to check that a row has not changed since it was read.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -27,24 +27,24 @@
     decode_json, unexpected_status,
 };
 
-/// The table that holds the product's own rows.
+/// The table that contains dragonflywall's own rows.
 const OWN_TABLE: &str = "dragonflywall";
-/// The table that operators write; the configuration is its row [`CONFIGURATION_KEY`].
+/// The table that operators write. Its row [`CONFIGURATION_KEY`] contains the configuration.
 const OPERATORS_TABLE: &str = "op";
 const CONFIGURATION_KEY: &str = "config";
 
-/// Longest wait for an answer that the store gives at once. It takes 4 ms, and up to 60 times as
-/// long when it is slow; a connection that went silent is given up soon enough to ask again while
-/// a configuration is still new.
+/// Time within which the response to a call without long polling must begin. The store takes 4 ms, and
+/// up to 60 times as long when it is slow. The timeout is short enough to retry after a stalled
+/// connection while a configuration is still new.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A client of the platform's store.
+/// Client of the platform's store.
 #[derive(Clone, Debug)]
 pub struct PlatformStore {
     transport: Transport,
 }
 
-/// A row as it travels.
+/// A row, or a condition on a row, in the JSON of the store.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireRow {
     #[serde(rename = "tableName")]
@@ -52,13 +52,14 @@
     #[serde(default)]
     part: String,
     key: String,
-    /// In base64.
+    /// Content in base64.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     value: Option<String>,
-    /// The transaction that wrote it last. In a condition: the one that must have, 0 for none.
+    /// Number of the transaction that wrote the row last. In a condition: the number that it must have,
+    /// or 0 if the row must not exist.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     ver: Option<u64>,
-    /// In a feed: the row was removed.
+    /// Whether the row was deleted; only in responses of the feed.
     #[serde(default, skip_serializing)]
     deleted: bool,
 }
@@ -91,29 +92,32 @@
     }
 }
 
+/// Body of `POST /-/rows-tx`.
 #[derive(Debug, Default, Serialize)]
 struct WireTransaction {
-    /// What must hold: the rows as they are to be now, not a revision to write at.
+    /// Rows with the `ver` that each must have before the transaction. Despite the field's name these are
+    /// conditions, not revisions for the writes.
     #[serde(rename = "expectedRev")]
     conditions: Vec<WireRow>,
     writes: Vec<WireRow>,
     remove: Vec<WireRow>,
 }
 
-/// Rows of one moment, or what has changed up to it.
+/// Response to `GET /-/rows-get` and `GET /-/rows-feed`.
 #[derive(Debug, Deserialize)]
 struct WireRows {
     #[serde(default)]
     rows: Vec<WireRow>,
-    /// The newest transaction that the answer takes in.
+    /// Number of the newest transaction that the response includes.
     ver: u64,
-    /// Length of the answer.
+    /// Length of the response body.
     #[serde(skip)]
     len_bytes: usize,
 }
 
 impl PlatformStore {
-    /// A client for the store at `base_url`, such as `http://10.0.0.9:7000`.
+    /// Creates a client for the store at `base_url`, such as `http://10.0.0.9:7000`. Connections are
+    /// opened from the local address `dial_from`, or from one that the system selects.
     pub fn new(base_url: &str, dial_from: Option<IpAddr>) -> Self {
         Self {
             transport: Transport::new(base_url, dial_from),
@@ -139,7 +143,7 @@
     }
 }
 
-/// The first key behind all that begin with `prefix`, which is plain ASCII.
+/// The smallest key greater than all keys that begin with `prefix`, which must be ASCII.
 fn prefix_end(prefix: &str) -> String {
     let mut bytes = prefix.as_bytes().to_vec();
     if let Some(last) = bytes.last_mut() {
@@ -173,7 +177,7 @@
             writes: transaction.puts.iter().map(to_wire_write).collect(),
             remove: Vec::new(),
         };
-        let body = serde_json::to_vec(&wire).expect("a transaction always encodes");
+        let body = serde_json::to_vec(&wire).expect("a transaction can be encoded as JSON");
         let call = self
             .transport
             .call(Method::POST, "/-/rows-tx", body, RESPONSE_TIMEOUT);
@@ -235,7 +239,8 @@
     })
 }
 
-/// The configuration in a row, unless it cannot be used: what is in force then stays in force.
+/// Decodes the configuration in a row. Returns `None` if it is invalid, so that nodes continue to
+/// enforce the configuration that they have.
 fn decode_configuration(row: &WireRow) -> Option<Configuration> {
     let decoded = row.bytes().map_err(|error| error.to_string());
     let decoded =
@@ -243,7 +248,7 @@
     match decoded {
         Ok(configuration) => Some(configuration),
         Err(reason) => {
-            log::warn!(ver = row.ver.unwrap_or(0), reason; "the configuration in the store cannot be used");
+            log::warn!(row_revision = row.ver.unwrap_or(0), reason; "ignoring an invalid configuration in the store");
             metrics::counter!("dragonflywall_unreadable_total", "what" => "configuration")
                 .increment(1);
             None
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! The platform's texts and bytes, and what the adapter makes of them.
+//! Tests of the decoders for the formats of the users' platform.
 
 use std::collections::BTreeMap;
 
@@ -47,33 +47,40 @@
 
 #[test]
 fn platform_settings_map_to_node_settings() {
-    let settings = settings::decode(SETTINGS).expect("the file is right");
+    let settings = settings::decode(SETTINGS).expect("the file is valid");
     assert_eq!(settings.dialect, Dialect::Platform);
     assert_eq!(settings.caller_listen.to_string(), "10.1.0.8:8304");
     assert_eq!(settings.peer_listen.to_string(), "10.1.0.8:8300");
-    assert_eq!(settings.ready_listen.expect("given").port(), 8302);
-    assert_eq!(settings.announce_listen.expect("given").port(), 8306);
+    assert_eq!(
+        settings.ready_listen.expect("the file sets it").port(),
+        8302
+    );
+    assert_eq!(
+        settings.announce_listen.expect("the file sets it").port(),
+        8306
+    );
     assert_eq!(settings.platform_url, "http://10.200.1.7:8309");
-    // A seed names where backend servers announce themselves; peers connect elsewhere.
+    // A seed has the port of the announcement listener, which is replaced by the peer port.
     assert_eq!(settings.peer_seeds[0].to_string(), "10.1.0.9:8300");
     assert_eq!(settings.drain_timeout_ms, 5_500);
     assert_eq!(settings.retry_percent, 20);
     assert_eq!(settings.retry_reserve, Some(56));
 }
 
-/// A file that was half written, or written by a newer platform: every fault is named at once.
+/// Guards against an error that names only the first problem of a file, so that an operator has to fix
+/// them one by one. The file may be written in part, or by a newer version of the platform.
 #[test]
 fn all_problems_of_a_settings_file_are_reported() {
     let invalid_file = SETTINGS
         .replace("ip = \"10.1.0.8\"", "ip = \"10.1.0\"")
         .replace("service = \"huvo11a\"\n", "")
         .replace("zone = \"gijon\"", "zone = 5");
-    let problems = settings::decode(&invalid_file).expect_err("three faults");
+    let problems = settings::decode(&invalid_file).expect_err("three values are invalid");
     assert_eq!(
         problems,
         [
             "`ip` = `10.1.0`: invalid IP address syntax",
-            "`zone` is not a text",
+            "`zone` is not a string",
             "`service` is missing",
         ]
     );
@@ -90,24 +97,26 @@
 "limits":{"maxHeaderBytes":16384,"maxBodyBytes":67108864,"headerTimeout":"3000ms","idleTimeout":"15000ms"}}"#;
 
 fn decoded(text: &str) -> Configuration {
-    configuration::decode(text.as_bytes()).expect("the configuration is right")
+    configuration::decode(text.as_bytes()).expect("the configuration is valid")
 }
 
 #[test]
 fn configuration_is_decoded_into_routes_by_host() {
     let configuration = decoded(CONFIGURATION);
     assert_eq!(configuration.version, Version(7));
-    let limits = configuration.caller_limits().expect("given");
+    let limits = configuration
+        .caller_limits()
+        .expect("the configuration sets them");
     assert_eq!(limits.idle_timeout_ms, 15_000);
-    let table = RouteTable::compile(&configuration).expect("it closes");
+    let table = RouteTable::compile(&configuration).expect("all references are valid");
     let payment_targets = table.find("jepu9.example", "POST", "/puka111/2f");
-    let payment_targets = &payment_targets.expect("a route").targets;
+    let payment_targets = &payment_targets.expect("a route matches").targets;
     assert_eq!(payment_targets.len(), 1);
     assert_eq!(payment_targets[0].service.as_str(), "wuno96b");
     assert!(!payment_targets[0].treatment.idempotent);
     assert_eq!(payment_targets[0].treatment.spill, Spill::Mesh);
     let read = table.find("hulo84.example", "GET", "/leny950/2f");
-    let read = &read.expect("a route").targets;
+    let read = &read.expect("a route matches").targets;
     let weights: BTreeMap<_, _> = read
         .iter()
         .map(|target| (target.service.as_str(), target.weight))
@@ -116,12 +125,12 @@
     assert_eq!(read[0].treatment.timeout_ms, 1_200);
     assert_eq!(read[0].treatment.target_latency_ms, Some(300));
     assert_eq!(read[0].treatment.attempts, 3);
-    // Hosts do not share their routes, and a service's own name is no host here.
+    // A route matches only requests for its own host, and the name of a service is not a host.
     assert!(table.find("hulo84.example", "GET", "/puka111/2f").is_none());
     assert!(table.find("wuno96b", "POST", "/puka111/2f").is_none());
 }
 
-/// A row of the store that nobody should have written: nothing of it is used.
+/// Guards against using the valid part of a configuration that is truncated or has an invalid field.
 #[test]
 fn invalid_configuration_is_rejected_as_a_whole() {
     let invalid = [
@@ -154,7 +163,7 @@
             &local_backend_server(),
         )
     };
-    let announcement = read(body).expect("it is right");
+    let announcement = read(body).expect("the announcement is valid");
     assert_eq!(announcement.instance, Some(InstanceName::new("i-7f")));
     assert_eq!(announcement.state, BackendState::Draining);
     assert_eq!(announcement.slots, Some(18));
@@ -176,7 +185,10 @@
         b"",
         &local_backend_server(),
     );
-    assert_eq!(removal.expect("it is right").state, BackendState::Gone);
+    assert_eq!(
+        removal.expect("the request is valid").state,
+        BackendState::Gone
+    );
     assert!(
         node_requests::parse_announcement(
             &Method::GET,
--- a/src/store.rs
+++ b/src/store.rs
@@ -82,7 +82,7 @@
 /// A row of the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Starts at 1 or above and increases with each write of the row.
+    /// At least 1; increases with each write of the row.
     pub revision: u64,
     /// The content, as JSON text.
     pub value: String,
--- a/src/store/rows.rs
+++ b/src/store/rows.rs
@@ -5,7 +5,7 @@
 //! | `head` | [`HeadRow`] | by each publication, on condition that it is unchanged | the accepted version |
 //! | `version/N` | [`VersionRow`] | once, in the transaction that writes `head` | the audit trail |
 //! | `publish/ID` | [`PublishRow`] | once, in that transaction or when an operator abandons the publication | the outcome of a publication whose response was lost |
-//! | `node/ADDRESS` | [`NodeRow`] | by the node, at long intervals and when its backend server changes | seeds for nodes that start |
+//! | `node/ADDRESS` | [`NodeRow`] | by the node, at long intervals and when its backend server changes | a hint by which nodes find each other |
 
 use std::net::SocketAddr;
 
@@ -102,8 +102,9 @@
     },
 }
 
-/// A node's registration: its addresses and its backend server. Nodes use it only as a hint when they
-/// start, to find peers and to restore the state of their own backend server.
+/// A node's registration: its addresses and its backend server. It is only a hint and may be outdated:
+/// other nodes use it to find peers, and the node itself to restore the state of its backend server
+/// after a restart.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRow {
     /// Address for peers of the same data centre.
--- a/src/util.rs
+++ b/src/util.rs
@@ -1,4 +1,4 @@
-//! Helpers used in more than one place.
+//! Helpers that several modules use: clocks, file descriptor limits, and TCP connections.
 
 pub(crate) mod clock;
 pub(crate) mod dial;
--- a/src/util/dial.rs
+++ b/src/util/dial.rs
@@ -1,4 +1,4 @@
-//! Outgoing TCP connections with the options that every connection of the mesh has.
+//! Opens outgoing TCP connections with the socket options that all connections of the mesh use.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -6,7 +6,8 @@
 
 use tokio::net::{TcpSocket, TcpStream};
 
-/// Connects to `remote`, from `local_ip` if given, within `timeout`.
+/// Connects to `remote` and disables Nagle's algorithm. Binds to `local_ip` first if it is given. Fails with
+/// `TimedOut` if the connection does not open within `timeout`.
 pub(crate) async fn dial(
     remote: SocketAddr,
     local_ip: Option<IpAddr>,
@@ -18,7 +19,8 @@
         TcpSocket::new_v6()?
     };
     if let Some(local_ip) = local_ip {
-        // A listener may come back to this port: with the option on both, the system lets it.
+        // A restarted listener may bind the port that this connection gets. The system permits that if
+        // both sockets have SO_REUSEADDR.
         socket.set_reuseaddr(true)?;
         socket.bind(SocketAddr::new(local_ip, 0))?;
     }
--- a/src/util/file_descriptors.rs
+++ b/src/util/file_descriptors.rs
@@ -1,16 +1,16 @@
-//! How many descriptors the system lets this process open.
+//! The number of file descriptors that the system allows this process to open.
 
 use nix::sys::resource::{Resource, getrlimit};
 
-/// Taken where the system does not say it: the usual limit of a process.
+/// The limit to assume if the system call fails: the common default for a process.
 const FALLBACK_LIMIT: u32 = 1_024;
 
-/// Descriptors that this process may open.
+/// The soft limit on open file descriptors of this process (`RLIMIT_NOFILE`).
 pub(crate) fn soft_limit() -> u32 {
     match getrlimit(Resource::RLIMIT_NOFILE) {
         Ok((soft, _)) => u32::try_from(soft).unwrap_or(u32::MAX),
         Err(error) => {
-            log::warn!(error:%, taken = FALLBACK_LIMIT; "the limit of descriptors is not known");
+            log::warn!(error:%, assumed_limit = FALLBACK_LIMIT; "cannot read the limit on file descriptors");
             FALLBACK_LIMIT
         }
     }
--- a/tests/testsuite/fuzz_table.rs
+++ b/tests/testsuite/fuzz_table.rs
@@ -1,5 +1,6 @@
-//! The platform's table, through the product's client, against a map: conditional transactions are
-//! all or nothing, and a lost answer is told as such whether or not the write took effect.
+//! Stateful fuzz test of [`HttpStore`] and the table's stand-in against a model, which is a map.
+//! Conditional transactions are applied completely or not at all. If the request or the response is
+//! lost, the client returns [`Error::OutcomeUnknown`], whether or not the write took effect.
 
 use std::collections::BTreeMap;
 
@@ -14,9 +15,10 @@
 
 const KEYS: [&str; 4] = ["head", "publish/a", "version/1", "version/2"];
 
-/// Every key and its revision and value.
+/// Revision and value of each row by key.
 type Rows = BTreeMap<String, (u64, String)>;
 
+/// The message of a transaction that the stand-in loses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LostMessage {
     None,
@@ -31,6 +33,7 @@
     List { after: &'static str, limit: u32 },
 }
 
+/// The model of the table.
 struct ReferenceTable;
 
 fn key() -> impl Strategy<Value = &'static str> {
@@ -63,7 +66,7 @@
     }
 }
 
-/// Whether the transaction took effect.
+/// Applies the transaction to the model if its conditions hold, and returns whether they did.
 fn apply_transaction(rows: &mut Rows, transaction: &Transaction) -> bool {
     if !transaction
         .conditions
@@ -109,11 +112,12 @@
     }
 }
 
+/// The client under test and the stand-in that it calls.
 struct TableTest {
     runtime: Runtime,
     platform: Platform,
     client: HttpStore,
-    /// The oracle before the step under way.
+    /// Rows of the model before the current step.
     rows_before_step: Rows,
 }
 
@@ -123,9 +127,9 @@
 
     fn init_test(_: &Rows) -> Self {
         let mut builder = tokio::runtime::Builder::new_current_thread();
-        let runtime = builder.enable_all().build().expect("a runtime starts");
+        let runtime = builder.enable_all().build().expect("the runtime starts");
         let platform = runtime.block_on(Platform::start(([127, 0, 0, 1], 0).into()));
-        let platform = platform.expect("a port is free");
+        let platform = platform.expect("a port is available");
         let client = HttpStore::new(&platform.url(), None);
         Self {
             runtime,
@@ -153,18 +157,23 @@
                         LostMessage::Request | LostMessage::Response,
                         Err(Error::OutcomeUnknown { .. }),
                     ) => {}
-                    (lost_message, result) => panic!("{lost_message:?} brought {result:?}"),
+                    (lost_message, result) => {
+                        panic!("lost message {lost_message:?}: unexpected result {result:?}")
+                    }
                 }
             }
             Step::Read(key) => {
                 let row = table.runtime.block_on(table.client.row(key));
                 let expected = rows.get(key).cloned();
                 let expected = expected.map(|(revision, value)| Row { revision, value });
-                assert_eq!(row.expect("nothing is wrong"), expected);
+                assert_eq!(row.expect("the read succeeds without a fault"), expected);
             }
             Step::List { after, limit } => {
                 let list = table.client.rows("version/", after, limit);
-                let list = table.runtime.block_on(list).expect("nothing is wrong");
+                let list = table
+                    .runtime
+                    .block_on(list)
+                    .expect("the read succeeds without a fault");
                 let is_listed = |key: &&String| key.starts_with("version/") && key.as_str() > after;
                 let expected: Vec<&String> =
                     rows.keys().filter(is_listed).take(limit as usize).collect();
--- a/tests/testsuite/main.rs
+++ b/tests/testsuite/main.rs
@@ -1,4 +1,4 @@
-//! The integration tests: whole processes, and the library's decisions from outside.
+//! Integration tests. Some start complete node processes, others test the library through its public API.
 
 mod check;
 mod decide_admission;
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -1,4 +1,4 @@
-//! What several tests need: the program, a mesh of it, its command line.
+//! Helpers that several tests share: they start meshes, run commands, send requests and read metrics.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,30 +11,31 @@
 use testkit::users;
 use testkit::users::configuration::{Kind, Route};
 
+/// Path of the dragonflywall executable.
 pub(crate) const PROGRAM: &str = env!("CARGO_BIN_EXE_dragonflywall");
 
-/// A file of the repository.
+/// Absolute path of a file in the repository.
 pub(crate) fn repository_file(path: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join(path)
 }
 
-/// Starts a deployment of node processes.
+/// Starts the node processes and stand-ins of a deployment.
 pub(crate) async fn start_mesh(deployment: Deployment) -> Mesh {
     let mesh = Mesh::start(Path::new(PROGRAM), &["node"], deployment).await;
-    mesh.expect("every process starts")
+    mesh.expect("all processes start")
 }
 
-/// Runs a command of the product to its end.
+/// Runs the executable with these arguments and waits until it exits.
 pub(crate) async fn run_program(arguments: &[&str]) -> Output {
     let output = tokio::process::Command::new(PROGRAM)
         .args(arguments)
         .kill_on_drop(true)
         .output()
         .await;
-    output.expect("the program runs")
+    output.expect("the executable starts")
 }
 
-/// Publishes example files of a deployment through the command line.
+/// Runs the `publish` command with these files of the repository.
 pub(crate) async fn publish(mesh: &Mesh, files: &[&str]) -> Output {
     let paths: Vec<PathBuf> = files.iter().map(|file| repository_file(file)).collect();
     let url = mesh.platform.url();
@@ -43,7 +44,7 @@
     run_program(&arguments).await
 }
 
-/// Two data centres of one region and one of another, with some services of Chatarras.
+/// Three data centres, two of them in one region, with these services of the example company Chatarras.
 pub(crate) fn small_deployment(
     services: &[&'static str],
     endpoints_per_data_centre: usize,
@@ -55,14 +56,15 @@
     deployment
 }
 
-/// Team files of Chatarras.
+/// Team files of the example company Chatarras.
 pub(crate) const CHATARRAS_TEAM_FILES: &[&str] = &[
     "examples/chatarras/boletines.toml",
     "examples/chatarras/suscripciones.toml",
     "examples/chatarras/bascula.toml",
 ];
 
-/// Starts a deployment that enforces the team files of Chatarras and knows all of its members.
+/// Starts a deployment, publishes [`CHATARRAS_TEAM_FILES`], and waits until all nodes enforce them and know
+/// all members.
 pub(crate) async fn start_chatarras(deployment: Deployment) -> Mesh {
     let mesh = start_mesh(deployment).await;
     let published = publish(&mesh, CHATARRAS_TEAM_FILES).await;
@@ -72,16 +74,18 @@
     mesh
 }
 
-/// Bounds a hang; no test judges speed by it.
+/// Timeout for conditions that tests wait for. It only keeps a failed test from hanging; no test measures
+/// speed with it.
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Positions of the VMs of a service.
+/// Indices in `mesh.vms` of the VMs of a service.
 pub(crate) fn vms_of(mesh: &Mesh, service: &str) -> Vec<usize> {
     let of_service = |position: &usize| mesh.vms[*position].service == service;
     (0..mesh.vms.len()).filter(of_service).collect()
 }
 
-/// How often the backend servers of a service ran a request, by position.
+/// How often each backend server of a service ran the request with this ID, as pairs of VM index and
+/// count. Backend servers that did not run it are left out.
 pub(crate) fn run_counts(mesh: &Mesh, service: &str, id: &str) -> Vec<(usize, u32)> {
     let run = |position: usize| {
         let record = mesh.vms[position].backend.record();
@@ -90,16 +94,18 @@
     vms_of(mesh, service).into_iter().filter_map(run).collect()
 }
 
-/// Waits until some backend server of a service runs the request; returns its position.
+/// Waits until a backend server of a service runs the request with this ID, and returns its VM index.
 pub(crate) async fn wait_until_running(mesh: &Mesh, service: &str, id: &str) -> usize {
-    wait_until("the request runs", WAIT_TIMEOUT, || async {
-        !run_counts(mesh, service, id).is_empty()
-    })
+    wait_until(
+        "a backend server runs the request",
+        WAIT_TIMEOUT,
+        || async { !run_counts(mesh, service, id).is_empty() },
+    )
     .await;
     run_counts(mesh, service, id)[0].0
 }
 
-/// One request under an id of its own.
+/// Sends a request with this request ID to a node's caller listener, `entry`.
 pub(crate) async fn send_request(
     entry: SocketAddr,
     method: Method,
@@ -111,28 +117,28 @@
     request(entry, method, service, path, &headers, "").await
 }
 
-/// Header with the verdict of a failed request.
+/// Response header with the verdict on a request: whether a failed one may have run.
 pub(crate) const VERDICT_HEADER: &str = "x-dragonflywall-verdict";
-/// Header with the reason of a failed request.
+/// Response header with the reason why a request failed.
 pub(crate) const REASON_HEADER: &str = "x-dragonflywall-reason";
 
-/// Metrics of a node as text; empty if it does not answer.
+/// Metrics of a node in the Prometheus text format; empty if the node does not respond.
 pub(crate) async fn fetch_metrics(operator: SocketAddr) -> String {
     let reply = request(operator, Method::GET, "node", "/metrics", &[], "").await;
     let body = reply.map(|reply| reply.body).unwrap_or_default();
     String::from_utf8_lossy(&body).into_owned()
 }
 
-/// Services of the deployments on the users' platform, as tests start them.
+/// Services of the test deployments on the users' platform.
 pub(crate) const SERVICES: [&str; 2] = ["armazem", "expedicao"];
 
-/// Starts VMs of the users' platform.
+/// Starts a mesh on the stand-in of the users' platform.
 pub(crate) async fn start_users_mesh(plan: users::mesh::Plan) -> users::mesh::Mesh {
     let mesh = users::mesh::Mesh::start(Path::new(PROGRAM), &["node"], plan).await;
-    mesh.expect("every process starts")
+    mesh.expect("all processes start")
 }
 
-/// Routes to both of [`SERVICES`]: reads and uploads to the first one, payments to the second.
+/// Routes to the two [`SERVICES`]: reads and uploads to the first, payments to the second.
 pub(crate) fn users_routes() -> Vec<Route> {
     vec![
         Route::new("/stock/", Kind::Idempotent, SERVICES[0]),
@@ -141,7 +147,8 @@
     ]
 }
 
-/// Starts VMs of the users' platform, with [`users_routes`] in force and all backend servers known.
+/// Starts a mesh on the stand-in of the users' platform, and waits until all nodes enforce
+/// [`users_routes`] and know all backend servers.
 pub(crate) async fn start_serving_users_mesh(plan: users::mesh::Plan) -> users::mesh::Mesh {
     let services = plan.services.clone();
     let mesh = start_users_mesh(plan).await;
@@ -151,7 +158,7 @@
     mesh
 }
 
-/// The operator writes a configuration into the store.
+/// Writes a configuration with these routes into the store, as an operator does.
 pub(crate) fn write_routes(
     mesh: &users::mesh::Mesh,
     version: u64,
@@ -162,7 +169,7 @@
     mesh.store.operator_writes("config", text.as_bytes());
 }
 
-/// The VMs at whose backend servers a request ran, one entry for each run.
+/// Indices in `mesh.vms` of the VMs whose backend server ran the request with this ID, one entry per run.
 pub(crate) fn users_mesh_runs(mesh: &users::mesh::Mesh, id: &str) -> Vec<usize> {
     let vms = mesh.vms.iter().enumerate();
     vms.flat_map(|(position, vm)| {
--- a/tests/testsuite/users_store.rs
+++ b/tests/testsuite/users_store.rs
@@ -1,4 +1,4 @@
-//! What the client of the users' store makes of each of its answers.
+//! Tests of [`PlatformStore`], the client of the store of the users' platform, against a stand-in.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,12 +13,12 @@
 use crate::support::{SERVICES, WAIT_TIMEOUT, users_routes};
 
 const TABLE: &str = "dragonflywall";
-/// Longest wait for an answer; bounds a hang.
+/// Timeout for a response. It only keeps a failed test from hanging.
 const RESPONSE_TIMEOUT: Duration = WAIT_TIMEOUT;
 
 async fn start() -> (Store, PlatformStore) {
     let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
-    let store = Store::start(any_port).await.expect("it starts");
+    let store = Store::start(any_port).await.expect("the stand-in starts");
     let client = PlatformStore::new(&format!("http://{}", store.address), None);
     (store, client)
 }
@@ -36,44 +36,48 @@
     }]
 }
 
-/// Two nodes register under one key at the same moment. One transaction takes effect, the other is told
-/// that its condition did not hold, and the row holds what the first one wrote.
+/// Guards against two writers that both create the same row. The second transaction must return
+/// `ConditionFailed` and leave the value of the first one in place.
 #[tokio::test]
 async fn failed_condition_writes_nothing() {
     let (store, client) = start().await;
     let first = client.transact(&put("a", "1", absent("a"))).await;
-    assert_eq!(first.expect("it answers"), Outcome::Committed);
+    assert_eq!(first.expect("the store responds"), Outcome::Committed);
     let second = client.transact(&put("a", "2", absent("a"))).await;
-    assert_eq!(second.expect("it answers"), Outcome::ConditionFailed);
+    assert_eq!(
+        second.expect("the store responds"),
+        Outcome::ConditionFailed
+    );
     assert_eq!(store.value(TABLE, "a").as_deref(), Some(&b"1"[..]));
-    let row = client.row("a").await.expect("it answers");
-    let row = row.expect("it was written");
+    let row = client.row("a").await.expect("the store responds");
+    let row = row.expect("the row exists");
     let revision = row.revision;
     let again = vec![Condition::Revision {
         key: "a".to_owned(),
         revision,
     }];
     let third = client.transact(&put("a", "3", again)).await;
-    assert_eq!(third.expect("it answers"), Outcome::Committed);
+    assert_eq!(third.expect("the store responds"), Outcome::Committed);
 }
 
-/// Rows are listed by prefix, a page at a time, as a node looks for others.
+/// Nodes page through the rows of a prefix to find other nodes. Guards against a page that repeats its
+/// start key or contains rows of another prefix, and against a prefix that is taken for a key.
 #[tokio::test]
 async fn rows_are_listed_after_a_key() {
     let (_store, client) = start().await;
     for key in ["node/a", "node/b", "node/c", "other"] {
         let written = client.transact(&put(key, key, Vec::new())).await;
-        assert_eq!(written.expect("it answers"), Outcome::Committed);
+        assert_eq!(written.expect("the store responds"), Outcome::Committed);
     }
     let page = client.rows("node/", "node/a", 10).await;
-    let page = page.expect("it answers");
+    let page = page.expect("the store responds");
     let keys: Vec<&str> = page.keys().map(String::as_str).collect();
     assert_eq!(keys, ["node/b", "node/c"]);
-    assert_eq!(client.row("node").await.expect("it answers"), None);
+    assert_eq!(client.row("node").await.expect("the store responds"), None);
 }
 
-/// The store turns a node away in each of its ways. Whoever wrote must know whether it may have been
-/// done: 503 and 429 prove that it was not; a lost connection proves nothing.
+/// Guards against a write that is reported as not done although it may have taken effect, which a caller
+/// would repeat. Status 503 and 429 prove that nothing was written; a lost connection proves nothing.
 #[tokio::test]
 async fn refused_and_lost_writes_return_different_errors() {
     let (store, client) = start().await;
@@ -106,8 +110,8 @@
     assert_eq!(store.value(TABLE, "a").as_deref(), Some(&b"1"[..]));
 }
 
-/// A write is not answered and done only later. Until then it is not there, so a node that looked once
-/// and found nothing must not take that for "never".
+/// The response to a write is lost, and the write takes effect only later. A client that reads the row in
+/// between and finds nothing must not conclude that the write has failed.
 #[tokio::test]
 async fn write_may_take_effect_after_its_response_was_lost() {
     let (store, client) = start().await;
@@ -118,14 +122,14 @@
         "{lost:?}"
     );
     assert_eq!(store.value(TABLE, "a"), None);
-    wait_until("the write is done", WAIT_TIMEOUT, || async {
+    wait_until("the write takes effect", WAIT_TIMEOUT, || async {
         store.value(TABLE, "a").is_some()
     })
     .await;
 }
 
-/// The store forgets its history while a node follows it. The node is told so, reads the newest
-/// configuration, and follows again from there.
+/// The store drops its history while a client follows it. The client must return `HistoryGone`, and
+/// following must work again from the position of a newly read configuration.
 #[tokio::test]
 async fn feed_reports_dropped_history() {
     let (store, client) = start().await;
@@ -134,29 +138,61 @@
         store.operator_writes("config", text.as_bytes())
     };
     write(1);
-    let update = client.newest(RESPONSE_TIMEOUT).await.expect("it answers");
-    assert_eq!(update.configuration.expect("it is there").version.0, 1);
+    let update = client
+        .newest(RESPONSE_TIMEOUT)
+        .await
+        .expect("the store responds");
+    assert_eq!(
+        update
+            .configuration
+            .expect("there is a configuration")
+            .version
+            .0,
+        1
+    );
     let position = update.position;
     write(2);
     let update = client
         .newest_after(position, Duration::ZERO, RESPONSE_TIMEOUT)
         .await;
-    let update = update.expect("it answers");
-    assert_eq!(update.configuration.expect("it is new").version.0, 2);
+    let update = update.expect("the store responds");
+    assert_eq!(
+        update
+            .configuration
+            .expect("the configuration has changed")
+            .version
+            .0,
+        2
+    );
     store.drop_history();
     let expired = client
         .newest_after(update.position, Duration::ZERO, RESPONSE_TIMEOUT)
         .await;
     assert!(matches!(expired, Err(Error::HistoryGone)), "{expired:?}");
-    let update = client.newest(RESPONSE_TIMEOUT).await.expect("it answers");
-    assert_eq!(update.configuration.expect("it is there").version.0, 2);
+    let update = client
+        .newest(RESPONSE_TIMEOUT)
+        .await
+        .expect("the store responds");
+    assert_eq!(
+        update
+            .configuration
+            .expect("there is a configuration")
+            .version
+            .0,
+        2
+    );
     let unchanged = client
         .newest_after(update.position, Duration::ZERO, RESPONSE_TIMEOUT)
         .await;
-    assert!(unchanged.expect("it answers").configuration.is_none());
+    assert!(
+        unchanged
+            .expect("the store responds")
+            .configuration
+            .is_none()
+    );
 }
 
-/// A feed that waits hears of a version when it is written, not when its wait is over.
+/// Guards against a long poll that returns a new version only when its wait expires.
 #[tokio::test]
 async fn waiting_feed_returns_when_a_version_is_written() {
     let (store, client) = start().await;
@@ -168,16 +204,29 @@
     });
     let text = text(5, &users_routes(), &SERVICES);
     store.operator_writes("config", text.as_bytes());
-    let update = waiting.await.expect("it ends").expect("it answers");
-    assert_eq!(update.configuration.expect("it is new").version.0, 5);
+    let update = waiting
+        .await
+        .expect("the task does not panic")
+        .expect("the store responds");
+    assert_eq!(
+        update
+            .configuration
+            .expect("the configuration has changed")
+            .version
+            .0,
+        5
+    );
 }
 
-/// A row that nobody should have written stands where the configuration is. It is no configuration, and
-/// no failure of the store either.
+/// The row of the configuration contains something else. The client must return no configuration, and no
+/// error either, since the store has not failed.
 #[tokio::test]
 async fn undecodable_configuration_is_skipped() {
     let (store, client) = start().await;
     store.operator_writes("config", b"\xff\xfe not a configuration");
-    let update = client.newest(RESPONSE_TIMEOUT).await.expect("it answers");
+    let update = client
+        .newest(RESPONSE_TIMEOUT)
+        .await
+        .expect("the store responds");
     assert!(update.configuration.is_none());
 }
