--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -171,8 +171,8 @@
     // The limit of one endpoint, for all of its callers together.
     let connections = fields.required(as_u32, "maxConnections")?;
     let record = ServiceRecord {
-        // The format has no slots. Backend servers announce their own number, and this one applies only
-        // until then.
+        // The format has no number of slots, so this limit applies until a backend server announces its
+        // own number.
         slots_per_endpoint: connections,
         connections_per_endpoint: connections,
         queue_len: connections.saturating_mul(QUEUE_LEN_PER_CONNECTION),
--- a/src/platform/node_requests.rs
+++ b/src/platform/node_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that the users' platform sends to a node: readiness probes, and announcements of the
-//! backend server on the node's VM.
+//! Requests that a node receives in the format of the users' platform: readiness probes, and
+//! announcements of the backend server on the node's VM.
 //!
 //! | listener | request | meaning |
 //! |---|---|---|
@@ -52,7 +52,7 @@
     state: String,
     /// Number of requests that it runs concurrently.
     slots: u32,
-    /// Remaining time of its warm-up, during which it is slow.
+    /// Remaining, not elapsed, time of its warm-up, during which it is slow.
     #[serde(rename = "coldRemaining")]
     cold_remaining: Option<String>,
     /// Increases with each announcement, and starts again when the backend server restarts.
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -32,8 +32,8 @@
 /// `deploy/system.toml` gives for metrics.
 const OPERATOR_PORT: u16 = 9464;
 
-/// Part of the grace period, which lasts from the stop signal to the kill, that is reserved for shutting
-/// down after requests have drained, in milliseconds.
+/// Part of the grace period that is reserved for shutting down after the requests have drained, in
+/// milliseconds. The grace period lasts from the stop signal to the kill.
 const EXIT_MARGIN_MS: u64 = 500;
 
 /// Shortest time that a stopping node goes on serving callers, in milliseconds. The platform probes
