--- a/src/util/clock.rs
+++ b/src/util/clock.rs
@@ -5,7 +5,7 @@
 use nix::time::{ClockId, clock_gettime};
 
 /// Wall-clock time since the Unix epoch, for timestamps in records and for numbers that must increase
-/// when a process restarts. It can jump, so it does not serve to order events.
+/// when a process restarts. It can jump, so it must not order events within a process.
 pub(crate) fn unix_time() -> Duration {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/tests/testsuite/users_store.rs
+++ b/tests/testsuite/users_store.rs
@@ -142,28 +142,14 @@
         .newest(RESPONSE_TIMEOUT)
         .await
         .expect("the store responds");
-    assert_eq!(
-        update
-            .configuration
-            .expect("there is a configuration")
-            .version
-            .0,
-        1
-    );
+    assert_eq!(update.configuration.expect("a configuration").version.0, 1);
     let position = update.position;
     write(2);
     let update = client
         .newest_after(position, Duration::ZERO, RESPONSE_TIMEOUT)
         .await;
     let update = update.expect("the store responds");
-    assert_eq!(
-        update
-            .configuration
-            .expect("the configuration has changed")
-            .version
-            .0,
-        2
-    );
+    assert_eq!(update.configuration.expect("a new version").version.0, 2);
     store.drop_history();
     let expired = client
         .newest_after(update.position, Duration::ZERO, RESPONSE_TIMEOUT)
@@ -173,14 +159,7 @@
         .newest(RESPONSE_TIMEOUT)
         .await
         .expect("the store responds");
-    assert_eq!(
-        update
-            .configuration
-            .expect("there is a configuration")
-            .version
-            .0,
-        2
-    );
+    assert_eq!(update.configuration.expect("a configuration").version.0, 2);
     let unchanged = client
         .newest_after(update.position, Duration::ZERO, RESPONSE_TIMEOUT)
         .await;
@@ -208,14 +187,7 @@
         .await
         .expect("the task does not panic")
         .expect("the store responds");
-    assert_eq!(
-        update
-            .configuration
-            .expect("the configuration has changed")
-            .version
-            .0,
-        5
-    );
+    assert_eq!(update.configuration.expect("a new version").version.0, 5);
 }
 
 /// The row of the configuration contains something else. The client must return no configuration, and no
