--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -203,7 +203,7 @@
         let descriptors = self
             .descriptors_max
             .unwrap_or_else(file_descriptors::soft_limit);
-        ConnectionLimits::of_process(descriptors, self.memory_mb, self.caller_connections_max)
+        ConnectionLimits::for_process(descriptors, self.memory_mb, self.caller_connections_max)
     }
 
     /// Returns the options for connections to other nodes.
--- a/src/proxy/caller_connections.rs
+++ b/src/proxy/caller_connections.rs
@@ -6,9 +6,9 @@
 use slotmap::SecondaryMap;
 use tokio::sync::oneshot;
 
-use crate::decide::connections::{ConnectionKey, ConnectionLimits, Connections};
+use crate::decide::connections::{ConnectionKey, ConnectionLimits, ConnectionTable};
 
-/// Connections by caller; see [`Connections`].
+/// Connections by caller; see [`ConnectionTable`].
 #[derive(Clone, Debug)]
 pub(crate) struct CallerConnections {
     state: Arc<Mutex<State>>,
@@ -16,7 +16,7 @@
 
 #[derive(Debug)]
 struct State {
-    connections: Connections,
+    connections: ConnectionTable,
     /// Wakes the idle ones.
     close_senders: SecondaryMap<ConnectionKey, oneshot::Sender<()>>,
 }
@@ -24,7 +24,7 @@
 impl CallerConnections {
     pub(crate) fn new(limits: ConnectionLimits) -> Self {
         let state = State {
-            connections: Connections::new(limits),
+            connections: ConnectionTable::new(limits),
             close_senders: SecondaryMap::new(),
         };
         Self {
@@ -35,7 +35,7 @@
     /// Counts one more connection and closes an idle one for it if need be; none if there is no room.
     pub(crate) fn register(&self, caller: IpAddr) -> Option<ConnectionGuard> {
         let mut state = self.lock();
-        let Some(entered) = state.connections.enter(caller) else {
+        let Some(entered) = state.connections.accept(caller) else {
             metrics::counter!("dragonflywall_caller_connections_refused_total").increment(1);
             return None;
         };
@@ -75,7 +75,7 @@
     pub(crate) fn mark_idle(&self) -> IdleGuard<'_> {
         let (close_sender, close_receiver) = oneshot::channel();
         let mut state = self.registry.lock();
-        state.connections.idle(self.key);
+        state.connections.mark_idle(self.key);
         state.close_senders.insert(self.key, close_sender);
         IdleGuard {
             connection: self,
@@ -87,7 +87,7 @@
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let mut state = self.registry.lock();
-        state.connections.leave(self.key);
+        state.connections.remove(self.key);
         state.close_senders.remove(self.key);
         state.record_count();
     }
@@ -111,7 +111,7 @@
 impl Drop for IdleGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.connection.registry.lock();
-        state.connections.used(self.connection.key);
+        state.connections.mark_active(self.connection.key);
         state.close_senders.remove(self.connection.key);
     }
 }
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -26,9 +26,9 @@
 use crate::core::member::NodeId;
 use crate::core::names::ServiceName;
 use crate::decide::admission::{Admission, Limits};
-use crate::decide::intake::{Intake, LinkShare};
-use crate::decide::placement::{Balancer, LoadReport};
+use crate::decide::load_balancing::{Balancer, LoadReport};
 use crate::decide::retry::{RetryPolicy, ServiceTokens};
+use crate::decide::uploads::{UploadLimits, UploadQueue};
 use crate::distribution::CompiledConfiguration;
 use crate::node::settings::{ReloadableSettings, Settings};
 use crate::util::clock;
@@ -52,8 +52,8 @@
     retry_tokens: Mutex<ServiceTokens>,
     admission: Mutex<Admission<DecisionSender>>,
     /// What the link of this VM takes at a time.
-    pub(crate) link_share: LinkShare,
-    intake: Mutex<Intake>,
+    pub(crate) link_share: UploadLimits,
+    intake: Mutex<UploadQueue>,
     /// One for each large body that may come in at a time.
     pub(crate) upload_permits: Arc<Semaphore>,
     /// Large bodies that come in, from other nodes and from callers of this VM.
@@ -115,12 +115,12 @@
         let configured = settings.backend_server.as_ref();
         let configured = configured.filter(|_| !settings.backend_server_announces);
         let backend = configured.map(|configured| Arc::new(LocalBackend::from(configured)));
-        let link_share = LinkShare::of_link(settings.link_kbit_per_s);
+        let link_share = UploadLimits::for_link(settings.link_kbit_per_s);
         let without = settings.disabled_mechanisms;
         Self {
             link_share,
-            intake: Mutex::new(Intake::new(link_share)),
-            upload_permits: permits::new_semaphore(link_share.at_a_time),
+            intake: Mutex::new(UploadQueue::new(link_share)),
+            upload_permits: permits::new_semaphore(link_share.concurrent_max),
             incoming_uploads: AtomicU32::new(0),
             reserved_permits: ReservedPermits::default(),
             header_profile,
@@ -187,9 +187,9 @@
     pub(crate) fn update_retry_policy(&self) {
         let tunable = self.tunable.load();
         let (percent, reserve) = (tunable.retry_percent, tunable.retry_reserve);
-        let policy = RetryPolicy::of_entry(percent, reserve, self.view.load().alive_count());
+        let policy = RetryPolicy::for_entry(percent, reserve, self.view.load().alive_count());
         self.retry_tokens()
-            .set_policy(policy.without(self.without()));
+            .set_policy(policy.with_switches(self.without()));
     }
 
     pub(crate) fn retry_tokens(&self) -> MutexGuard<'_, ServiceTokens> {
@@ -204,19 +204,24 @@
     pub(crate) fn load(&self, hop: &Hop) -> LoadReport {
         let now_us = clock::since_us(self.started);
         let request = hop.fresh_admission_request(self.started);
-        let intake_us = self.intake().taken_us();
-        let load = self.admission().load(now_us, &request, &hop.resource);
-        LoadReport { intake_us, ..load }
+        let intake_us = self.intake().estimated_completion_us();
+        let load = self
+            .admission()
+            .load_report(now_us, &request, &hop.resource);
+        LoadReport {
+            upload_time_us: intake_us,
+            ..load
+        }
     }
 
     /// What this node's gate says, with the answer to `hop`, of how long other requests hold a slot.
     pub(crate) fn other_hold_times(&self, hop: &Hop) -> HeaderValue {
         let admission = self.admission();
         let now_us = clock::since_us(self.started);
-        headers::format_hold_times(&admission.other_held(now_us, &hop.resource))
+        headers::format_hold_times(&admission.other_service_times(now_us, &hop.resource))
     }
 
-    pub(crate) fn intake(&self) -> MutexGuard<'_, Intake> {
+    pub(crate) fn intake(&self) -> MutexGuard<'_, UploadQueue> {
         lock_ignoring_poison(&self.intake)
     }
 
--- a/src/store/retrying.rs
+++ b/src/store/retrying.rs
@@ -5,7 +5,7 @@
 
 use super::{Error, ObjectStore, Outcome, Result, Row, Table, Transaction};
 use crate::core::version::Digest;
-use crate::decide::pacing::{Backoff, jittered_ms};
+use crate::decide::backoff::{Backoff, jittered_ms};
 
 /// Attempts per call, including the first. With the delays of [`RETRY_BACKOFF`] they span about 3 s.
 /// By then 520 nodes that restart at once have finished their few reads each, at the table's limit of
@@ -49,7 +49,7 @@
     for earlier_attempts in 0..ATTEMPTS_MAX - 1 {
         match call().await {
             Err(Error::RateLimited) => {
-                let wait_ms = jittered_ms(RETRY_BACKOFF.pause_ms(earlier_attempts), rand::random());
+                let wait_ms = jittered_ms(RETRY_BACKOFF.delay_ms(earlier_attempts), rand::random());
                 tokio::time::sleep(Duration::from_millis(wait_ms)).await;
             }
             Err(Error::OutcomeUnknown { .. } | Error::TimedOut { .. })
--- a/tests/testsuite/logs.rs
+++ b/tests/testsuite/logs.rs
@@ -10,7 +10,7 @@
 use testkit::platform::Faults;
 use testkit::process::{Addresses, LogLine, Signal};
 use testkit::users::mesh::Plan;
-use testkit::users::store::Trouble;
+use testkit::users::store::CallFault;
 use tokio::sync::mpsc;
 
 use crate::support::{
@@ -33,7 +33,7 @@
     });
     let mut victim = mesh.vms[VICTIM].node.take().expect("the node runs");
     victim.signal(Signal::Kill);
-    victim.ended().await.expect("the node exits");
+    victim.wait_exit().await.expect("the node exits");
     wait_for_line(&mut lines, |line| line.text.contains("member is dead")).await;
     mesh.start_node(VICTIM).await.expect("the node starts");
     // A node that starts reads the store about once a second, and so logs the outage soon; other nodes read it less
@@ -121,7 +121,7 @@
     plan.data_centres.truncate(1);
     plan.log_lines = Some(sender);
     let mesh = start_serving_users_mesh(plan).await;
-    mesh.store.set_trouble(Trouble::Reset);
+    mesh.store.set_call_fault(CallFault::Disconnect);
     let is_failed_read = |line: &LogLine| line.text.contains("reading the store failed");
     let fields = fields(&wait_for_line(&mut lines, is_failed_read).await);
     assert!(fields["took_ms"].is_u64(), "{fields}");
--- a/tests/testsuite/simulation.rs
+++ b/tests/testsuite/simulation.rs
@@ -1,6 +1,7 @@
-//! A deterministic simulation of callers, entries and gates in virtual time, driving the product's
-//! decisions or the plain policy that they replace: random placement, one queue without bound or
-//! deadline, an attempt's share of the deadline, and always another attempt.
+//! A deterministic simulation, in virtual time, of callers, entry nodes and the gates in front of
+//! backend servers. It runs either the product's decisions or a simple baseline policy: random
+//! placement, an unbounded queue without deadlines, a fixed share of the deadline per attempt, and
+//! a retry after every failed attempt.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -8,15 +9,17 @@
 use dragonflywall::core::configuration::{Class, PRIORITY_DEFAULT, Spill, Treatment};
 use dragonflywall::core::member::{Member, NodeId};
 use dragonflywall::core::names::{ResourceName, ServiceName};
-use dragonflywall::decide::admission::{self, Admission, Admitted, Ask, Released, Ticket, Turn};
-use dragonflywall::decide::placement::{
-    Balancer, Endpoint, Limits, Need, Observed, Ranked, Search,
+use dragonflywall::decide::admission::{
+    self, Admission, AdmitOutcome, ReleasedSlot, SlotRequest, Ticket, WaitOutcome,
 };
-use dragonflywall::decide::retry::{Attempts, Failed, RETRIES_PER_TREE, ServiceTokens};
+use dragonflywall::decide::load_balancing::{
+    AttemptOutcome, Balancer, Endpoint, FreeSlotSearch, RankedEndpoints, Requirements, TimeLimits,
+};
+use dragonflywall::decide::retry::{AttemptFailure, Attempts, RETRIES_PER_TREE, ServiceTokens};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::decide_placement::{member, node, place};
+use crate::decide_load_balancing::{member, node, place};
 
 pub(crate) const MS: u64 = 1_000;
 pub(crate) const SECOND: u64 = 1_000 * MS;
@@ -29,16 +32,16 @@
     Baseline,
 }
 
-/// One backend server and how it misbehaves.
+/// One backend server and its faults.
 #[derive(Clone, Debug)]
 pub(crate) struct Server {
-    /// Work takes so many times as long.
+    /// Factor by which work takes longer.
     pub(crate) work_factor: u64,
-    /// Until then it is cold, and work takes five times as long.
+    /// The server is cold until this time, and work takes five times as long.
     pub(crate) cold_until_us: u64,
-    /// It answers 500 at once, whatever its health endpoint says.
+    /// Answers every request with status 500 at once, while its health checks succeed.
     pub(crate) always_fails: bool,
-    /// It stands in the other data centre of the region; all callers are in the first.
+    /// Whether it is in the other data centre of the region. All callers are in the first one.
     pub(crate) is_remote: bool,
 }
 
@@ -53,18 +56,18 @@
     }
 }
 
-/// Requests of one kind.
+/// A stream of requests of one kind.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Stream {
     pub(crate) class: Class,
     pub(crate) requests_per_s: u64,
     pub(crate) work_us: u64,
     pub(crate) timeout_us: u64,
-    /// An answer after this is late.
+    /// Latency above which an answer counts as late.
     pub(crate) target_us: u64,
     /// Longest wait for a slot.
     pub(crate) patience_us: u64,
-    /// Between these times.
+    /// Start of the stream; it ends at `until_us`.
     pub(crate) from_us: u64,
     pub(crate) until_us: u64,
 }
@@ -75,23 +78,23 @@
     pub(crate) queue_len: u32,
     pub(crate) servers: Vec<Server>,
     pub(crate) streams: Vec<Stream>,
-    /// Nodes at which requests arrive.
+    /// Number of nodes at which requests arrive.
     pub(crate) entries: usize,
-    /// Whether requests look for a free slot before they wait.
+    /// Whether requests look for a free slot before they wait in a queue.
     pub(crate) checks_free_slots: bool,
 }
 
-/// What callers of one class saw.
+/// Results of the calls of one class, as callers see them.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcomes {
     pub(crate) calls: u64,
     pub(crate) succeeded: u64,
-    /// Good ones within the target.
+    /// Successful calls within the target latency.
     pub(crate) on_time: u64,
     pub(crate) refused: u64,
     pub(crate) timed_out: u64,
     pub(crate) errors: u64,
-    /// Good ones from the other data centre.
+    /// Successful calls served by the other data centre.
     pub(crate) served_remotely: u64,
     pub(crate) attempts: u64,
     latencies_us: Vec<u64>,
@@ -147,20 +150,20 @@
     attempt: u32,
     attempts: Attempts,
     tried: Vec<NodeId>,
-    search: Search,
-    /// The attempt under way is a look.
+    search: FreeSlotSearch,
+    /// The current attempt only checks for a free slot, and does not wait.
     checking_slot: bool,
-    at: Option<(usize, AttemptState)>,
+    current_attempt: Option<(usize, AttemptState)>,
     ended: bool,
 }
 
 impl Stream {
-    /// What a request that began at `began_us` asks of a gate.
-    fn ask(&self, began_us: u64) -> Ask {
-        Ask {
+    /// What a request that began at `began_us` requires of a gate.
+    fn ask(&self, began_us: u64) -> SlotRequest {
+        SlotRequest {
             due_us: began_us + self.target_us,
-            patience_us: self.patience_us,
-            ..Ask::new(self.class, began_us + self.timeout_us)
+            max_wait_us: self.patience_us,
+            ..SlotRequest::new(self.class, began_us + self.timeout_us)
         }
     }
 }
@@ -181,7 +184,7 @@
 struct Entry {
     balancer: Balancer,
     tokens: ServiceTokens,
-    ranked: Ranked,
+    ranked: RankedEndpoints,
 }
 
 pub(crate) struct Simulation {
@@ -191,7 +194,7 @@
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     sequence: u64,
     rng: StdRng,
-    /// Of its own, so that both policies get the same requests.
+    /// Separate generator for arrivals, so that both policies get the same requests.
     arrival_rng: StdRng,
     calls: Vec<Call>,
     gates: Vec<Gate>,
@@ -199,12 +202,12 @@
     outcomes: BTreeMap<Class, Outcomes>,
 }
 
-/// Runs a scenario to its end under a policy.
+/// Runs a scenario to its end under a policy. Returns the results by class.
 pub(crate) fn run(scenario: &Scenario, policy: Policy) -> BTreeMap<Class, Outcomes> {
     let mut simulation = Simulation::new(scenario.clone(), policy);
     for stream in 0..scenario.streams.len() {
         let from_us = scenario.streams[stream].from_us;
-        simulation.at(from_us, Event::Arrive { stream });
+        simulation.schedule(from_us, Event::Arrive { stream });
     }
     while let Some(Reverse((time_us, _, event))) = simulation.events.pop() {
         simulation.now_us = time_us;
@@ -234,7 +237,7 @@
             }
         };
         let entry = |number: usize| {
-            let mut ranked = Ranked::default();
+            let mut ranked = RankedEndpoints::default();
             for member in &members {
                 ranked.add(node(1_000 + number as u16), &here, member);
             }
@@ -259,7 +262,7 @@
         }
     }
 
-    fn at(&mut self, time_us: u64, event: Event) {
+    fn schedule(&mut self, time_us: u64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((time_us, self.sequence, event)));
     }
@@ -319,20 +322,20 @@
             attempt: 0,
             attempts: Attempts::new(&treatment, RETRIES_PER_TREE),
             tried: Vec::new(),
-            search: Search::default(),
+            search: FreeSlotSearch::default(),
             checking_slot: false,
-            at: None,
+            current_attempt: None,
             ended: false,
         });
         self.outcomes.entry(stream.class).or_default().calls += 1;
         let entry = self.calls[call].entry;
-        self.entries[entry].tokens.entry_for(&service()).earn();
+        self.entries[entry].tokens.for_service(&service()).earn();
         self.attempt(call);
         let uniform: f64 = self.arrival_rng.random_range(0.000_001..1.0);
         let gap_us = (-uniform.ln() * SECOND as f64 / stream.requests_per_s as f64) as u64;
         let next_us = self.now_us + gap_us;
         if next_us < stream.until_us {
-            self.at(next_us, Event::Arrive { stream: number });
+            self.schedule(next_us, Event::Arrive { stream: number });
         }
     }
 
@@ -345,11 +348,11 @@
             Policy::Product => {
                 let entry = &mut self.entries[call.entry];
                 let left_us = |until_us: u64| until_us.saturating_sub(self.now_us);
-                let need = Need {
+                let need = Requirements {
                     spill: Spill::Region,
-                    slots: self.scenario.slots,
+                    default_slots: self.scenario.slots,
                     resource: &resource(call.stream.class),
-                    limits: Limits {
+                    limits: TimeLimits {
                         target_us: left_us(call.began_us + call.stream.target_us),
                         deadline_us: left_us(deadline_us),
                     },
@@ -359,10 +362,10 @@
                 let chosen = entry
                     .balancer
                     .choose(self.now_us, &entry.ranked, &need, &mut self.rng)
-                    .expect("there are endpoints");
-                entry.balancer.begun(self.now_us, &chosen);
+                    .expect("there is an endpoint");
+                entry.balancer.record_start(self.now_us, &chosen);
                 call.checking_slot =
-                    self.scenario.checks_free_slots && !call.search.waits_at(chosen.node);
+                    self.scenario.checks_free_slots && !call.search.queues_at(chosen.node);
                 (server_of(&chosen), deadline_us)
             }
             Policy::Baseline => {
@@ -371,7 +374,7 @@
                 (server, deadline_us.min(self.now_us + share_us))
             }
         };
-        call.at = Some((server, AttemptState::UnderWay));
+        call.current_attempt = Some((server, AttemptState::UnderWay));
         let class = call.stream.class;
         let hop_us = self.hop_us(server);
         let outcomes = self.outcomes.entry(class).or_default();
@@ -381,8 +384,8 @@
             attempt,
             server,
         };
-        self.at(self.now_us + hop_us, reaches_gate);
-        self.at(
+        self.schedule(self.now_us + hop_us, reaches_gate);
+        self.schedule(
             timeout_us,
             Event::Timeout {
                 call: number,
@@ -393,7 +396,7 @@
 
     fn reaches_gate(&mut self, number: usize, attempt: u32, server: usize) {
         if self.policy == Policy::Baseline {
-            // Nobody tells it that the attempt has been given up.
+            // The baseline gate keeps attempts that were abandoned.
             self.gates[server]
                 .baseline_queue
                 .push_back((number, attempt));
@@ -405,18 +408,18 @@
         let call = &self.calls[number];
         let mut ask = call.stream.ask(call.began_us);
         if call.checking_slot {
-            ask.patience_us = 0;
+            ask.max_wait_us = 0;
         }
         let wake = || (number, attempt);
         let admitted = self.gates[server]
             .product_admission
             .admit(self.now_us, &ask, wake);
         match admitted {
-            Admitted::Slot => self.start(number, attempt, server),
-            Admitted::Queued(ticket) => {
-                self.calls[number].at = Some((server, AttemptState::Waiting(ticket)));
+            AdmitOutcome::Slot => self.start(number, attempt, server),
+            AdmitOutcome::Queued(ticket) => {
+                self.calls[number].current_attempt = Some((server, AttemptState::Waiting(ticket)));
             }
-            Admitted::Refused(_) => self.reply(number, attempt, server, Answer::Refused),
+            AdmitOutcome::Refused(_) => self.reply(number, attempt, server, Answer::Refused),
         }
         self.start_queued(server);
     }
@@ -434,14 +437,14 @@
         };
         if self.is_current(call, attempt) {
             let since_us = self.now_us;
-            self.calls[call].at = Some((server, AttemptState::Running { since_us }));
+            self.calls[call].current_attempt = Some((server, AttemptState::Running { since_us }));
         }
         let done = Event::Done {
             call,
             attempt,
             server,
         };
-        self.at(self.now_us + work_us, done);
+        self.schedule(self.now_us + work_us, done);
     }
 
     fn done(&mut self, call: usize, attempt: u32, server: usize) {
@@ -460,23 +463,23 @@
         self.start_queued(server);
     }
 
-    /// Gives back whatever a call holds at its gate.
+    /// Releases the slot or queue position that a call holds at its gate.
     fn release(&mut self, number: usize, answered: bool) {
         let call = &mut self.calls[number];
-        let Some((server, place)) = call.at.take() else {
+        let Some((server, attempt_state)) = call.current_attempt.take() else {
             return;
         };
         let gate = &mut self.gates[server].product_admission;
-        match place {
+        match attempt_state {
             AttemptState::UnderWay => (),
             AttemptState::Waiting(ticket) => {
                 gate.cancel(ticket);
             }
             AttemptState::Running { since_us } => {
-                let released = Released {
+                let released = ReleasedSlot {
                     class: call.stream.class,
                     resource: &resource(call.stream.class),
-                    held_us: self.now_us - since_us,
+                    service_time_us: self.now_us - since_us,
                     answered,
                 };
                 gate.release(self.now_us, &released);
@@ -491,7 +494,7 @@
             server,
             answer,
         };
-        self.at(self.now_us + self.hop_us(server), event);
+        self.schedule(self.now_us + self.hop_us(server), event);
     }
 
     fn hop_us(&self, server: usize) -> u64 {
@@ -504,13 +507,14 @@
     fn start_queued(&mut self, server: usize) {
         match self.policy {
             Policy::Product => {
-                while let Some(((call, attempt), turn)) =
-                    self.gates[server].product_admission.next(self.now_us)
+                while let Some(((call, attempt), turn)) = self.gates[server]
+                    .product_admission
+                    .end_next_wait(self.now_us)
                 {
                     match turn {
-                        Turn::Slot => self.start(call, attempt, server),
-                        Turn::Refused(_) => {
-                            self.calls[call].at = None;
+                        WaitOutcome::Slot => self.start(call, attempt, server),
+                        WaitOutcome::Refused(_) => {
+                            self.calls[call].current_attempt = None;
                             self.reply(call, attempt, server, Answer::Refused);
                         }
                     }
@@ -533,8 +537,8 @@
         let call = &self.calls[number];
         let latency_us = self.now_us - call.began_us;
         let observed = match answer {
-            Answer::Refused => Observed::Refused,
-            Answer::Success | Answer::Error => Observed::Answered {
+            Answer::Refused => AttemptOutcome::Refused,
+            Answer::Success | Answer::Error => AttemptOutcome::Answered {
                 server_error: answer == Answer::Error,
             },
         };
@@ -557,17 +561,17 @@
                 outcomes.errors += 1;
                 self.calls[number].ended = true;
             }
-            Answer::Refused => self.failed(number, server, Failed::NotRun),
+            Answer::Refused => self.failed(number, server, AttemptFailure::NotRun),
         }
     }
 
     fn timeout(&mut self, number: usize) {
-        let at = self.calls[number].at;
+        let attempt = self.calls[number].current_attempt;
         if self.policy == Policy::Product {
             self.release(number, false);
-            if let Some((server, _)) = at {
+            if let Some((server, _)) = attempt {
                 self.start_queued(server);
-                self.observe(number, server, Observed::Lost);
+                self.observe(number, server, AttemptOutcome::Lost);
             }
         }
         let call = &mut self.calls[number];
@@ -581,30 +585,32 @@
         }
     }
 
-    fn observe(&mut self, call: usize, server: usize, observed: Observed) {
+    fn observe(&mut self, call: usize, server: usize, observed: AttemptOutcome) {
         let entry = &mut self.entries[self.calls[call].entry];
         let node = node(server as u16 + 1);
-        entry.balancer.observed(self.now_us, node, observed);
-        entry.balancer.ended(node);
+        entry.balancer.record_outcome(self.now_us, node, observed);
+        entry.balancer.record_end(node);
         let ask = self.calls[call].stream.ask(self.now_us);
         let gate = &self.gates[server].product_admission;
         let resource = resource(ask.class);
-        // A price list.
-        entry.balancer.answered(&resource, 5_000);
-        let load = gate.load(self.now_us, &ask, &resource);
-        entry.balancer.reported(self.now_us, node, &resource, load);
+        // Body size of a small answer, in bytes.
+        entry.balancer.record_response_size(&resource, 5_000);
+        let load = gate.load_report(self.now_us, &ask, &resource);
+        entry
+            .balancer
+            .record_load(self.now_us, node, &resource, load);
     }
 
-    fn failed(&mut self, number: usize, server: usize, failed: Failed) {
+    fn failed(&mut self, number: usize, server: usize, failed: AttemptFailure) {
         let call = &mut self.calls[number];
-        call.at = None;
+        call.current_attempt = None;
         if call.checking_slot {
-            call.search.busy(node(server as u16 + 1));
+            call.search.record_busy(node(server as u16 + 1));
             return self.attempt(number);
         }
         call.tried.push(node(server as u16 + 1));
-        let tokens = self.entries[call.entry].tokens.entry_for(&service());
-        if call.attempts.again(failed, tokens) {
+        let tokens = self.entries[call.entry].tokens.for_service(&service());
+        if call.attempts.take_retry(failed, tokens) {
             self.attempt(number);
         } else {
             call.ended = true;
@@ -618,7 +624,7 @@
     ServiceName::new("tablon")
 }
 
-/// Requests of the two classes ask for different things.
+/// Each class requests a resource of its own.
 fn resource(class: Class) -> ResourceName {
     ResourceName::new(match class {
         Class::Interactive => "prices",
