--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -1,9 +1,12 @@
-//! The request path: a caller's request goes entry -> gate -> backend server and back.
+//! The request path: from a caller through its entry node and an admission gate to a backend
+//! server, and back.
 //!
-//! [`entry`] runs at the node that the caller reached: it routes, places and retries. [`gate`] runs
-//! at the backend server's own node: it admits and forwards. Where the entry's own backend server
-//! is the chosen endpoint, the two meet in one process and nothing crosses a socket between them.
-//! Bodies stream in both directions. Every failure carries a verdict ([`failure::Failure`]).
+//! [`entry`] runs on the node that the caller is connected to. It matches the request to a route,
+//! chooses an endpoint and retries failed attempts. [`gate`] runs on the node beside the backend
+//! server. It admits requests and forwards them. If the chosen endpoint is the entry node's own
+//! backend server, the entry calls the gate directly, without a network connection. Bodies are
+//! streamed in both directions. Every failure carries a verdict that says whether the request may
+//! have run ([`failure::Failure`]).
 
 pub(crate) mod backend;
 pub(crate) mod body;
--- a/src/proxy/backend.rs
+++ b/src/proxy/backend.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 connections to the node's own backend server.
 //!
-//! A connection carries one request at a time and goes back to the pool only after its answer has
-//! been read to the end, so a late answer can never meet another request.
+//! A connection carries one request at a time. It returns to the pool only after its response has
+//! been read to the end, so that a late response cannot be taken for that of another request.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -23,25 +23,27 @@
 #[cfg(test)]
 mod tests;
 
-/// The backend server is on the same VM.
+/// Short, because the backend server is on the same VM.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Bytes of one answer that are read ahead of a slow reader; also bounds the answer's head.
+/// Read buffer per connection: limits the head of a response, and how much of a response is read
+/// ahead of a slow caller.
 const READ_BUFFER_MAX_BYTES: usize = 64 << 10;
 
-/// Longest wait for a connection that is being closed.
+/// Longest wait for a connection that is being closed, before a new one may be opened.
 const CLOSE_WAIT_MAX: Duration = Duration::from_millis(50);
 
-/// Longest rest after which a connection is used again for a request that may not run twice. A backend server, or
-/// what lies before it, may have forgotten it by then, and a request that meets a reset may have run.
+/// Longest idle time after which a connection is reused for a request that is not idempotent. After
+/// a longer time the backend server, or a device in front of it, may have dropped the connection. A
+/// request that meets a connection reset may have run.
 const IDLE_REUSE_MAX: Duration = Duration::from_millis(100);
 
-/// The same for idempotent requests, which are tried again after a reset.
+/// The same limit for idempotent requests, which are retried after a connection reset.
 const IDLE_REUSE_MAX_IDEMPOTENT: Duration = Duration::from_secs(1);
 
 type Sender = http1::SendRequest<Body>;
 
-/// A connection that no request uses.
+/// A connection without a request.
 #[derive(Debug)]
 struct IdleConnection {
     address: SocketAddr,
@@ -49,18 +51,18 @@
     idle_since: Instant,
 }
 
-/// Connections to the backend server.
+/// Pool of connections to the backend server.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct BackendPool {
     idle: Arc<Mutex<Vec<IdleConnection>>>,
     open_count: Arc<AtomicU32>,
     connections_max: Arc<AtomicU32>,
-    /// Told when a connection has been closed.
+    /// Notified when a connection has closed.
     closed: Arc<Notify>,
     without: Without,
 }
 
-/// Counts one open connection until it is closed.
+/// Counts a connection as open until dropped.
 struct OpenConnection {
     open_count: Arc<AtomicU32>,
     closed: Arc<Notify>,
@@ -74,7 +76,7 @@
 }
 
 impl BackendPool {
-    /// No connections yet.
+    /// Creates an empty pool.
     pub(crate) fn new(without: Without) -> Self {
         Self {
             without,
@@ -82,13 +84,14 @@
         }
     }
 
-    /// Sets how many connections the backend server accepts.
+    /// Sets the maximum number of connections that the backend server accepts.
     pub(crate) fn set_connections_max(&self, connections_max: u32) {
         self.connections_max
             .store(connections_max, Ordering::Release);
     }
 
-    /// Sends a request, which may be `idempotent`, to the backend server at `address`.
+    /// Sends a request to the backend server at `address`. `idempotent` requests may use
+    /// connections that have been idle for longer.
     pub(crate) async fn send(
         &self,
         address: SocketAddr,
@@ -103,7 +106,7 @@
         while let Some(sender) = self.take_idle(address, idle_max) {
             match self.exchange(address, sender, request).await {
                 Ok(response) => return Ok(response),
-                // An idle connection that the backend server had closed: nothing was sent.
+                // The backend server had closed the idle connection before anything was sent.
                 Err((_, Some(unsent))) => request = unsent,
                 Err((failure, None)) => {
                     self.drop_idle();
@@ -114,7 +117,7 @@
         let reservation = self.reserve_connection().await;
         let reservation = reservation.ok_or(Failure::not_run(Reason::Full))?;
         let sender = connect(address, reservation).await.map_err(|error| {
-            log::debug!(backend:% = address, error:%; "backend server not reached");
+            log::debug!(backend:% = address, error:%; "failed to connect to the backend server");
             Failure::not_run(Reason::Unreachable)
         })?;
         self.exchange(address, sender, request)
@@ -122,14 +125,14 @@
             .map_err(|(failure, _)| failure)
     }
 
-    /// Uses no connection again that is idle now: what has broken one may have broken all.
+    /// Closes all idle connections. The fault that broke one connection may have broken the others.
     fn drop_idle(&self) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.clear();
     }
 
-    /// Room for one more connection. Slots are never more than connections, so what is in the way are idle ones, or
-    /// those of requests that were given up a moment ago.
+    /// Reserves one more connection. There are never more slots than connections, so at the limit
+    /// the others are idle, or belong to abandoned requests and are being closed.
     async fn reserve_connection(&self) -> Option<OpenConnection> {
         if let Some(reservation) = self.try_reserve() {
             return Some(reservation);
@@ -149,7 +152,7 @@
     }
 
     fn try_reserve(&self) -> Option<OpenConnection> {
-        // One that is not known to take requests yet may be asked whether it does.
+        // A backend server without a limit yet may receive health checks on one connection.
         let connections_max = self.connections_max.load(Ordering::Acquire).max(1);
         let one_more = |open| (open < connections_max).then_some(open + 1);
         let incremented =
@@ -193,7 +196,7 @@
         })
     }
 
-    /// The connection that has rested for the shortest time, if that is below `idle_max`.
+    /// Takes the most recently used idle connection, if it has been idle for less than `idle_max`.
     fn take_idle(&self, address: SocketAddr, idle_max: Duration) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let reuse_any_idle = !self.without.has(Mechanism::ShortRests);
@@ -211,8 +214,8 @@
     }
 }
 
-/// Returns a connection to the pool once its answer's body is dropped. The library reports the
-/// connection ready only when the answer was read whole; one that was not is never taken again.
+/// Returns a connection to the pool when the response body is dropped. hyper reports the connection
+/// as ready only if the response was read completely; otherwise it is not reused.
 struct Lease {
     pool: BackendPool,
     address: SocketAddr,
@@ -244,7 +247,7 @@
         .await?;
     tokio::spawn(async move {
         let _reservation = reservation;
-        // Its end, good or bad, is seen by the request on it.
+        // An error is also returned to the request on the connection.
         let _ = connection.await;
     });
     Ok(sender)
--- a/src/proxy/backend/tests.rs
+++ b/src/proxy/backend/tests.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzzing of connection reuse: random steps against two backend servers, with an oracle
-//! that knows which answer belongs to which request.
+//! Stateful fuzzing of connection reuse: random actions against two backend servers. The test knows
+//! which response belongs to which request.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,17 +18,17 @@
 
 #[derive(Clone, Debug)]
 enum Action {
-    /// A request whose answer is not read yet.
+    /// Sends a request and leaves its response unread.
     Send { answer_bytes: u64 },
-    /// A request whose caller hangs up before the answer.
+    /// Sends a request and cancels it before the response.
     CancelRequest,
-    /// A request whose answer breaks off.
+    /// Sends a request whose response ends early.
     TruncatedResponse,
-    /// The caller reads an open answer to its end.
+    /// Reads an open response to its end.
     ReadResponse(usize),
-    /// The caller hangs up on an open answer.
+    /// Drops an open response unread.
     DropResponse(usize),
-    /// The VM's backend server is replaced by the other one.
+    /// Replaces the VM's backend server by the other one.
     SwitchBackend,
 }
 
@@ -43,7 +43,7 @@
     ]
 }
 
-/// An answer whose body has not been read.
+/// A response whose body has not been read.
 struct OpenResponse {
     id: String,
     answer_bytes: u64,
@@ -53,14 +53,18 @@
 impl OpenResponse {
     async fn read(self) {
         let body = self.response.into_body().collect().await;
-        let body = body.expect("a whole answer").to_bytes();
+        let body = body.expect("a complete response").to_bytes();
         let digest = blake3::hash(&body).to_hex().to_string();
         let expected = expected_answer_digest(&self.id, self.answer_bytes);
-        assert_eq!(digest, expected, "{} got another answer", self.id);
+        assert_eq!(
+            digest, expected,
+            "{} got the response to another request",
+            self.id
+        );
     }
 }
 
-/// The pool, the two backend servers, and what the oracle knows.
+/// The pool, the two backend servers and the expected responses.
 struct Harness {
     pool: BackendPool,
     backends: [Backend; 2],
@@ -82,7 +86,7 @@
         let any_port: SocketAddr = "127.0.0.1:0".parse().expect("a constant address");
         let start = async |name| {
             let backend = Backend::start(any_port, name, Behaviour::default()).await;
-            backend.expect("it starts")
+            backend.expect("the backend server starts")
         };
         let pool = BackendPool::default();
         pool.set_connections_max(CONNECTIONS_MAX);
@@ -111,7 +115,8 @@
             Action::CancelRequest => {
                 let id = self.next_id();
                 let pending = self.send("/archive?work_ms=40", &id);
-                // Whatever the moment, nothing of it may reach a later request.
+                // Wherever the request is cancelled, none of its response may reach a later
+                // request.
                 let _ = tokio::time::timeout(Duration::from_millis(3), pending).await;
             }
             Action::TruncatedResponse => {
@@ -119,7 +124,7 @@
                 let path = "/archive?answer_bytes=50000&break_after=20000";
                 if let Ok(response) = self.send(path, &id).await {
                     let body = response.into_body().collect().await;
-                    assert!(body.is_err(), "{id}: a broken answer looks whole");
+                    assert!(body.is_err(), "{id}: a truncated response looks complete");
                 }
             }
             Action::ReadResponse(index) if !self.open_responses.is_empty() => {
@@ -143,8 +148,8 @@
         let path = format!("/archive?answer_bytes={answer_bytes}");
         let response = match self.send(&path, &id).await {
             Ok(response) => response,
-            // Connections of requests that were given up are still being closed: then, and only
-            // then, it may be refused, and must not have run.
+            // Connections of cancelled requests may still be closing. Only then may the pool refuse
+            // a request, which must not have run.
             Err(failure) => {
                 assert_eq!(failure.reason, Reason::Full, "{id}");
                 let runs = |backend: &Backend| backend.record().runs.contains_key(&id);
@@ -174,9 +179,10 @@
     }
 }
 
-/// Callers read archive answers whole, in part or not at all, hang up while the backend server
-/// works, and meet answers that break off, while the backend server is replaced now and then. Each
-/// answer that is read whole is that of its own request, from the backend server that is in place.
+/// Callers read responses completely, partly or not at all, disconnect while the backend server
+/// works, and receive truncated responses. Now and then the backend server is replaced. Each
+/// response that is read completely must belong to its own request and come from the current
+/// backend server.
 #[test]
 fn reused_connections_never_mix_answers() {
     let mut runner = TestRunner::new(Config {
@@ -199,10 +205,11 @@
         });
         Ok(())
     });
-    result.expect("no sequence of steps mixes answers");
+    result.expect("no sequence of actions mixes up responses");
 }
 
-/// Guards against a payment that is refused because an idle connection takes the last place.
+/// Guards against a payment that is refused because an idle connection, which it must not use,
+/// takes the last place.
 #[tokio::test]
 async fn an_idle_connection_makes_room_for_a_request_that_may_not_use_it() {
     let harness = Harness::start().await;
@@ -211,8 +218,8 @@
     let send = async |id, idempotent| {
         let request = request("/archive?answer_bytes=10", id);
         let response = harness.pool.send(address, request, idempotent).await;
-        let body = response.expect("there is room").into_body();
-        body.collect().await.expect("a whole answer");
+        let body = response.expect("a connection is available").into_body();
+        body.collect().await.expect("a complete response");
     };
     send("look-up", true).await;
     tokio::time::sleep(IDLE_REUSE_MAX).await;
--- a/src/proxy/body.rs
+++ b/src/proxy/body.rs
@@ -1,4 +1,4 @@
-//! One body type for both directions, and bodies that hold something until they end.
+//! The body type of requests and responses, and bodies that hold a guard until they end.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -29,7 +29,7 @@
     body.map_err(Into::into).boxed_unsync()
 }
 
-/// A body that keeps `guard` until it has been read to its end or dropped.
+/// A body that holds `guard` until it is dropped, usually after it has been read to its end.
 pub(crate) struct GuardedBody<G> {
     inner: Body,
     _guard: G,
--- a/src/proxy/caller_connections.rs
+++ b/src/proxy/caller_connections.rs
@@ -1,4 +1,4 @@
-//! The connections of callers, and how an idle one is told that its place is needed.
+//! Limits the number of caller connections and closes idle ones to make room for new ones.
 
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,7 +8,8 @@
 
 use crate::decide::connections::{ConnectionKey, ConnectionLimits, Connections};
 
-/// Connections by caller; see [`Connections`].
+/// The open caller connections of a node, shared by its connection tasks. [`Connections`] holds the
+/// limits and chooses which idle connection to close.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerConnections {
     state: Arc<Mutex<State>>,
@@ -17,7 +18,8 @@
 #[derive(Debug)]
 struct State {
     connections: Connections,
-    /// Wakes the idle ones.
+    /// One sender per idle connection. Dropping it makes the connection's task close the
+    /// connection.
     close_senders: SecondaryMap<ConnectionKey, oneshot::Sender<()>>,
 }
 
@@ -32,7 +34,8 @@
         }
     }
 
-    /// Counts one more connection and closes an idle one for it if need be; none if there is no room.
+    /// Registers a new connection of `caller`. At the limit, an idle connection is closed to make
+    /// room; returns `None` if no connection is idle.
     pub(crate) fn register(&self, caller: IpAddr) -> Option<ConnectionGuard> {
         let mut state = self.lock();
         let Some(entered) = state.connections.enter(caller) else {
@@ -41,7 +44,7 @@
         };
         if let Some(closed) = entered.closed {
             metrics::counter!("dragonflywall_caller_connections_closed_idle_total").increment(1);
-            // Its task ends when the sender is dropped.
+            // Dropping the sender ends the task of that connection.
             state.close_senders.remove(closed);
         }
         state.record_count();
@@ -63,7 +66,7 @@
     }
 }
 
-/// One connection of a caller.
+/// An open connection. Unregisters it when dropped.
 #[derive(Debug)]
 pub(crate) struct ConnectionGuard {
     registry: CallerConnections,
@@ -71,7 +74,8 @@
 }
 
 impl ConnectionGuard {
-    /// The connection waits for a request, until what is returned is dropped.
+    /// Marks the connection as idle until the returned guard is dropped. An idle connection may be
+    /// closed to make room for a new one.
     pub(crate) fn mark_idle(&self) -> IdleGuard<'_> {
         let (close_sender, close_receiver) = oneshot::channel();
         let mut state = self.registry.lock();
@@ -93,7 +97,7 @@
     }
 }
 
-/// The time during which a connection is idle.
+/// Marks its connection as idle until dropped.
 #[derive(Debug)]
 pub(crate) struct IdleGuard<'a> {
     connection: &'a ConnectionGuard,
@@ -101,9 +105,9 @@
 }
 
 impl IdleGuard<'_> {
-    /// Waits until the place of the connection is needed for another one.
+    /// Waits until the connection must be closed to make room for a new one.
     pub(crate) async fn close_requested(&mut self) {
-        // Nothing is ever sent: the sender is dropped.
+        // The channel carries no message: the sender is dropped to request the close.
         let _ = (&mut self.close_receiver).await;
     }
 }
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -1,4 +1,5 @@
-//! The node that a caller reached: routes its request, places it, and retries within the treatment.
+//! The entry node: routes a caller's request, chooses an endpoint and retries failed attempts as
+//! the route's treatment allows.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -26,8 +27,9 @@
 mod request_log;
 mod routed_request;
 
-/// Whether a request may be started before those that its caller sent ahead of it are answered:
-/// were the connection to end with one of them, the caller would send it again.
+/// Whether a pipelined request may start before the requests ahead of it on its connection are
+/// answered. Only idempotent requests may: if the connection closes before the response, the caller
+/// sends the request again.
 pub(crate) fn may_start_early(node: &ProxyState, parts: &Parts) -> bool {
     if !node.without().has(Mechanism::EarlyStart) {
         return false;
@@ -49,7 +51,8 @@
     mut parts: Parts,
     body: ReplayableBody,
 ) -> Response<Body> {
-    // The request keeps the snapshot that it was admitted under, whatever is enforced meanwhile.
+    // A request uses one configuration from start to end, even if a newer one takes effect
+    // meanwhile.
     let applied = node.enforced.load_full();
     let version = applied
         .as_ref()
@@ -79,7 +82,8 @@
     response
 }
 
-/// Puts in what the mesh tells the backend server of a caller's request.
+/// Replaces reserved headers of a caller's request by those that the mesh sets for the backend
+/// server.
 fn add_backend_headers(node: &ProxyState, parts: &mut Parts, id: HeaderValue) {
     let profile = node.header_profile;
     profile.strip_reserved(&mut parts.headers);
@@ -96,7 +100,7 @@
     caller_id.unwrap_or_else(|| headers::to_value(&format!("{:016x}", rand::random::<u64>())))
 }
 
-/// Where a request comes from: a caller outside, or a call that the local backend server runs.
+/// Limits that apply to a request: its own, or those inherited from the request that made it.
 struct RequestContext {
     deadline: Option<Instant>,
     depth: u32,
@@ -128,7 +132,8 @@
     }
 }
 
-/// What the request has of one that the local backend server runs, if it is a call of that one.
+/// Context inherited from a running request of the local backend server, if the request is a nested
+/// call of one.
 fn inherited_context(node: &ProxyState, parts: &Parts) -> Option<InheritedContext> {
     let profile = node.header_profile;
     let name = profile.call_token.as_ref();
@@ -171,7 +176,7 @@
     };
     let mut attempts = Attempts::new(&branch.treatment, context.budget.retries);
     let cancellation = context.cancellation.clone();
-    // Dropping the attempts cancels the exchange under way, down to the backend server.
+    // Dropping this future cancels the running attempt, up to the backend server.
     let outcome = cancellation.run_until_cancelled(request.run(body, &mut attempts));
     match outcome.await {
         None => Err(Failure::may_have_run(Reason::GivenUp)),
@@ -206,7 +211,8 @@
     &route.branches[split::branch(weights, route.next_turn())]
 }
 
-/// Refuses a body that says from the start that it is too long; see [`ReplayableBody`] for the others.
+/// Rejects a body whose declared length exceeds the limit. A body of unknown length is not checked
+/// here.
 fn check_body_len(applied: &Applied, body: &ReplayableBody) -> Result<(), Failure> {
     let limits = applied.configuration.caller_limits();
     let body_max_bytes = limits.map_or(u64::MAX, |limits| limits.body_max_bytes);
@@ -216,7 +222,7 @@
     }
 }
 
-/// Host and path, as a log line shows them.
+/// Host and path of a request, for log lines.
 fn target(parts: &Parts) -> String {
     let host = requested_host(parts);
     let host = host.as_ref().map_or("", Authority::host);
--- a/src/proxy/entry/request_log.rs
+++ b/src/proxy/entry/request_log.rs
@@ -1,4 +1,4 @@
-//! The log and the figures of one request at its entry, from its head to the head of its answer.
+//! Log lines and metrics of one request at its entry node.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -13,7 +13,8 @@
 use crate::proxy::state::ProxyState;
 use crate::util::clock;
 
-/// A request that has come; its end is told once, also if its caller leaves.
+/// A request that is being served. Its result is recorded exactly once: by [`Self::finish`], or on
+/// drop if the caller disconnects first.
 pub(super) struct RequestLog {
     node: Arc<ProxyState>,
     id: HeaderValue,
@@ -24,7 +25,8 @@
 }
 
 impl RequestLog {
-    /// `target` is the host and path that it asked for, `version` the configuration it runs under.
+    /// `target` is the requested host and path. `version` is the version of the configuration that
+    /// applies to the request.
     pub(super) fn new(
         node: &Arc<ProxyState>,
         id: &HeaderValue,
@@ -41,7 +43,7 @@
         }
     }
 
-    /// Its answer goes out.
+    /// Records the result when the response is about to be sent.
     pub(super) fn finish(mut self, result: &Result<Response<Body>, Failure>) {
         self.recorded = true;
         let verdict = match result {
@@ -61,7 +63,7 @@
         match result {
             Ok(response) => log::info!(
                 request_id, target:%, version, took_ms, status = response.status().as_u16();
-                "passed on the answer of the backend server"
+                "forwarded the response of the backend server"
             ),
             Err(failure) => log::warn!(
                 request_id, target:%, version, took_ms,
@@ -92,7 +94,7 @@
                 target:% = self.target,
                 version = self.version,
                 took_ms = clock::since_ms(self.started_at);
-                "the caller left before its answer"
+                "the caller disconnected before the response"
             );
         }
     }
--- a/src/proxy/entry/routed_request.rs
+++ b/src/proxy/entry/routed_request.rs
@@ -1,4 +1,4 @@
-//! The attempts of one routed request.
+//! Attempts of a routed request: choice of an endpoint, sending, and retries.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -27,11 +27,11 @@
 use crate::proxy::{gate, headers, uploads};
 use crate::util::clock;
 
-/// A routed request.
+/// A caller's request that matched a route.
 pub(super) struct RoutedRequest<'a> {
     pub(super) node: &'a Arc<ProxyState>,
     pub(super) parts: &'a Parts,
-    /// What the caller named as the host.
+    /// Host that the caller requested.
     pub(super) host: &'a Authority,
     pub(super) branch: &'a Branch,
     pub(super) slots: u32,
@@ -71,8 +71,8 @@
                 search.busy(endpoint.node);
                 continue;
             }
-            // One attempt that may have run taints all that follow: a later refusal proves
-            // nothing of the earlier attempt.
+            // Once one attempt may have run, the request may have run: a later refusal says nothing
+            // about the earlier attempt.
             if failure.verdict != Verdict::NotRun {
                 verdict = Verdict::MayHaveRun;
             }
@@ -92,19 +92,19 @@
         }
     }
 
-    /// Whether a request that is running elsewhere waits for the answer.
+    /// Whether this is a nested call, for whose response a request of a backend server waits.
     fn is_nested(&self) -> bool {
         self.depth > 0
     }
 
-    /// Until when an answer is worth most.
+    /// When the target latency has passed.
     fn due(&self) -> Instant {
         let target_ms = self.branch.treatment.target_latency_ms;
         let target_ms = target_ms.unwrap_or(self.branch.treatment.timeout_ms);
         self.started_at + Duration::from_millis(u64::from(target_ms))
     }
 
-    /// Until when an answer is of use, from now.
+    /// Time left until the target latency and until the deadline.
     fn time_limits(&self) -> Limits {
         let remaining_us = |until: Instant| {
             let remaining = until.saturating_duration_since(Instant::now());
@@ -172,7 +172,7 @@
             failing = believed.failing,
             report_age_us:? = believed.report_age_us,
             remaining_ms = self.remaining_ms();
-            "placed the request"
+            "chose an endpoint for the request"
         );
     }
 
@@ -187,7 +187,7 @@
             tried_endpoints,
             store_age_ms:? = self.node.store_age_ms(),
             remaining_ms = self.remaining_ms();
-            "no endpoint to place the request at"
+            "no endpoint available for the request"
         );
     }
 
@@ -208,7 +208,8 @@
         );
     }
 
-    /// What goes with the request to a gate, where it waits for a slot or takes one that is free.
+    /// Metadata of an attempt for the gate. With `waits`, the request may queue there for a slot;
+    /// otherwise it is refused unless a slot is free.
     fn hop(&self, retries: u32, waits: bool) -> Hop {
         let treatment = &self.branch.treatment;
         let patience = match waits {
@@ -266,7 +267,7 @@
         self.body_bytes > SMALL_BYTES && self.node.without().has(Mechanism::UploadTurns)
     }
 
-    /// Asks for a turn, and sends the request once it has been given.
+    /// Requests an upload permit, and sends the request with its body once the permit is granted.
     async fn send_large(
         &self,
         endpoint: &Endpoint,
@@ -284,7 +285,7 @@
         if let Some(permit) = permit {
             request.headers_mut().insert(headers::TURN, permit);
         }
-        // Once the body has used the link it is worth a wait.
+        // The request may now wait for a slot, because its body has already used the link.
         let hop = self.hop(hop.retries, true);
         self.send(endpoint, &hop, request).await
     }
@@ -305,7 +306,7 @@
             .await
             .map_err(|_| Failure::may_have_run(Reason::Deadline))??;
         let Some(load) = headers::parse_load(response.headers()) else {
-            log::warn!(peer:% = endpoint.node; "an answer came from no gate: look at the mesh token");
+            log::warn!(peer:% = endpoint.node; "response without a load header: the peer refused the mesh token or is not a node");
             return Err(failure_without_load(response.headers()));
         };
         self.record_load(endpoint, load);
@@ -331,7 +332,7 @@
         }
     }
 
-    /// Tells the balancer what this attempt has shown of its endpoint.
+    /// Reports to the balancer what this attempt showed about its endpoint.
     fn record_outcome(&self, endpoint: &Endpoint, result: &Result<Response<Body>, Failure>) {
         let observed = match result {
             Ok(response) => Observed::Answered {
@@ -362,9 +363,10 @@
     }
 }
 
-/// Only a gate says its load. An answer without it is a peer listener's refusal of the mesh token, which says itself
-/// that nothing ran, or comes from a program that is no node: a VM's address may have passed to one. Only the
-/// mesh's own words prove "not run".
+/// Failure for a response without a load header, which every gate sends. Such a response comes from
+/// a node that refused the mesh token before it reached the gate, or from a program that is not a
+/// node, because the VM's address was reassigned. Only a `not-run` verdict from the mesh proves
+/// that the request did not run.
 fn failure_without_load(headers: &HeaderMap) -> Failure {
     match Failure::from_headers(headers) {
         Some(failure) if failure.verdict == Verdict::NotRun => {
@@ -382,10 +384,11 @@
         .authority(host.clone())
         .path_and_query(path)
         .build();
-    uri.expect("authority and path were parsed before")
+    uri.expect("authority and path are already valid")
 }
 
-/// Counts one request at its endpoint until its answer has been passed on or given up.
+/// Counts a request as outstanding at its endpoint until the response has been forwarded or the
+/// request is abandoned.
 struct OutstandingRequest {
     node: Arc<ProxyState>,
     endpoint: NodeId,
--- a/src/proxy/failure.rs
+++ b/src/proxy/failure.rs
@@ -1,4 +1,4 @@
-//! Failures on the request path and the answers that callers get for them.
+//! Failures on the request path and the responses that report them.
 
 use http::header::{HeaderMap, HeaderValue, RETRY_AFTER};
 use http::{Response, StatusCode};
@@ -9,50 +9,50 @@
 use crate::core::verdict::Verdict;
 use crate::decide::retry::Failed;
 
-/// Wait before asking again where nothing estimates it: several times what an endpoint's gate takes
-/// to learn of a change.
+/// Retry delay where no estimate exists: several times as long as an endpoint's gate needs to apply
+/// a change.
 const RETRY_AFTER_DEFAULT_MS: u64 = 100;
-/// Longest wait that is told: beyond half a minute an estimate says nothing.
+/// Longest retry delay: estimates beyond half a minute are not reliable.
 const RETRY_AFTER_MAX_MS: u64 = 30_000;
 
-/// Why a request got no answer from a backend server.
+/// Why a request got no response from a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reason {
     /// This node enforces no configuration yet.
     NoConfiguration,
-    /// This node was frozen and has not caught up yet.
+    /// This node was frozen and has not refreshed its state yet.
     Refreshing,
-    /// No such service in the configuration.
+    /// The configuration has no service for the host.
     NoService,
     /// No route of the service matches.
     NoRoute,
-    /// No endpoint of the service is known to take work.
+    /// No known endpoint of the service accepts requests.
     NoEndpoint,
     /// The endpoint's slots and queue are full.
     Full,
-    /// The deadline would pass, or passed, before the request's turn.
+    /// The deadline passed, or would pass, before the request got a slot.
     TooLate,
     /// The endpoint or this node is draining.
     Draining,
-    /// The endpoint was not reached.
+    /// No connection to the endpoint could be opened.
     Unreachable,
     /// The connection was lost after the request had been sent.
     Lost,
     /// The deadline passed after the request had been sent.
     Deadline,
-    /// The call that led to this one was given up.
+    /// The parent request of this call was abandoned.
     GivenUp,
-    /// Too many calls led to this one.
+    /// Too many nested calls above this one.
     TooDeep,
-    /// The caller's request body broke off or was malformed.
+    /// The caller's request was malformed or its body was interrupted.
     BadRequest,
-    /// The head of the caller's request is longer than allowed.
+    /// The head of the caller's request exceeds the limit.
     HeadTooLong,
-    /// The caller's request body is longer than the configuration allows.
+    /// The body of the caller's request exceeds the configured limit.
     BodyTooLong,
-    /// The backend server says that it has not run the request.
+    /// The backend server reported that it did not run the request.
     Rejected,
-    /// The request came to the gate much later than it was sent.
+    /// The request was delayed too long between its entry node and the gate.
     HeldUp,
 }
 
@@ -78,7 +78,7 @@
         Self::HeldUp,
     ];
 
-    /// The word used in [`headers::REASON`].
+    /// The code sent in [`headers::REASON`].
     pub(crate) fn code(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no-configuration",
@@ -151,7 +151,7 @@
     }
 }
 
-/// A request that got no answer from a backend server.
+/// A request that got no response from a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Failure {
     pub(crate) verdict: Verdict,
@@ -176,18 +176,19 @@
         Self::new(Verdict::MayHaveRun, reason)
     }
 
-    /// Sets when asking again may help.
+    /// Sets the delay before a retry, within the allowed range.
     pub(crate) fn with_retry_after_ms(mut self, ms: u64) -> Self {
         self.retry_after_ms = ms.clamp(RETRY_AFTER_DEFAULT_MS, RETRY_AFTER_MAX_MS);
         self
     }
 
-    /// When asking again may help, in milliseconds.
+    /// Milliseconds to wait before a retry.
     pub(crate) fn retry_after_ms(&self) -> u64 {
         self.retry_after_ms
     }
 
-    /// The same failure of a request that an earlier attempt may have run.
+    /// The failure of a request with an earlier attempt. If that attempt may have run, so may the
+    /// request.
     pub(crate) fn after_attempt(mut self, earlier: Verdict) -> Self {
         if earlier != Verdict::NotRun {
             self.verdict = Verdict::MayHaveRun;
@@ -195,8 +196,8 @@
         self
     }
 
-    /// The same failure of a request of which nothing has been sent to a backend server's node but the
-    /// question whether it may come.
+    /// The failure of a request whose upload permit was refused or lost. Only the reservation was
+    /// sent, so the request itself did not run.
     pub(crate) fn of_reservation(self) -> Self {
         match self.verdict {
             Verdict::NotRun => self,
@@ -204,13 +205,14 @@
         }
     }
 
-    /// Whether a gate refused the request because of its load alone; no backend server has seen it.
+    /// Whether a gate refused the request only because of its load. The backend server received
+    /// nothing.
     pub(crate) fn is_overload(&self) -> bool {
         let overload = matches!(self.reason, Reason::Full | Reason::TooLate);
         overload && self.verdict == Verdict::NotRun
     }
 
-    /// How it counts for a retry.
+    /// Kind of failure that decides whether the request may be retried.
     pub(crate) fn retry_kind(&self) -> Failed {
         match (self.verdict, self.reason) {
             (Verdict::NotRun, Reason::Draining | Reason::NoEndpoint) => Failed::Draining,
@@ -219,7 +221,7 @@
         }
     }
 
-    /// Reads the failure that another node answered; none if a backend server answered.
+    /// Reads the failure that another node responded with. `None` if a backend server answered.
     pub(crate) fn from_headers(headers: &HeaderMap) -> Option<Self> {
         let verdict = headers::get_str(headers, &headers::VERDICT)?;
         let reason = headers::get_str(headers, &headers::REASON).and_then(Reason::from_code);
@@ -231,7 +233,7 @@
         Some(failure.with_retry_after_ms(retry_after_ms))
     }
 
-    /// The answer of a gate to an entry.
+    /// The response of a gate to an entry node.
     pub(crate) fn into_peer_response(self) -> Response<Body> {
         let retry_after_ms = HeaderValue::from(self.retry_after_ms);
         let mut response = self.into_response(&header_profile::DEFAULT);
@@ -240,7 +242,7 @@
         response
     }
 
-    /// The answer to a caller, given at once.
+    /// The response to a caller.
     pub(crate) fn into_response(self, profile: &HeaderProfile) -> Response<Body> {
         let mut response = Response::new(body::full(format!("{}\n", self.reason.as_str())));
         let status = self.reason.status();
--- a/src/proxy/gate.rs
+++ b/src/proxy/gate.rs
@@ -1,4 +1,5 @@
-//! The backend server's own node: admits a request and forwards it over the last hop.
+//! The admission gate on the backend server's node: admits requests and forwards them to the
+//! backend server.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,15 +20,17 @@
 use crate::proxy::state::ProxyState;
 use crate::util::clock;
 
-/// How long a request may have been held up on its way and still be run. Above the first
-/// retransmission of a lost packet, below the half second after which work for a caller that has left
-/// is work for nobody.
+/// Longest delay in transit with which a request is still run. It is longer than the first
+/// retransmission of a lost packet. It is shorter than the half second after which running a
+/// request for a disconnected caller is wasted work.
 const TRANSIT_DELAY_MAX: Duration = Duration::from_millis(300);
 
-/// Serves a request from another node: all outcomes become answers with the mesh's headers.
+/// Serves a request from another node. Failures become responses, too, and every response carries
+/// the gate's load.
 ///
-/// `delay` is how long the request was held up on its way. One that comes so late that its caller may have left is
-/// not run; its entry, if it still waits, takes it elsewhere.
+/// `delay` is how much longer than usual the request took from its entry node. After a long delay
+/// its caller may have disconnected, so the request is not run; an entry node that still waits
+/// retries it elsewhere.
 pub(crate) async fn serve(
     node: Arc<ProxyState>,
     request: Request<Body>,
@@ -61,7 +64,8 @@
     run(node, hop, request, uploads::BodySource::Peer(permit)).await
 }
 
-/// Gives a turn to the large body of a request, if the request would be let in.
+/// Grants an upload permit to a request with a large body, if the request would be admitted or
+/// queued.
 async fn reserve(node: &Arc<ProxyState>, hop: &Hop) -> Result<Response<Body>, Failure> {
     backend_for(node, hop)?;
     if let Some(refusal) = slots::would_refuse(node, hop) {
@@ -87,10 +91,11 @@
     failure
 }
 
-/// Admits `request`, whose body comes `source` there, and runs it on the local backend server.
+/// Admits `request` and runs it on the local backend server. `source` says where its body comes
+/// from.
 ///
-/// Up to the moment in which it holds a slot nothing of it has been passed on, not even read: the
-/// failures up to there prove that it did not run.
+/// Nothing is forwarded to the backend server before the request holds a slot. A failure up to that
+/// point therefore proves that the request did not run.
 pub(crate) async fn run(
     node: &Arc<ProxyState>,
     hop: &Hop,
@@ -125,7 +130,7 @@
     let body = uploads::receive(node, hop, body, source).await?;
     let mut request = Request::from_parts(parts, body);
     let mut slot = Slot::acquire(node, hop).await?;
-    // Another backend server may have taken the address while the request waited.
+    // The backend server may have been replaced while the request was queued.
     let backend = backend_for(node, hop)?;
     log_admitted(node, hop, id, received_at, &backend);
     let parent_id = id.filter(|_| node.header_profile.calls_extend_request_id);
@@ -162,7 +167,7 @@
         waited_ms = clock::since_ms(received_at),
         in_use = load.in_use,
         slots = load.slots;
-        "the request has its slot"
+        "the request acquired a slot"
     );
 }
 
@@ -175,7 +180,7 @@
 ) {
     let reason = failure.reason.code();
     metrics::counter!("dragonflywall_gate_failures_total", "reason" => reason).increment(1);
-    // One that would not have waited goes on to another gate.
+    // The entry node sends such a request to another gate next.
     let log_class = match hop.patience.is_zero() {
         true => LogClass::Routine,
         false => LogClass::Notable,
@@ -201,7 +206,7 @@
         mean_held_us = load.mean_held_us,
         resource_held_us = load.resource_held_us,
         retry_after_ms = failure.retry_after_ms();
-        "the gate has no answer: {}", failure.reason.as_str()
+        "the request failed at the gate: {}", failure.reason.as_str()
     );
 }
 
@@ -219,7 +224,7 @@
     running: &RunningGuard,
 ) {
     let profile = node.header_profile;
-    // Callers may name a host of a route instead of the service.
+    // Callers may use the host of a route instead of the service name.
     let host = request.uri().authority().map(Authority::as_str);
     let host = headers::to_value(host.unwrap_or(hop.service.as_str()));
     let path = request.uri().path_and_query().cloned();
@@ -237,7 +242,7 @@
     }
 }
 
-/// Whether the backend server's answer is one to this request.
+/// Checks that the response belongs to this request and that the backend server ran it.
 fn check_response(
     node: &Arc<ProxyState>,
     backend: &LocalBackend,
@@ -247,8 +252,8 @@
     let profile = node.header_profile;
     let (parts, body) = response.into_parts();
     if !profile.is_response_to(id, &parts) {
-        log::warn!(status = parts.status.as_u16(); "an answer of the backend server belongs to no request");
-        // The connection goes with the body, which is not read.
+        log::warn!(status = parts.status.as_u16(); "the backend server sent a response to another request");
+        // Dropping the unread body closes the connection.
         return Err(Failure::may_have_run(Reason::Lost));
     }
     if is_wrong_instance(profile.expected_instance.is_some(), &parts.status) {
@@ -261,7 +266,7 @@
     Ok(Response::from_parts(parts, body))
 }
 
-/// A request that names an instance is turned away by any other.
+/// Whether the responding instance is not the one that the request named: it responds with 421.
 fn is_wrong_instance(names_instance: bool, status: &StatusCode) -> bool {
     names_instance && *status == StatusCode::MISDIRECTED_REQUEST
 }
--- a/src/proxy/header_profile.rs
+++ b/src/proxy/header_profile.rs
@@ -1,7 +1,7 @@
 //! Names of the headers that a node exchanges with callers and backend servers.
 //!
-//! The product has names of its own ([`DEFAULT`]); [`crate::platform`] has those of the users' platform.
-//! Headers between nodes are the same under both, see [`super::headers`].
+//! [`DEFAULT`] has the product's own names; [`crate::platform`] has those of the users' platform.
+//! Headers between nodes are the same in both, see [`super::headers`].
 
 use std::time::{Duration, Instant};
 
@@ -10,41 +10,43 @@
 
 use super::headers;
 
-/// One set of names, and what goes with them.
+/// A set of header names and the conventions that apply with them.
 #[derive(Debug)]
 pub(crate) struct HeaderProfile {
-    /// Names a request. A caller that tries again gives each try a name of its own.
+    /// Identifies a request. A caller that retries uses a new id for each attempt.
     pub(crate) request_id: HeaderName,
-    /// Milliseconds until nobody waits for the answer any more.
+    /// Milliseconds after which the response is no longer needed.
     pub(crate) deadline_ms: HeaderName,
-    /// Callers say themselves until when they wait; else only their route's timeout counts.
+    /// Whether callers send a deadline. Otherwise only the timeout of the route applies.
     pub(crate) callers_set_deadline: bool,
-    /// To a backend server: names the running call, to be copied to the calls that it makes.
+    /// To a backend server: a token of the running request, which the backend server copies to its
+    /// nested calls.
     pub(crate) call_token: Option<HeaderName>,
-    /// A backend server's call has an id of its own that begins with that of the running request and
-    /// [`CALL_ID_SEPARATOR`].
+    /// Whether the id of a nested call consists of the id of the running request,
+    /// [`CALL_ID_SEPARATOR`] and a suffix.
     pub(crate) calls_extend_request_id: bool,
-    /// To a backend server: the service on whose VM the request began.
+    /// To a backend server: service of the VM on which the request entered the mesh.
     pub(crate) caller_service: Option<HeaderName>,
     /// To a backend server: the only instance that may run the request.
     pub(crate) expected_instance: Option<HeaderName>,
-    /// From a backend server, when it is asked for its health: which instance it is.
+    /// From a backend server, in the response to a health check: its instance name.
     pub(crate) instance: Option<HeaderName>,
-    /// From a backend server: the request of this answer has not run.
+    /// From a backend server: present if it did not run the request.
     pub(crate) not_run: Option<HeaderName>,
-    /// Backend servers repeat `request_id` in their answers, so an answer to another request is
-    /// known as such.
+    /// Whether backend servers repeat `request_id` in their responses, so that a response to
+    /// another request is recognised.
     pub(crate) responses_repeat_id: bool,
-    /// From a backend server: on each success, the mark that it is whole and its own.
+    /// From a backend server, on each successful response: marks the response as complete and
+    /// genuine.
     pub(crate) seal: Option<HeaderName>,
-    /// `Retry-After` may have fractions of a second.
+    /// Whether `Retry-After` may contain fractions of a second.
     pub(crate) retry_after_has_fractions: bool,
 }
 
-/// Parts the id of a call from that of the request that led to it.
+/// Separates the id of the parent request from the suffix in the id of a nested call.
 pub(crate) const CALL_ID_SEPARATOR: char = '.';
 
-/// The product's own names.
+/// The product's own header names.
 pub(crate) static DEFAULT: HeaderProfile = HeaderProfile {
     request_id: headers::REQUEST_ID,
     deadline_ms: headers::DEADLINE_MS,
@@ -61,7 +63,7 @@
 };
 
 impl HeaderProfile {
-    /// The id of the request that led to the one with this id, if it is a call's.
+    /// Id of the parent request, if `request_id` is the id of a nested call.
     pub(crate) fn parent_of<'a>(&self, request_id: &'a HeaderValue) -> Option<&'a str> {
         let id = request_id
             .to_str()
@@ -70,7 +72,7 @@
         id.rsplit_once(CALL_ID_SEPARATOR).map(|(parent, _)| parent)
     }
 
-    /// Until when a caller waits, if it says so.
+    /// The deadline that the caller set, if callers set one.
     pub(crate) fn deadline(&self, headers: &HeaderMap) -> Option<Instant> {
         if !self.callers_set_deadline {
             return None;
@@ -79,7 +81,7 @@
         Instant::now().checked_add(Duration::from_millis(timeout_ms))
     }
 
-    /// The value of `Retry-After`: whole seconds, rounded up, unless fractions are understood.
+    /// Value of `Retry-After`: whole seconds, rounded up, unless fractions are allowed.
     pub(crate) fn retry_after_value(&self, ms: u64) -> HeaderValue {
         if !self.retry_after_has_fractions {
             return HeaderValue::from(ms.div_ceil(1_000));
@@ -87,7 +89,7 @@
         headers::to_value(&format!("{}.{:03}", ms / 1_000, ms % 1_000))
     }
 
-    /// Drops from a caller's request what only the mesh may say to a backend server.
+    /// Removes headers from a caller's request that only the mesh may send to a backend server.
     pub(crate) fn strip_reserved(&self, headers: &mut HeaderMap) {
         let reserved = [
             &self.call_token,
@@ -99,15 +101,16 @@
         }
     }
 
-    /// Whether a backend server says that it has not run the request of this answer.
+    /// Whether the response says that the backend server did not run the request.
     pub(crate) fn is_not_run(&self, headers: &HeaderMap) -> bool {
         let name = self.not_run.as_ref();
         name.is_some_and(|name| headers.contains_key(name))
     }
 
-    /// Whether an answer is a backend server's to the request with this id, as far as answers say. A
-    /// backend server may answer twice, the second time where the next request's answer is expected;
-    /// only the right answer has the id.
+    /// Whether a response belongs to the request with this id, as far as its headers show.
+    ///
+    /// A backend server may send two responses, the second one in place of the response to the next
+    /// request on the connection. Only the response with the right id is accepted.
     pub(crate) fn is_response_to(
         &self,
         id: Option<&HeaderValue>,
--- a/src/proxy/headers.rs
+++ b/src/proxy/headers.rs
@@ -1,4 +1,4 @@
-//! The mesh's own headers, and which headers never pass through.
+//! Names and formats of the mesh's own headers, and removal of headers that must not be forwarded.
 
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
 
@@ -6,52 +6,56 @@
 use crate::core::token::TOKEN_HEADER;
 use crate::decide::placement::LoadReport;
 
-/// Prefix of every header that nodes exchange. Callers' headers with it are dropped: a caller
-/// must not be able to set its own class, deadline or verdict.
+/// Prefix of all headers that nodes exchange. Headers with this prefix are removed from callers'
+/// requests, so that a caller cannot set its own class, deadline or verdict.
 pub(crate) const MESH_PREFIX: &str = "x-dragonflywall-";
-/// On a request between nodes: marks data, apart from control calls on the same listener, and says
-/// when it was sent, by the sender's microseconds since its VM was started.
+/// On a request between nodes: distinguishes caller requests from control calls on the same
+/// listener. The value is the time of sending, in microseconds since the sender's VM booted.
 pub(crate) const DATA: HeaderName = HeaderName::from_static("x-dragonflywall-data");
-/// On a request between nodes: milliseconds that remain until its deadline;
-/// also on one to a backend server.
+/// On a request between nodes or to a backend server: milliseconds until its deadline.
 pub(crate) const DEADLINE_MS: HeaderName = HeaderName::from_static("x-dragonflywall-deadline-ms");
-/// On a request between nodes: the service that it is for.
+/// On a request between nodes: name of the requested service.
 pub(crate) const SERVICE: HeaderName = HeaderName::from_static("x-dragonflywall-service");
-/// On a request between nodes: the resource that it asks for.
+/// On a request between nodes: name of the requested resource of the service.
 pub(crate) const RESOURCE: HeaderName = HeaderName::from_static("x-dragonflywall-resource");
-/// On a request between nodes: class of the work, its rank, and for how many milliseconds it is
-/// willing to wait for a slot, with blanks between them.
+/// On a request between nodes: five words separated by spaces. They are the class, the priority,
+/// the longest wait for a slot in milliseconds, the milliseconds until the target latency has
+/// passed, and whether the request is idempotent.
 pub(crate) const CLASS: HeaderName = HeaderName::from_static("x-dragonflywall-class");
-/// On a request between nodes: calls that led to it.
+/// On a request between nodes: number of nested calls above this request.
 pub(crate) const DEPTH: HeaderName = HeaderName::from_static("x-dragonflywall-depth");
-/// On a request between nodes: retries that may be spent further down. On an answer: those left.
+/// On a request between nodes: retries that the receiver and its nested calls may spend. On a
+/// response: how many of them are unspent.
 pub(crate) const RETRIES: HeaderName = HeaderName::from_static("x-dragonflywall-retries");
-/// On a request to a backend server, which copies it to the calls that it makes meanwhile.
+/// On a request to a backend server: a token that the backend server copies to the calls it makes
+/// while it runs the request.
 pub(crate) const CALL: HeaderName = HeaderName::from_static("x-dragonflywall-call");
-/// On an answer between nodes: the endpoint's load, six numbers with blanks between them.
+/// On a response between nodes: load of the endpoint, as six numbers separated by spaces.
 pub(crate) const LOAD: HeaderName = HeaderName::from_static("x-dragonflywall-load");
-/// On an answer between nodes: how many microseconds requests for other resources hold a slot, as `NAME MICROSECONDS`
-/// with commas between them.
+/// On a response between nodes: how long requests for other resources hold a slot, as
+/// comma-separated pairs `RESOURCE MICROSECONDS`.
 pub(crate) const HELD: HeaderName = HeaderName::from_static("x-dragonflywall-held");
-/// On a request between nodes: its large body is still with the entry, which asks for a turn.
+/// On a request between nodes: requests an upload permit for a large body, which the entry node has
+/// not sent yet. The value is the length of the body in bytes.
 pub(crate) const RESERVE: HeaderName = HeaderName::from_static("x-dragonflywall-reserve");
-/// The turn that a gate gave to a large body, and with which the body comes.
+/// On a response between nodes: the upload permit that the gate grants. The entry node returns it
+/// with the body.
 pub(crate) const TURN: HeaderName = HeaderName::from_static("x-dragonflywall-turn");
-/// On a failed answer: what is known of whether the request ran.
+/// On a failure response: whether the request may have run.
 pub(crate) const VERDICT: HeaderName = HeaderName::from_static("x-dragonflywall-verdict");
-/// On a failed answer: why, as one word.
+/// On a failure response: code of the reason.
 pub(crate) const REASON: HeaderName = HeaderName::from_static("x-dragonflywall-reason");
-/// On a failed answer between nodes: when asking again may help, in milliseconds.
+/// On a failure response between nodes: milliseconds to wait before a retry.
 pub(crate) const RETRY_AFTER_MS: HeaderName =
     HeaderName::from_static("x-dragonflywall-retry-after-ms");
 /// On every request between nodes and to an operator listener: the mesh token.
 pub(crate) const TOKEN: HeaderName = HeaderName::from_static(TOKEN_HEADER);
-/// On every answer to a caller: the configuration version it was served under.
+/// On every response to a caller: version of the configuration that applied to the request.
 pub(crate) const VERSION: HeaderName = HeaderName::from_static("x-dragonflywall-version");
-/// On every request that reaches a backend server and every answer to a caller.
+/// On every request to a backend server and every response to a caller: id of the request.
 pub(crate) const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// Headers that belong to one connection and are never passed on (RFC 9110, section 7.6.1).
+/// Headers that apply to one connection only and are never forwarded (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 7] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -62,7 +66,7 @@
     header::UPGRADE,
 ];
 
-/// Drops headers of one connection, among them those that `Connection` names.
+/// Removes hop-by-hop headers, including those that `Connection` lists.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -76,7 +80,7 @@
     }
 }
 
-/// Drops the mesh's own headers.
+/// Removes all headers that start with [`MESH_PREFIX`].
 pub(crate) fn strip_mesh_headers(headers: &mut HeaderMap) {
     let names: Vec<HeaderName> = headers
         .keys()
@@ -96,7 +100,7 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Writes a load for [`LOAD`].
+/// Formats a load report as the value of [`LOAD`].
 pub(crate) fn format_load(load: &LoadReport) -> HeaderValue {
     let LoadReport {
         in_use,
@@ -111,7 +115,7 @@
     ))
 }
 
-/// Reads what [`format_load`] wrote.
+/// Parses the value that [`format_load`] writes.
 pub(crate) fn parse_load(headers: &HeaderMap) -> Option<LoadReport> {
     let mut numbers = get_str(headers, &LOAD)?.split(' ').map(str::parse::<u64>);
     let mut next = || numbers.next()?.ok();
@@ -121,12 +125,12 @@
         slots: u32::try_from(next()?).ok()?,
         mean_held_us: next()?,
         resource_held_us: next()?,
-        // A node of the release before says no sixth.
+        // Nodes of the previous release do not send the sixth number.
         intake_us: next().unwrap_or(0),
     })
 }
 
-/// Writes how long requests for some resources hold a slot, for [`HELD`].
+/// Formats how long requests for each resource hold a slot, as the value of [`HELD`].
 pub(crate) fn format_hold_times(times: &[(&ResourceName, u64)]) -> HeaderValue {
     let times = times.iter();
     let times: Vec<String> = times
@@ -135,7 +139,7 @@
     to_value(&times.join(","))
 }
 
-/// Reads what [`format_hold_times`] wrote.
+/// Parses the value that [`format_hold_times`] writes.
 pub(crate) fn parse_hold_times(headers: &HeaderMap) -> Vec<(ResourceName, u64)> {
     let times = get_str(headers, &HELD).unwrap_or("").split(',');
     let times = times.filter_map(|time| {
@@ -146,7 +150,8 @@
     times.collect()
 }
 
-/// A header value from text that the mesh itself made.
+/// Converts text made by this node to a header value. Text that is not valid in a header becomes
+/// `?`.
 pub(crate) fn to_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or_else(|_| HeaderValue::from_static("?"))
 }
--- a/src/proxy/health.rs
+++ b/src/proxy/health.rs
@@ -1,4 +1,4 @@
-//! Asks the local backend server whether it takes work.
+//! Health check of the local backend server.
 
 use std::time::Duration;
 
@@ -10,21 +10,22 @@
 use crate::core::status::Announcement;
 use crate::proxy::state::ProxyState;
 
-/// Longest wait for its answer: it is on the same VM, and the question waits for a slot like any request.
+/// Timeout of one health check. The backend server is on the same VM, but the check waits for one
+/// of its slots like any request.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a backend server says of itself.
+/// Result of a health check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Health {
-    /// This instance takes work.
+    /// The instance accepts requests.
     Serving(InstanceName),
-    /// It is leaving, or fails.
+    /// The backend server is shutting down or failing.
     NotServing,
-    /// It cannot be asked yet, or gave no answer that says it.
+    /// The backend server cannot be checked yet, did not respond, or did not identify itself.
     Unknown,
 }
 
-/// Asks the backend server that `announcement` tells of.
+/// Checks the backend server that sent `announcement`.
 pub(crate) async fn check(node: &ProxyState, announcement: &Announcement) -> Health {
     let enforced = node.enforced.load_full();
     let Some(applied) = enforced else {
@@ -39,7 +40,7 @@
         .header(http::header::HOST, announcement.service.as_str())
         .body(body::empty());
     let Ok(request) = request else {
-        log::warn!(path; "the health path of the service is no path");
+        log::warn!(path; "the health path of the service is not a valid request path");
         return from_announcement(announcement);
     };
     let exchange = node.pool.send(announcement.address, request, false);
@@ -49,7 +50,7 @@
     }
 }
 
-/// Where nobody can be asked, the announcement is all there is.
+/// Takes the state from the announcement, for a service without a health path.
 fn from_announcement(announcement: &Announcement) -> Health {
     let instance = announcement.instance.clone();
     instance.map_or(Health::Unknown, Health::Serving)
--- a/src/proxy/hop.rs
+++ b/src/proxy/hop.rs
@@ -1,4 +1,4 @@
-//! What travels with a request from its entry to the gate, and on to the backend server.
+//! Metadata of a request that its entry node sends to the gate.
 
 use std::time::{Duration, Instant};
 
@@ -10,40 +10,40 @@
 use crate::decide::admission::{Ask, Urgency};
 use crate::util::clock;
 
-/// Part of the remaining time, at most [`QUEUE_MARGIN_MAX`], that a request does not spend in the queue:
-/// the gate's proof that it did not run has to reach the entry before the entry's own deadline
-/// passes, which proves nothing.
+/// Part of the remaining time, limited to [`QUEUE_MARGIN_MAX`], that a request must not spend in
+/// the queue. The gate's refusal, which proves that the request did not run, must reach the entry
+/// node before the deadline passes there. A passed deadline proves nothing.
 const QUEUE_MARGIN_DIVISOR: u32 = 8;
 const QUEUE_MARGIN_MAX: Duration = Duration::from_millis(100);
 
-/// Deadline of a request that carries none: only a node of another release sends such.
+/// Deadline of a request without one, as nodes of other releases may send.
 const DEADLINE_DEFAULT_MS: u64 = 10_000;
 
-/// One request on its way to a gate.
+/// Metadata of one request to a gate.
 #[derive(Clone, Debug)]
 pub(crate) struct Hop {
     pub(crate) service: ServiceName,
-    /// What the request asks for.
+    /// The requested resource of the service.
     pub(crate) resource: ResourceName,
     pub(crate) class: Class,
-    /// Rank among the requests of its class, 0 first.
+    /// Priority among requests of the same class; 0 is the highest.
     pub(crate) rank: u8,
-    /// Whether it may run twice.
+    /// Whether the request may run more than once.
     pub(crate) idempotent: bool,
-    /// How long it is willing to wait for a slot.
+    /// Longest time that the request waits for a slot.
     pub(crate) patience: Duration,
     pub(crate) received_at: Instant,
-    /// How long from then its answer is worth most.
+    /// Time from `received_at` until the target latency has passed.
     pub(crate) due_in: Duration,
     pub(crate) deadline: Instant,
-    /// Calls that led to this one.
+    /// Number of nested calls above this request.
     pub(crate) depth: u32,
-    /// Retries that may be spent further down.
+    /// Retries that this request and its nested calls may spend.
     pub(crate) retries: u32,
 }
 
 impl Hop {
-    /// Writes it for a gate on another node.
+    /// Writes the metadata to the headers of a request to another node.
     pub(crate) fn write_headers(&self, headers: &mut HeaderMap) {
         headers.insert(headers::DATA, HeaderValue::from(clock::boot_us()));
         headers.insert(headers::SERVICE, headers::to_value(self.service.as_str()));
@@ -54,7 +54,9 @@
         headers.insert(headers::RETRIES, HeaderValue::from(self.retries));
     }
 
-    /// Reads what another node's entry wrote, of a request that was held up for `delay` on its way.
+    /// Reads the metadata of a request from another node. `delay` is the time by which the request
+    /// was delayed in transit; it is subtracted from the remaining times. `None` if the service
+    /// name is missing or invalid.
     pub(crate) fn read_headers(headers: &HeaderMap, delay: Duration) -> Option<Self> {
         let service = headers::get_str(headers, &headers::SERVICE).filter(|name| is_name(name))?;
         let deadline_ms = headers::get_u64(headers, &headers::DEADLINE_MS);
@@ -95,12 +97,12 @@
         ))
     }
 
-    /// Until when its answer is worth most.
+    /// When the target latency has passed.
     fn due(&self) -> Instant {
         self.received_at + self.due_in
     }
 
-    /// What another request like it would ask of the gate if it came now.
+    /// The admission request of an equal request that arrived now, for load estimates.
     pub(crate) fn fresh_admission_request(&self, started: Instant) -> Ask {
         let now = Instant::now();
         Self {
@@ -111,7 +113,7 @@
         .admission_request(started)
     }
 
-    /// What it asks of the gate, by the microseconds since `started`.
+    /// The admission request, with times in microseconds since `started`.
     pub(crate) fn admission_request(&self, started: Instant) -> Ask {
         let to_us =
             |duration: Duration| u64::try_from(duration.as_micros()).unwrap_or(u64::MAX / 2);
@@ -128,14 +130,14 @@
         }
     }
 
-    /// Until when it may wait for a slot.
+    /// Until when the request may wait for a slot.
     pub(crate) fn queue_deadline(&self) -> Instant {
         let now = Instant::now();
         let remaining = self.deadline.saturating_duration_since(now);
         now + remaining - (remaining / QUEUE_MARGIN_DIVISOR).min(QUEUE_MARGIN_MAX)
     }
 
-    /// Milliseconds that remain, as a header value.
+    /// Milliseconds until the deadline, as a header value.
     pub(crate) fn remaining_ms(&self) -> HeaderValue {
         millis_value(self.deadline.saturating_duration_since(Instant::now()))
     }
@@ -145,7 +147,7 @@
     HeaderValue::from(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Says of a request that it may run twice.
+/// Marks an idempotent request in [`headers::CLASS`].
 const IDEMPOTENT: &str = "idempotent";
 
 fn class_word(class: Class) -> &'static str {
@@ -155,7 +157,7 @@
     }
 }
 
-/// What [`Hop::class_value`] wrote.
+/// The fields of [`headers::CLASS`], as [`Hop::class_value`] writes them.
 struct ClassFields {
     class: Class,
     rank: u8,
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -1,4 +1,4 @@
-//! The listeners: accept connections and serve HTTP on each until told to stop.
+//! Listeners: accept connections and serve HTTP on each until the node stops.
 
 pub(crate) mod callers;
 mod http1;
@@ -27,17 +27,19 @@
 use crate::core::verdict::Verdict;
 use crate::proxy::state::ProxyState;
 
-/// Bytes of one request body that may be under way and unread. It is also what an entry has sent
-/// of an upload that still waits for its slot, and has to be able to send again elsewhere.
+/// HTTP/2 stream window for request bodies: bytes that a sender may have in flight unread. It is
+/// also how much of an upload an entry node has sent while the upload waits for a slot, and must be
+/// able to send again to another endpoint.
 const REQUEST_WINDOW_BYTES: u32 = 65_535;
-/// Buffer of one connection or stream towards a caller or node that reads slowly.
+/// Send buffer per connection or stream, for callers and nodes that read slowly.
 const SEND_BUFFER_MAX_BYTES: usize = 128 << 10;
-/// A silent HTTP/2 connection is asked whether it is still there.
+/// Interval of HTTP/2 keep-alive pings on connections of callers.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(20);
 
 pub(crate) type Builder = auto::Builder<TokioExecutor>;
 
-/// Whether a request to the peer or operator listener shows the mesh token; else nothing of it is looked at.
+/// Whether a request to the peer or operator listener carries a valid mesh token. Checked before
+/// anything else of the request is processed.
 pub(crate) fn has_valid_token(node: &ProxyState, request: &Request<Incoming>) -> bool {
     let received = request.headers().get(headers::TOKEN);
     let token = &node.settings.mesh_token;
@@ -52,8 +54,8 @@
     response
 }
 
-/// Accepts until `graceful_stop` or `hard_stop`. `graceful_stop` also asks each connection to end after the requests
-/// that it is serving; `hard_stop` drops it.
+/// Accepts connections until `graceful_stop` or `hard_stop`. On `graceful_stop`, each connection
+/// closes after its current requests; on `hard_stop`, at once.
 pub(crate) async fn serve_listener<H, F>(
     listener: TcpListener,
     builder: Builder,
@@ -77,7 +79,7 @@
 
 type ResponseFuture = Pin<Box<dyn Future<Output = Result<Response<Body>, Infallible>> + Send>>;
 
-/// A handler that always has an answer, in the form that the HTTP library wants.
+/// Wraps a handler that always returns a response in the fallible signature that hyper requires.
 fn infallible<H, F>(handler: H) -> impl Fn(Request<Incoming>) -> ResponseFuture
 where
     H: Fn(Request<Incoming>) -> F,
@@ -89,7 +91,7 @@
     }
 }
 
-/// The next connection; none once a token is cancelled.
+/// Accepts the next connection. `None` once either token is cancelled.
 async fn accept(
     listener: &TcpListener,
     graceful_stop: &CancellationToken,
@@ -107,8 +109,9 @@
                 return Some((stream, from.ip()));
             }
             Err(error) => {
-                // Out of descriptors: waiting lets some close; ending would lose every caller.
-                log::warn!(error:%; "accepting a connection failed");
+                // Usually out of file descriptors. A pause lets some connections close; ending the
+                // loop would refuse all callers for good.
+                log::warn!(error:%; "failed to accept a connection");
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
         }
@@ -130,7 +133,7 @@
     run_connection(connection, graceful_stop).await;
 }
 
-/// Runs a connection to its end; `graceful_stop` asks it to end after the requests that it is serving.
+/// Serves a connection until it ends. On `graceful_stop`, it closes after its current requests.
 async fn run_connection<C>(connection: C, graceful_stop: CancellationToken)
 where
     C: GracefulConnection,
@@ -145,6 +148,6 @@
         }
     };
     if let Err(error) = result {
-        log::trace!(error:%; "connection ended");
+        log::trace!(error:%; "connection ended with an error");
     }
 }
--- a/src/proxy/listener/callers.rs
+++ b/src/proxy/listener/callers.rs
@@ -30,10 +30,10 @@
 use crate::proxy::state::ProxyState;
 use crate::proxy::{entry, header_profile};
 
-/// Requests at a time on one HTTP/2 connection of a caller.
+/// Concurrent requests on one HTTP/2 connection of a caller.
 const CALLER_STREAMS_MAX: u32 = 128;
 
-/// Serves callers until `graceful_stop`, after which each connection ends with its last answer.
+/// Serves callers until `graceful_stop`. Each connection then closes after its current responses.
 pub(crate) async fn serve(
     listener: TcpListener,
     node: Arc<ProxyState>,
@@ -45,7 +45,7 @@
     while let Some((stream, caller)) = accept(&listener, &graceful_stop, &hard_stop).await {
         let Some(connection_guard) = caller_connections.register(caller) else {
             if node.log_limiter.may_log(LogClass::Notable) {
-                log::warn!(caller:%; "refused a connection: none of the others is idle");
+                log::warn!(caller:%; "refused a caller's connection: connection limit reached and no connection is idle");
             }
             continue;
         };
@@ -60,7 +60,7 @@
             hard_stop.run_until_cancelled(serving).await;
         });
     }
-    // New callers are refused by the system from now on, and reach another node at once.
+    // From now on the system refuses new connections, so that callers use another node at once.
     drop(listener);
     tasks.close();
     tasks.wait().await;
@@ -82,7 +82,7 @@
         () = graceful_stop.cancelled() => return,
     };
     drop(idle_guard);
-    // One that sends nothing is closed.
+    // The caller sent nothing in time, or the connection failed.
     let Ok(Ok(is_http2)) = protocol else {
         return;
     };
@@ -93,7 +93,7 @@
     }
 }
 
-/// What callers may send: as the configuration says, else as the settings do.
+/// Limits for callers' requests: from the configuration, or else from the settings.
 pub(super) fn http_limits(node: &ProxyState) -> HttpLimits {
     let settings = &node.settings;
     let enforced = node.enforced.load();
@@ -112,13 +112,13 @@
     }
 }
 
-/// Begin of the preface of HTTP/2; no method of HTTP/1 begins so.
+/// Start of the HTTP/2 connection preface. No HTTP/1 method starts with it.
 const HTTP2_PREFACE_START: &[u8] = b"PRI ";
 
-/// Between two looks at a connection whose first bytes came singly.
+/// Pause before peeking again, if only a part of the preface has arrived.
 const PREFACE_PEEK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Looks at the first bytes that a caller sends, without taking them.
+/// Determines the protocol from the first bytes without consuming them.
 async fn is_http2(stream: &TcpStream) -> std::io::Result<bool> {
     let mut prefix = [0; HTTP2_PREFACE_START.len()];
     loop {
@@ -162,12 +162,13 @@
     run_connection(connection, graceful_stop).await;
 }
 
-/// The caller has closed its connection: there is nobody to answer.
+/// The caller has closed its connection, so no response can be sent.
 #[derive(Debug, Snafu)]
 #[snafu(display("the caller has closed the connection"))]
 pub(super) struct CallerDisconnected;
 
-/// Serves one request of an HTTP/1 connection; `active_request` is dropped with the end of its answer.
+/// Serves one request of an HTTP/1 connection. `active_request` is dropped at the end of the
+/// response.
 pub(super) async fn serve_caller_request<S: AsyncRead + Unpin + Send + 'static>(
     node: Arc<ProxyState>,
     request: Request<Incoming>,
@@ -190,7 +191,7 @@
             let pending_response = entry::serve(Arc::clone(&node), parts, body);
             await_response(&node, &pipeline, pending_response).await?
         }
-        // What the caller sends is this request's body.
+        // Further bytes from the caller belong to this request's body.
         None => entry::serve(node, parts, body).await,
     };
     if leaving.is_cancelled() {
@@ -200,8 +201,8 @@
     Ok(response.map(|inner| body::boxed(GuardedBody::new(inner, active_request))))
 }
 
-/// Length of a request's head, about. The library looks at its own limit only between two reads, and
-/// one read may bring much more.
+/// Approximate length of a request's head. hyper checks its own limit only between two reads, and
+/// one read can exceed it by much.
 fn head_bytes(parts: &Parts) -> usize {
     let path = parts.uri.path_and_query();
     let path = path.map_or(0, |path| path.as_str().len());
@@ -209,16 +210,16 @@
     path + parts.headers.iter().map(field).sum::<usize>()
 }
 
-/// The answer to a request that was started before the library came to it.
+/// Waits for the response to a request that was started early.
 async fn early_response(pending_response: AbortOnDropHandle<Response<Body>>) -> Response<Body> {
     pending_response.await.unwrap_or_else(|error| {
-        // The task is aborted only together with its connection, so it has panicked.
-        log::error!(error:%; "serving a request failed");
+        // The task is aborted only together with its connection, so this is a panic.
+        log::error!(error:%; "the task of a pipelined request panicked");
         Failure::may_have_run(Reason::Lost).into_response(&header_profile::DEFAULT)
     })
 }
 
-/// Waits for an answer, reads meanwhile what the caller sends, and starts what may run early.
+/// Waits for a response. Meanwhile, reads ahead and starts pipelined requests that may run early.
 async fn await_response<S: AsyncRead + Unpin>(
     node: &Arc<ProxyState>,
     pipeline: &Pipeline<S>,
--- a/src/proxy/listener/http1.rs
+++ b/src/proxy/listener/http1.rs
@@ -1,8 +1,8 @@
-//! One HTTP/1 connection of a caller.
+//! Serves one HTTP/1 connection of a caller.
 //!
-//! Callers keep many connections open and use few at a time, and the HTTP library keeps some 30 KB for each. So the
-//! library is only there while requests are being served: when a connection has become idle it gives back the bare
-//! stream, and gets it again when the caller sends something.
+//! Callers keep many connections open and use few at a time, and hyper uses about 30 KB per
+//! connection. hyper therefore serves a connection only while it has requests. An idle connection
+//! is reduced to its TCP stream and is handed to hyper again when the caller sends data.
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -24,25 +24,25 @@
 use crate::proxy::stall::StallGuard;
 use crate::proxy::state::ProxyState;
 
-/// What a caller may send on one connection, and how long it may take.
+/// Size and time limits for requests on a caller's connection.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HttpLimits {
     pub(super) head_max_bytes: usize,
-    /// From the first byte of a request to the end of its head.
+    /// Longest time from the first byte of a request to the end of its head.
     pub(super) head_timeout: Duration,
-    /// Between two requests.
+    /// Longest time between two requests.
     pub(super) idle_timeout: Duration,
 }
 
-/// An idle connection.
+/// A connection without requests in progress.
 struct IdleConnection {
     stream: StallGuard,
-    /// Bytes of the caller's next request that were read already.
+    /// Bytes of the next request that were already read.
     unread: Bytes,
 }
 
-/// Serves a connection until its caller closes it, it is idle for too long, its place is needed, or
-/// `graceful_stop` asks it to end after the requests that it is serving.
+/// Serves a connection until its caller closes it, the idle timeout passes, a new connection needs
+/// its place, or `graceful_stop` is cancelled. In the last case the current requests are completed.
 pub(super) async fn serve(
     node: Arc<ProxyState>,
     stream: StallGuard,
@@ -52,7 +52,7 @@
     let unread = Bytes::new();
     let mut idle = IdleConnection { stream, unread };
     while wait_for_request(&node, &idle, connection_guard, &graceful_stop).await {
-        // Boxed, so that an idle connection does not hold the room for it.
+        // Boxed, so that the future of an idle connection does not reserve memory for serving.
         match Box::pin(serve_until_idle(&node, idle, &graceful_stop)).await {
             Some(next_idle) => idle = next_idle,
             None => return,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Waits until the caller sends something; false if the connection is to be closed instead.
+/// Waits until the caller sends data. Returns `false` if the connection must be closed instead.
 async fn wait_for_request(
     node: &ProxyState,
     idle: &IdleConnection,
@@ -80,8 +80,8 @@
     }
 }
 
-/// Waits for as long as a connection may be idle. Operators may allow a longer time meanwhile, so it is looked up
-/// again when it seems to be over.
+/// Waits until the idle timeout has passed. Reads the limit again before it ends, because operators
+/// may have raised it.
 async fn wait_idle_timeout(node: &ProxyState) {
     let idle_since = Instant::now();
     loop {
@@ -93,7 +93,7 @@
     }
 }
 
-/// Serves requests until the connection is idle again, and returns it; none if it has ended.
+/// Serves requests until the connection is idle again, and returns it. `None` if it has ended.
 async fn serve_until_idle(
     node: &Arc<ProxyState>,
     idle: IdleConnection,
@@ -134,12 +134,12 @@
             },
             () = graceful_stop.cancelled(), if !stop_requested => stop_requested = true,
         }
-        // An idle connection ends with this at once and keeps its stream; another one ends after the
-        // request that it is serving.
+        // An idle connection ends at once and keeps its stream; any other ends after its current
+        // request.
         Pin::new(&mut connection).graceful_shutdown();
     };
     if let Err(error) = result {
-        log::trace!(error:%; "connection ended");
+        log::trace!(error:%; "connection ended with an error");
         return None;
     }
     let parts = connection.into_parts();
@@ -147,7 +147,7 @@
     if became_idle && !stop_requested {
         return Some(IdleConnection { stream, unread });
     }
-    // The answer has been written whole; that the caller is gone already is its affair.
+    // The response is written completely; an error means only that the caller has already closed.
     let _ = stream.shutdown().await;
     None
 }
--- a/src/proxy/listener/peers.rs
+++ b/src/proxy/listener/peers.rs
@@ -23,16 +23,16 @@
 use crate::proxy::{gate, headers};
 use crate::util::clock;
 
-/// Largest control message: a snapshot with its envelope.
+/// Largest control message: a configuration snapshot with its envelope.
 const CONTROL_MESSAGE_MAX_BYTES: usize = 9 << 20;
-/// Requests at a time on one connection between nodes: above slots and queue of any endpoint, so
-/// that the gate refuses a request, and not the transport delays it.
+/// Concurrent requests on one connection between nodes. More than the slots and queue of any
+/// endpoint, so that excess requests are refused by the gate instead of delayed by HTTP/2.
 const PEER_STREAMS_MAX: u32 = 1_024;
-/// As much as all streams together, so that one stalled upload never holds up another.
+/// The sum of all stream windows, so that a stalled upload does not block other uploads.
 const PEER_WINDOW_BYTES: u32 = PEER_STREAMS_MAX * REQUEST_WINDOW_BYTES;
 
-/// Serves other nodes until `graceful_stop`, after which each connection ends with its last answer. A
-/// draining node still gossips, so its peers' connections stay until the end.
+/// Serves other nodes until `graceful_stop`. Each connection then closes after its current
+/// responses. A draining node still takes part in gossip, so this listener stops last.
 pub(crate) async fn serve<C: Control>(
     listener: TcpListener,
     node: Arc<ProxyState>,
@@ -62,7 +62,7 @@
     tasks.wait().await;
 }
 
-/// `window_bytes` of each request's body come without being asked for.
+/// `window_bytes` is the stream window: how much of a request body is sent before it is read.
 fn builder(window_bytes: u32) -> Builder<TokioExecutor> {
     let mut builder = Builder::new(TokioExecutor::new());
     builder
@@ -83,7 +83,7 @@
     if !has_valid_token(&node, &request) {
         return unauthorized();
     }
-    // Only nodes set this header: an entry drops it from what callers send.
+    // Only nodes send this header; an entry node removes it from callers' requests.
     let Some(sent_us) = headers::get_u64(request.headers(), &headers::DATA) else {
         return match control.call(request).await {
             Ok(response) => response.map(body::boxed),
--- a/src/proxy/local_backend.rs
+++ b/src/proxy/local_backend.rs
@@ -1,4 +1,4 @@
-//! The backend server of the node's own VM.
+//! The backend server on this node's own VM.
 
 use std::net::SocketAddr;
 
@@ -6,16 +6,17 @@
 use crate::core::status::Announcement;
 use crate::node::settings::BackendServer;
 
-/// A backend server that may be sent requests.
+/// Address and identity of the local backend server, as configured or announced.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LocalBackend {
-    /// Its service.
+    /// Service whose requests it runs.
     pub(crate) service: ServiceName,
-    /// Where it listens.
+    /// Address on which it accepts requests.
     pub(crate) address: SocketAddr,
-    /// What it calls itself.
+    /// Instance name from its announcement. `None` if it comes from the settings or gave no name.
     pub(crate) instance: Option<InstanceName>,
-    /// Requests that it runs at a time, by its own word.
+    /// Number of requests that it runs concurrently, if it announced one. Otherwise the service's
+    /// configuration applies.
     pub(crate) slots: Option<u32>,
 }
 
--- a/src/proxy/log_limiter.rs
+++ b/src/proxy/log_limiter.rs
@@ -1,21 +1,22 @@
-//! What is logged of requests: one line for each decision, with what decided it.
+//! Rate limits for log lines about requests. There is one line per decision, with the values that
+//! led to it.
 //!
-//! Entry and gate log under the request's id, so that the lines of all nodes can be joined. Lines of
-//! a request that goes well are [`LogClass::Routine`], those of one that is refused, tried again or
-//! fails are [`LogClass::Notable`]; each kind has a rate of its own, so that a flood of good requests
-//! cannot hide the bad ones. What exceeds a rate is dropped and counted.
+//! Entry and gate log the request id, so that the lines of all nodes can be joined. Lines about
+//! successful requests are [`LogClass::Routine`]; lines about requests that are refused, retried or
+//! fail are [`LogClass::Notable`]. Each class has its own rate, so that many successful requests
+//! cannot crowd out the failures. Lines above the rate are dropped and counted.
 
 use std::num::NonZeroU32;
 
 use governor::{DefaultDirectRateLimiter, Quota, RateLimiter};
 use http::header::HeaderValue;
 
-/// How much a line matters to whoever explains a failure.
+/// How important a log line is for the analysis of a failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LogClass {
-    /// Of a request that goes well.
+    /// About a successful request.
     Routine,
-    /// Of a request that is refused, tried again or fails.
+    /// About a request that is refused, retried or fails.
     Notable,
 }
 
@@ -28,16 +29,16 @@
     }
 }
 
-/// Routine lines a second, and how many at once after a quiet time. Enough for all lines of a node
-/// that serves ten requests a second; above that they are a sample.
+/// Rate and burst of routine lines. Enough for all lines of a node that serves ten requests per
+/// second; at higher rates the lines are a sample.
 const ROUTINE_LINES_PER_S: NonZeroU32 = NonZeroU32::new(30).expect("not zero");
 const ROUTINE_BURST_LINES: NonZeroU32 = NonZeroU32::new(60).expect("not zero");
-/// Notable lines a second, and how many at once. At 400 bytes a line and 520 nodes that fail all at
-/// once 20 MB/s for the whole mesh, which a log collector takes for some minutes.
+/// Rate and burst of notable lines. At 400 bytes per line and 520 nodes that all fail at once, the
+/// mesh writes 20 MB/s, which a log collector can handle for some minutes.
 const NOTABLE_LINES_PER_S: NonZeroU32 = NonZeroU32::new(100).expect("not zero");
 const NOTABLE_BURST_LINES: NonZeroU32 = NonZeroU32::new(300).expect("not zero");
 
-/// The rates at which one node logs decisions.
+/// Rate limiters of one node, one per log class.
 #[derive(Debug)]
 pub(crate) struct LogLimiter {
     routine: DefaultDirectRateLimiter,
@@ -56,7 +57,7 @@
 }
 
 impl LogLimiter {
-    /// Whether a line may be written now; one that may not counts as dropped.
+    /// Whether a line may be logged now. If not, it is counted as dropped.
     pub(crate) fn may_log(&self, log_class: LogClass) -> bool {
         let limiter = match log_class {
             LogClass::Routine => &self.routine,
@@ -71,7 +72,7 @@
     }
 }
 
-/// A request's id as log lines show it.
+/// A request id for a log line. Empty if there is none or it is not text.
 pub(crate) fn id_text(id: Option<&HeaderValue>) -> &str {
     id.and_then(|id| id.to_str().ok()).unwrap_or("")
 }
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -1,4 +1,4 @@
-//! HTTP/2 connections to other nodes' gates, one per node, opened when first needed.
+//! HTTP/2 connections to the gates of other nodes: one per node, opened on first use.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,23 +17,25 @@
 use crate::peer::client::DialOptions;
 use crate::util::dial::dial;
 
-/// Longest wait for a connection. Beyond it the endpoint is as good as gone, and another one is
-/// nearer than its retransmission.
+/// Longest wait for a connection. A retransmitted connection attempt takes longer than a request to
+/// another endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// A frozen or cut-off peer is noticed within two of these while requests wait on it.
+/// Interval and timeout of keep-alive pings. With requests in flight, a frozen or unreachable peer
+/// is detected within twice this time.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Bytes of one answer that may be under way and unread, so that a slow reader does not make it pile up here.
+/// HTTP/2 stream window for responses: bytes of one response that may be buffered for a slow
+/// reader.
 const RESPONSE_WINDOW_BYTES: u32 = 128 << 10;
-/// Window of the whole connection: as much as all of its streams together may have under way, so
-/// that slow readers of some answers never hold up the others on the connection.
+/// HTTP/2 connection window: the sum of the stream windows, so that slow readers of some responses
+/// do not block other responses on the connection.
 const CONNECTION_WINDOW_BYTES: u32 = 1_024 * RESPONSE_WINDOW_BYTES;
 
-/// Addresses known before those without a connection are forgotten: above the subsets of all
-/// services that a node calls.
+/// Number of addresses from which entries without an open connection are removed. More than the
+/// endpoints in the subsets of all services that a node calls.
 const ADDRESSES_MAX: usize = 512;
 
-/// A connection to another node's gate.
+/// Sends requests over a connection to another node's gate.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerSender {
     requests: http2::SendRequest<Body>,
@@ -41,7 +43,8 @@
 }
 
 impl PeerSender {
-    /// Sends a request.
+    /// Sends a request with the mesh token. The failure says whether the request may have been
+    /// received.
     pub(crate) async fn send(
         &mut self,
         mut request: Request<Body>,
@@ -51,7 +54,7 @@
         }
         let sent = self.requests.try_send_request(request).await;
         sent.map_err(|mut error| {
-            // The library hands the request back only if none of it was sent.
+            // hyper returns the request only if none of it was sent.
             if error.take_message().is_some() || refused_stream(error.error()) {
                 Failure::not_run(Reason::Unreachable)
             } else {
@@ -61,7 +64,7 @@
     }
 }
 
-/// Whether the other side says that it has not looked at the request (RFC 9113, section 8.7).
+/// Whether the peer reset the stream before it processed the request (RFC 9113, section 8.7).
 fn refused_stream(error: &hyper::Error) -> bool {
     let source = std::error::Error::source(error);
     let reset = source.and_then(|source| source.downcast_ref::<h2::Error>());
@@ -76,7 +79,8 @@
     connections: Mutex<HashMap<SocketAddr, Arc<tokio::sync::Mutex<ConnectionState>>>>,
 }
 
-/// Locked across the handshake, so that a burst opens one connection and not one per request.
+/// The connection to one node. The lock is held during the handshake, so that concurrent requests
+/// open one connection instead of one each.
 #[derive(Debug, Default)]
 struct ConnectionState {
     sender: Option<PeerSender>,
@@ -99,7 +103,8 @@
         }
     }
 
-    /// A connection to the gate at `address`; nothing has been sent if there is none.
+    /// Returns the connection to the gate at `address`, or opens one. If this fails, nothing was
+    /// sent.
     pub(crate) async fn sender(&self, address: SocketAddr) -> Result<PeerSender, Failure> {
         let requested_at = Instant::now();
         let connection = self.connection_state(address);
@@ -111,7 +116,8 @@
         if let Some(sender) = open {
             return Ok(sender.clone());
         }
-        // Those that waited while one dial failed take its result; else each would dial for the whole timeout.
+        // Requests that waited for a failed attempt share its result. Otherwise each would wait for
+        // the whole timeout in turn.
         if connection
             .failed_at
             .is_some_and(|failed_at| failed_at > requested_at)
@@ -124,7 +130,7 @@
                 Ok(sender)
             }
             Err(error) => {
-                log::debug!(peer:% = address, error:%; "peer not reached");
+                log::debug!(peer:% = address, error:%; "failed to connect to a peer");
                 connection.failed_at = Some(Instant::now());
                 Err(Failure::not_run(Reason::Unreachable))
             }
@@ -137,7 +143,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         if connections.len() >= ADDRESSES_MAX {
-            // VMs come and go all year, and each address would stay.
+            // VMs are replaced over time. Without this, the map would grow with each new address.
             connections
                 .retain(|_, connection| Arc::strong_count(connection) > 1 || is_open(connection));
         }
--- a/src/proxy/pipeline.rs
+++ b/src/proxy/pipeline.rs
@@ -1,12 +1,14 @@
-//! Callers that send further requests before the first one is answered.
+//! HTTP/1 pipelining: callers that send further requests before the first one is answered.
 //!
-//! The HTTP library takes the requests of a connection one after the other, so each would wait for the answers to all
-//! before it. Therefore the bytes are looked at as they pass to the library ([`WatchedStream`]), further requests without a
-//! body are [started early](Pipeline::start_early), and when the library comes to one of them it is given the answer
-//! that is under way ([`Pipeline::take_early_response`]). Answers keep their order, as the library still writes them.
+//! hyper serves the requests of a connection one after the other, so each would wait for all
+//! responses before it. Therefore the bytes are also parsed on their way to hyper
+//! ([`WatchedStream`]), and further requests without a body are [started
+//! early](Pipeline::start_early). When hyper reaches such a request, it receives the response that
+//! is already in progress ([`Pipeline::take_early_response`]). Responses keep their order because
+//! hyper still writes them.
 //!
-//! The bytes are looked at by the parser that the library itself uses. A request that the two were to read
-//! differently is started anew; only requests that may run twice are started early.
+//! The bytes are parsed with httparse, as in hyper. If the two parse a request differently, it is
+//! started again; therefore only idempotent requests are started early.
 
 use std::collections::VecDeque;
 use std::io;
@@ -22,29 +24,30 @@
 
 use super::body::Body;
 
-/// Requests of one connection that are known ahead of the one being answered. A caller's library
-/// sends a handful; each holds memory for its head and its answer.
+/// Most requests that are parsed ahead on one connection. Clients pipeline only a few, and each
+/// uses memory for its head and its response.
 const PIPELINED_MAX: usize = 16;
 
-/// Bytes read from a connection ahead of the library: heads of a few requests.
+/// Most bytes that are read from a connection ahead of hyper. Holds the heads of a few requests.
 const BUFFER_MAX_BYTES: usize = 16 << 10;
 
-/// Fields of one head, as in the HTTP library.
+/// Most header fields in one head, the same limit as in hyper.
 const HEADERS_MAX: usize = 100;
 
-/// A request known ahead: the library will come to it.
+/// A request that was parsed ahead of hyper.
 struct PipelinedRequest {
     parts: Parts,
     response_task: Option<AbortOnDropHandle<Response<Body>>>,
 }
 
-/// What is known of the requests of one connection.
+/// The requests parsed ahead on one connection.
 #[derive(Default)]
 struct PipelinedRequests {
-    /// Bytes of a head that is not complete yet.
+    /// Start of a head that is not complete yet.
     partial: BytesMut,
     pending: VecDeque<PipelinedRequest>,
-    /// Something was sent that is not looked at, such as a body; nothing is known from then on.
+    /// Set when the bytes cannot be parsed ahead any more, for example because a request has a
+    /// body.
     stopped_parsing: bool,
 }
 
@@ -74,7 +77,7 @@
                 }
             }
         }
-        // An idle connection keeps no buffer.
+        // Frees the buffer, so that an idle connection uses no memory for it.
         self.partial = BytesMut::new();
     }
 }
@@ -82,7 +85,7 @@
 enum Parsed {
     Head(Box<Parts>, usize),
     Partial,
-    /// A body follows, or it is no request.
+    /// A request with a body, or no valid request.
     Unsupported,
 }
 
@@ -112,7 +115,7 @@
     Some(parts)
 }
 
-/// Whether nothing but the next request follows the head.
+/// Whether the head is followed directly by the next request.
 fn has_no_body(parts: &Parts) -> bool {
     let body_headers = [
         header::CONTENT_LENGTH,
@@ -126,23 +129,23 @@
 }
 
 struct Shared<S> {
-    /// Taken when the library is done with it.
+    /// `None` after hyper has returned the stream.
     stream: Option<S>,
     head_max_bytes: usize,
-    /// Read ahead of the library.
+    /// Bytes read ahead of hyper.
     buffer: BytesMut,
-    /// The caller has closed, or the connection broke.
+    /// Set when the caller has closed the connection or reading failed.
     ended: bool,
     requests: PipelinedRequests,
-    /// Requests whose answers the library has not taken whole yet.
+    /// Requests whose responses hyper has not finished writing.
     active_requests: usize,
-    /// Whether there was a request at all.
+    /// Whether hyper has served any request on this connection.
     had_request: bool,
-    /// The library has written all that it was given.
+    /// Whether hyper has flushed everything that it wrote.
     flushed: bool,
-    /// The library has looked for a request and found nothing.
+    /// Whether hyper's last read found no data.
     read_pending: bool,
-    /// The library has read something since [`Pipeline::poll_read_ahead`] last said so.
+    /// Whether hyper has read data since [`Pipeline::poll_read_ahead`] last reported it.
     library_read: bool,
 }
 
@@ -155,7 +158,7 @@
     }
 }
 
-/// A request that is being served, up to the end of its answer.
+/// A request that is being served. Dropped at the end of its response.
 pub(crate) struct ActiveRequest<S>(Pipeline<S>);
 
 impl<S> Drop for ActiveRequest<S> {
@@ -164,7 +167,7 @@
     }
 }
 
-/// The requests of one connection.
+/// Requests and read-ahead buffer of one connection. Clones share them.
 pub(crate) struct Pipeline<S> {
     shared: Arc<Mutex<Shared<S>>>,
 }
@@ -178,8 +181,8 @@
 }
 
 impl<S> Pipeline<S> {
-    /// Watches `stream`, of which `unread` was read already; heads are at most `head_max_bytes`
-    /// long. The library gets the second half.
+    /// Wraps `stream`. `unread` are bytes that were already read from it; heads are limited to
+    /// `head_max_bytes`. The returned stream is for hyper.
     pub(crate) fn new(stream: S, unread: Bytes, head_max_bytes: usize) -> (Self, WatchedStream<S>) {
         let mut requests = PipelinedRequests::default();
         requests.parse_bytes(&unread, head_max_bytes);
@@ -200,12 +203,12 @@
         (pipeline.clone(), WatchedStream(pipeline))
     }
 
-    /// Longest head of a request, in bytes.
+    /// Limit on the head of a request, in bytes.
     pub(crate) fn head_max_bytes(&self) -> usize {
         self.lock().head_max_bytes
     }
 
-    /// Notes that a request is being served.
+    /// Counts a request as active until the returned guard is dropped.
     pub(crate) fn begin_request(&self) -> ActiveRequest<S> {
         let mut shared = self.lock();
         shared.active_requests += 1;
@@ -213,8 +216,11 @@
         ActiveRequest(self.clone())
     }
 
-    /// Whether requests were served, all are answered, and the caller has sent nothing more. The library flushes the
-    /// stream only once it has nothing left to write; before that, letting go of the connection would cut an answer.
+    /// Whether at least one request was served, all are answered, and the caller has sent nothing
+    /// more.
+    ///
+    /// hyper flushes the stream only after it has written everything. Releasing the connection
+    /// before that would truncate a response.
     pub(crate) fn is_idle(&self) -> bool {
         let shared = self.lock();
         let answered = shared.had_request && shared.active_requests == 0 && shared.flushed;
@@ -222,8 +228,8 @@
         answered && waiting && shared.requests.pending.is_empty()
     }
 
-    /// The stream back from the library, and what was read of the next request: `unread` is what the
-    /// library has of it. None if the caller has closed.
+    /// Takes the stream back from hyper, with the bytes already read of the next request. `unread`
+    /// are the bytes that hyper has read. `None` if the caller has closed the connection.
     pub(crate) fn into_stream(
         self,
         watched_stream: WatchedStream<S>,
@@ -247,7 +253,7 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The answer that was started early for the request that the library has come to, if any.
+    /// The response task of the request that hyper has reached, if it was started early.
     pub(crate) fn take_early_response(
         &self,
         parts: &Parts,
@@ -258,7 +264,7 @@
             && request.parts.uri == parts.uri
             && request.parts.headers == parts.headers;
         if !same {
-            log::debug!(uri:% = parts.uri; "a request was read in two ways; none is started early");
+            log::debug!(uri:% = parts.uri; "a pipelined request was parsed differently by hyper; no further request of this connection starts early");
             shared.requests.pending.clear();
             shared.requests.stopped_parsing = true;
             return None;
@@ -266,8 +272,8 @@
         request.response_task
     }
 
-    /// Starts the requests that are known ahead and not started yet. `start` declines what may not
-    /// run early, and nothing behind such a request is started either.
+    /// Starts the parsed requests that are not running yet. `start` returns `None` for a request
+    /// that must not start early; the requests behind it then wait, too.
     pub(crate) fn start_early(
         &self,
         mut start: impl FnMut(&Parts) -> Option<AbortOnDropHandle<Response<Body>>>,
@@ -285,12 +291,14 @@
 }
 
 impl<S: AsyncRead + Unpin> Pipeline<S> {
-    /// Reads what the caller sends while a request is being answered. Ready once more requests may be known, or with
-    /// false once the caller has closed: nobody waits for the answer then.
+    /// Reads what the caller sends while a request is being answered. Returns `true` when more
+    /// requests may have been parsed, and `false` when the caller has closed the connection and no
+    /// longer waits for the response.
     ///
-    /// The library looks for the end of a connection only while it holds no bytes of a further request, so a caller that
-    /// pipelines and leaves would go unnoticed. While it looks it reads one further request itself, which counts as well.
-    /// It reads before it polls the answer that this is a part of, in the same task, so nobody has to be woken.
+    /// hyper detects a closed connection only while its own buffer is empty, so it would miss a
+    /// caller that pipelines requests and disconnects. While it checks, it may read one further
+    /// request itself; the `library_read` flag reports that. No wake-up is needed, because hyper
+    /// reads in the same task before it polls the response future that calls this function.
     pub(crate) fn poll_read_ahead(&self, context: &mut Context<'_>) -> Poll<bool> {
         let mut shared = self.lock();
         if shared.ended {
@@ -321,7 +329,7 @@
     }
 }
 
-/// The connection as the library reads and writes it.
+/// The stream that hyper reads and writes. Parses the bytes that pass through.
 pub(crate) struct WatchedStream<S>(Pipeline<S>);
 
 impl<S: AsyncRead + Unpin> AsyncRead for WatchedStream<S> {
--- a/src/proxy/replay.rs
+++ b/src/proxy/replay.rs
@@ -1,4 +1,4 @@
-//! A caller's request body that can be sent again as long as little of it has been read.
+//! A caller's request body that can be sent again while all of what was read fits in a buffer.
 
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,13 +12,13 @@
 
 use super::body::{self, Body, BoxError};
 
-/// Bytes kept for a retry. Payments and bookings are a few KB. Of what is longer than this a gate reads
-/// nothing before it has admitted the request, and until then takes a window of 64 KiB; with one read
-/// of the caller's connection on top this is enough for an upload of any size that was refused or had to
-/// wait.
+/// Bytes of a request body that are buffered for a retry. Payments and bookings are a few KB. Of a
+/// longer body, a gate accepts only a window of 64 KiB before the request is admitted. Together
+/// with one read of the caller's connection this fits, so an upload of any length can be retried if
+/// it was refused or had to wait.
 pub(crate) const REPLAY_BUFFER_MAX_BYTES: usize = 192 << 10;
 
-/// A request body, and whether it can be sent again.
+/// A request body that can be sent more than once.
 #[derive(Debug)]
 pub(crate) enum ReplayableBody {
     Empty,
@@ -31,15 +31,15 @@
     size_hint: SizeHint,
     buffered: Vec<Bytes>,
     buffered_bytes: usize,
-    /// More was read than is kept.
+    /// Set when more was read than is buffered, or reading failed.
     unreplayable: bool,
     ended: bool,
-    /// The attempt that may read.
+    /// Number of the attempt that may read the body.
     attempt: u32,
     stall_timer: StallTimer,
 }
 
-/// Bounds how long a caller may send nothing while its body is waited for.
+/// Limits how long a caller may send nothing while its body is being read.
 #[derive(Debug)]
 struct StallTimer {
     limit: Duration,
@@ -86,12 +86,12 @@
         })))
     }
 
-    /// Whether there is no body.
+    /// Whether the request has no body.
     pub(crate) fn is_empty(&self) -> bool {
         matches!(self, Self::Empty)
     }
 
-    /// How long the body is at least, as far as its caller says.
+    /// Lower bound of the body's length, as far as the caller declared it.
     pub(crate) fn min_len_bytes(&self) -> u64 {
         match self {
             Self::Empty => 0,
@@ -99,8 +99,9 @@
         }
     }
 
-    /// The body from its beginning. An earlier one reads nothing from now on: were it still to
-    /// read, as a request that was given up a moment ago might, both would get half a body.
+    /// The body from its start, for a new attempt. The body of the previous attempt then fails when
+    /// it is read. Otherwise an attempt that was just abandoned could still read, and each would
+    /// get a part of the body.
     pub(crate) fn next_attempt(&self) -> Body {
         match self {
             Self::Empty => body::empty(),
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Whether the whole body can still be sent.
+    /// Whether the whole body can be sent again.
     pub(crate) fn can_replay(&self) -> bool {
         match self {
             Self::Empty => true,
@@ -125,7 +126,7 @@
     }
 }
 
-/// One attempt's reading of the body.
+/// The body as one attempt reads it.
 struct AttemptBody {
     source: Arc<Mutex<SharedBody>>,
     number: u32,
@@ -143,7 +144,7 @@
         let source = Arc::clone(&self.source);
         let mut source = lock(&source);
         if source.attempt != self.number {
-            return Poll::Ready(Some(Err("a later attempt sends this body".into())));
+            return Poll::Ready(Some(Err("a later attempt took over this body".into())));
         }
         if let Some(buffered) = source.buffered.get(self.next_chunk) {
             self.next_chunk += 1;
@@ -178,7 +179,9 @@
         let Poll::Ready(frame) = Pin::new(&mut self.incoming).poll_frame(context) else {
             ready!(self.stall_timer.poll_expired(context));
             self.unreplayable = true;
-            return Poll::Ready(Some(Err("the caller stopped sending".into())));
+            return Poll::Ready(Some(Err(
+                "the caller sent no data within the stall limit".into()
+            )));
         };
         self.stall_timer.reset();
         match frame {
--- a/src/proxy/running_requests.rs
+++ b/src/proxy/running_requests.rs
@@ -1,14 +1,15 @@
-//! The calls that the local backend server is running, and what its own calls inherit from them.
+//! The requests that the local backend server is running, and what its nested calls inherit from
+//! them.
 //!
-//! The gate gives the backend server a token with each request (header
-//! [`headers::CALL`](super::headers::CALL)). The backend server copies it to the calls that it
-//! makes meanwhile through its own node. Deadline, depth and retries left come from the record
-//! that the token names, never from a header that a caller could write; the token is looked up
-//! together with a random secret, so it cannot be guessed either.
+//! The gate sends a token with each request to the backend server (header
+//! [`headers::CALL`](super::headers::CALL)). The backend server copies the token to the calls that
+//! it makes through its own node while it runs the request. Deadline, depth and retry budget of
+//! such a call come from the record that the token identifies, not from headers that a caller could
+//! forge. The token contains a random secret, so it cannot be guessed.
 //!
-//! Backend servers of the users' platform copy no token, but the id of a call begins with the id of the
-//! running request. That counts only while the request runs on the backend server beside this node,
-//! and ids are random, so a caller can pass for nobody's call but its own request's.
+//! Backend servers on the users' platform copy no token. There the id of a call starts with the id
+//! of the running request. Such an id is accepted only while that request runs on the local backend
+//! server. Request ids are random, so a caller can only extend the id of its own request.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,7 +21,7 @@
 use super::hop::Hop;
 
 new_key_type! {
-    /// Names a call that the local backend server is running.
+    /// Identifies a request that the local backend server is running.
     struct RequestKey;
 }
 
@@ -36,29 +37,29 @@
 #[derive(Debug, Default)]
 struct State {
     running: SlotMap<RequestKey, RunningRequest>,
-    /// Those whose calls are known by their ids.
+    /// Requests whose nested calls are recognised by their id instead of a token.
     by_id: HashMap<Box<str>, RequestKey>,
 }
 
-/// All calls that the local backend server is running.
+/// All requests that the local backend server is running.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunningRequests {
     state: Arc<Mutex<State>>,
 }
 
-/// What a call inherits from the call that led to it.
+/// What a nested call inherits from the request that made it.
 #[derive(Debug)]
 pub(crate) struct InheritedContext {
     pub(crate) deadline: Instant,
-    /// Calls above the new one.
+    /// Depth of the new call: the number of calls above it.
     pub(crate) depth: u32,
-    /// Cancelled when nobody waits for the call above any more.
+    /// Cancelled when the parent request ends before it was answered.
     pub(crate) cancellation: CancellationToken,
     pub(crate) budget: RetryBudget,
 }
 
-/// Retries taken from a running call; what is left goes back when it is dropped. Calls made at
-/// the same time do not share one retry: the first takes all, so none is spent twice.
+/// Retries taken from the parent request. Unspent ones are returned when this is dropped. Of
+/// concurrent calls, the first takes all retries of the parent, so that no retry is spent twice.
 #[derive(Debug, Default)]
 pub(crate) struct RetryBudget {
     parent: Option<(RunningRequests, RequestKey)>,
@@ -66,7 +67,7 @@
 }
 
 impl RetryBudget {
-    /// For a call that none led to.
+    /// Budget of a request without a parent.
     pub(crate) fn root(retries: u32) -> Self {
         Self {
             parent: None,
@@ -91,8 +92,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a call that the backend server is about to run; `id` is the one that its own calls will
-    /// begin with, if they do.
+    /// Registers a request that the backend server is about to run. `id` is the prefix of the ids
+    /// of its nested calls, for backend servers that extend request ids.
     pub(crate) fn register(&self, hop: &Hop, id: Option<&str>) -> RunningGuard {
         let secret = rand::random();
         let request = RunningRequest {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// What a call with `token` inherits; none if the token names no running call.
+    /// Context of a call that carries `token`. `None` if the token identifies no running request.
     pub(crate) fn inherit_by_token(&self, token: &str) -> Option<InheritedContext> {
         let (key, secret) = token.split_once('-')?;
         let key = u64::from_str_radix(key, 16).ok()?;
@@ -128,7 +129,7 @@
         (request.secret == secret).then(|| self.inherited_context(key, request))
     }
 
-    /// What a call inherits that the running request `id` has made; none if no such request runs.
+    /// Context of a call made by the running request `id`. `None` if no such request is running.
     pub(crate) fn inherit_by_id(&self, id: &str) -> Option<InheritedContext> {
         let mut state = self.lock();
         let key = *state.by_id.get(id)?;
@@ -149,7 +150,8 @@
     }
 }
 
-/// A call that the backend server runs; forgotten when dropped.
+/// A registered request. Dropping it removes the request and, if it was not answered, cancels its
+/// nested calls.
 #[derive(Debug)]
 pub(crate) struct RunningGuard {
     registry: RunningRequests,
@@ -160,12 +162,12 @@
 }
 
 impl RunningGuard {
-    /// The token for the backend server.
+    /// The token that the backend server copies to its nested calls.
     pub(crate) fn token(&self) -> String {
         format!("{:x}-{:x}", self.key.data().as_ffi(), self.secret)
     }
 
-    /// The backend server answered: takes the retries that were not spent.
+    /// Records that the backend server has answered and takes back the unspent retries.
     pub(crate) fn mark_answered(&mut self) -> u32 {
         self.answered = true;
         let mut state = self.registry.lock();
@@ -178,7 +180,7 @@
     fn drop(&mut self) {
         let mut state = self.registry.lock();
         if let Some(id) = &self.id {
-            // The same request may run here again by now.
+            // The same request may have been registered here again in the meantime.
             if state.by_id.get(id) == Some(&self.key) {
                 state.by_id.remove(id);
             }
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -1,7 +1,8 @@
-//! Slots of the local backend server: taken, waited for, given back.
+//! Slots of the local backend server: requests acquire one, wait for one, and release it.
 //!
-//! A waiting request parks on a channel whose other end the admission state holds. Whoever
-//! changes that state calls [`notify_queued`], which wakes those whose turn has come.
+//! A queued request waits on a channel. The admission state holds the sender. Every change of the
+//! admission state must be followed by [`notify_queued`], which sends the decisions that have
+//! become due.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -16,10 +17,11 @@
 use crate::proxy::state::ProxyState;
 use crate::util::clock;
 
-/// Wakes a waiting request.
+/// Sends the admission decision to a queued request.
 pub(crate) type DecisionSender = oneshot::Sender<Turn>;
 
-/// A slot of the backend server, given back when the answer has been passed on or given up.
+/// A slot of the backend server. It is released when dropped, after the response has been forwarded
+/// or the request was abandoned.
 pub(crate) struct Slot {
     node: Arc<ProxyState>,
     class: Class,
@@ -39,12 +41,12 @@
         }
     }
 
-    /// The backend server has answered the request that holds the slot.
+    /// Records that the backend server has answered the request that holds the slot.
     pub(crate) fn mark_answered(&mut self) {
         self.answered = true;
     }
 
-    /// Takes a slot, waiting for it as long as the deadline allows.
+    /// Acquires a slot, waiting for it until the queue deadline of `hop`.
     pub(crate) async fn acquire(node: &Arc<ProxyState>, hop: &Hop) -> Result<Self, Failure> {
         let deadline = hop.queue_deadline();
         let mut receiver = None;
@@ -64,7 +66,7 @@
             Admitted::Refused(refusal) => return Err(refusal_failure(refusal)),
             Admitted::Queued(ticket) => ticket,
         };
-        // Another class may have been put out of the queue to make room.
+        // Admission may have evicted a queued request of another class to make room for this one.
         notify_queued(node);
         let mut queued = QueuedRequest {
             node,
@@ -76,7 +78,7 @@
         match decision {
             Ok(Ok(Turn::Slot)) => Ok(Self::new(node, hop)),
             Ok(Ok(Turn::Refused(refusal))) => Err(refusal_failure(refusal)),
-            // The drop of `queued` takes it out of the queue: it will not run.
+            // Dropping `queued` removes the request from the queue, so it will not run.
             Ok(Err(_)) | Err(_) => Err(Failure::not_run(Reason::TooLate)),
         }
     }
@@ -96,9 +98,11 @@
     }
 }
 
-/// A request in the queue. If its caller hangs up, this is dropped at an await, and a slot may have been granted at
-/// the same moment. The turn is sent under the admission lock, so after `cancel` says that it was too late the turn
-/// is in the channel, and the slot is given back.
+/// A request in the admission queue.
+///
+/// If the caller disconnects, this is dropped while it waits, possibly just after a slot was
+/// granted. Decisions are sent under the admission lock. If `cancel` finds that the request is no
+/// longer queued, its decision is therefore already in the channel, and a granted slot is released.
 struct QueuedRequest<'a> {
     node: &'a Arc<ProxyState>,
     hop: &'a Hop,
@@ -111,14 +115,15 @@
         if self.node.admission().cancel(self.ticket) {
             return;
         }
-        // Nothing is there if the turn was received; then the slot has its owner.
+        // The channel is empty if the decision was received. The slot then belongs to its receiver.
         if let Ok(Turn::Slot) = self.decision.try_recv() {
             drop(Slot::new(self.node, self.hop));
         }
     }
 }
 
-/// The failure of a request that would be refused if it asked for a slot now.
+/// The failure that the request would get if it requested a slot now; `None` if it would be
+/// admitted or queued.
 pub(crate) fn would_refuse(node: &ProxyState, hop: &Hop) -> Option<Failure> {
     let now_us = clock::since_us(node.started);
     let admission = node.admission();
@@ -128,7 +133,7 @@
         .map(refusal_failure)
 }
 
-/// What a request asks, with what its gate knows of others like it.
+/// The admission request for `hop`, with the hold time measured at this gate for its resource.
 fn admission_request(node: &ProxyState, admission: &Admission<DecisionSender>, hop: &Hop) -> Ask {
     Ask {
         held_us: admission.held_of(&hop.resource),
@@ -136,12 +141,12 @@
     }
 }
 
-/// Wakes the waiting requests whose turn has come.
+/// Sends the admission decisions that have become due to their queued requests.
 pub(crate) fn notify_queued(node: &ProxyState) {
     let now_us = clock::since_us(node.started);
     let mut admission = node.admission();
     while let Some((sender, decision)) = admission.next(now_us) {
-        // The receiver outlives its place in the queue, see `QueuedRequest`.
+        // Sending fails only if the request is being dropped; see `QueuedRequest`.
         let _ = sender.send(decision);
     }
 }
--- a/src/proxy/stall.rs
+++ b/src/proxy/stall.rs
@@ -1,4 +1,4 @@
-//! A connection that breaks when the other side takes nothing for too long.
+//! A TCP stream that fails when the peer does not read for too long.
 
 use std::future::Future;
 use std::io;
@@ -10,8 +10,8 @@
 use tokio::net::TcpStream;
 use tokio::time::Sleep;
 
-/// Breaks a connection on which a write has been pending for the limit: a caller that does not read its answer holds
-/// a slot of the backend server and full buffers.
+/// Fails a write that has been pending for the limit. A caller that does not read its response
+/// would otherwise hold a slot of the backend server and full buffers.
 #[derive(Debug)]
 pub(crate) struct StallGuard {
     stream: TcpStream,
@@ -20,18 +20,18 @@
     preface: Option<PrefaceTimeout>,
 }
 
-/// The first bytes of a connection.
+/// Limits the time until the HTTP/2 preface has been received.
 #[derive(Debug)]
 struct PrefaceTimeout {
     remaining_bytes: usize,
     timer: Pin<Box<Sleep>>,
 }
 
-/// Length of the HTTP/2 preface.
+/// Length of the HTTP/2 connection preface.
 const HTTP2_PREFACE_BYTES: usize = 24;
 
 impl StallGuard {
-    /// Writes may be pending for `limit`.
+    /// Wraps `stream`. A write may be pending for at most `limit`.
     pub(crate) fn new(stream: TcpStream, limit: Duration) -> Self {
         Self {
             stream,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The preface of HTTP/2 is to come within `limit`.
+    /// Requires the HTTP/2 preface within `limit`.
     pub(crate) fn with_preface_timeout(mut self, limit: Duration) -> Self {
         self.preface = Some(PrefaceTimeout {
             remaining_bytes: HTTP2_PREFACE_BYTES,
@@ -50,7 +50,7 @@
         self
     }
 
-    /// Waits until there is something to read, or the other side has closed.
+    /// Waits until data can be read or the peer has closed the connection.
     pub(crate) async fn readable(&self) -> io::Result<()> {
         self.stream.readable().await
     }
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -1,4 +1,4 @@
-//! What requests read, and what they leave for each other: all that the request path needs of its node.
+//! State that the requests of a node share, and that the node's actors update.
 
 use std::fmt;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -33,62 +33,63 @@
 use crate::node::settings::{Settings, Tunable};
 use crate::util::clock;
 
-/// A gap between two ticks from which the process counts as frozen.
+/// Gap between two ticks from which the process counts as having been frozen.
 pub(crate) const FREEZE_GAP_MS: u64 = 3_000;
 
-/// Shared by every request of the node. The actors write what is in force and who is there.
+/// Shared by all requests of the node. The node's actors store the enforced configuration and the
+/// membership here.
 #[derive(Debug)]
 pub(crate) struct ProxyState {
     pub(crate) settings: Settings,
-    /// What of the settings may change meanwhile, as it stands now.
+    /// Settings that can change while the node runs, with their current values.
     pub(crate) tunable: ArcSwap<Tunable>,
     pub(crate) header_profile: &'static HeaderProfile,
     pub(crate) local_id: NodeId,
     pub(crate) started: Instant,
     pub(crate) enforced: ArcSwapOption<Applied>,
     pub(crate) view: ArcSwap<MembershipView>,
-    /// What this node, as an entry, has seen of endpoints.
+    /// Load and failures of endpoints, as this node has observed them as an entry node.
     balancer: Mutex<Balancer>,
     retry_tokens: Mutex<ServiceTokens>,
     admission: Mutex<Admission<DecisionSender>>,
-    /// What the link of this VM takes at a time.
+    /// How much of this VM's link large uploads may use at a time.
     pub(crate) link_share: LinkShare,
     intake: Mutex<Intake>,
-    /// One for each large body that may come in at a time.
+    /// One permit per large body that may be received concurrently.
     pub(crate) upload_permits: Arc<Semaphore>,
-    /// Large bodies that come in, from other nodes and from callers of this VM.
+    /// Number of large bodies being received, from other nodes and from callers on this VM.
     pub(crate) incoming_uploads: AtomicU32,
-    /// Turns that entries were given and whose bodies are still to come.
+    /// Upload permits granted to entry nodes whose bodies have not arrived yet.
     pub(crate) reserved_permits: ReservedPermits,
-    /// The backend server that may be sent requests, if one is known.
+    /// The local backend server that requests may be sent to, if there is one.
     pub(crate) backend: ArcSwapOption<LocalBackend>,
-    /// Told when it turns out that something else is at its address.
+    /// Called when another instance responds at the backend server's address.
     pub(crate) on_backend_lost: BackendLostCallback,
     pub(crate) pool: BackendPool,
     pub(crate) running_requests: RunningRequests,
-    /// What is logged of requests.
+    /// Limits the rate of log lines about requests.
     pub(crate) log_limiter: LogLimiter,
     pub(crate) peers: PeerConnections,
-    /// The process was frozen and has not caught up yet.
+    /// Set when the process was frozen, until it has refreshed its configuration and membership.
     pub(crate) refreshing: AtomicBool,
-    /// When the process last ticked, by the clock of `started`.
+    /// Time of the last tick, in milliseconds since `started`.
     pub(crate) last_tick_ms: AtomicU64,
-    /// When the store last told this node, or whom it follows, what is newest; by the clock of
-    /// `started`, 0 for never.
+    /// Time of the last read of the newest version from the store, by this node or by the node that
+    /// it follows. In milliseconds since `started`; 0 if there was none.
     store_read_ms: AtomicU64,
-    /// Cancelled when the node itself is about to leave.
+    /// Cancelled when the node starts to shut down.
     pub(crate) leaving: CancellationToken,
-    /// Requests of other nodes in flight at this node's gate.
+    /// Requests of other nodes that are in flight at this node's gate.
     pub(crate) gate_requests: TaskTracker,
 }
 
-/// Whom to tell that the local backend server of a service is lost; set once, when the node starts.
+/// Callback for the loss of the local backend server of a service. Set once, when the node starts.
 #[derive(Default)]
 pub(crate) struct BackendLostCallback(OnceLock<Box<dyn Fn(ServiceName) + Send + Sync>>);
 
 impl BackendLostCallback {
     pub(crate) fn set(&self, callback: impl Fn(ServiceName) + Send + Sync + 'static) {
-        // A second call would be of a second start, which there is not.
+        // The node starts only once, so the callback is never already set.
         let _ = self.0.set(Box::new(callback));
     }
 
@@ -101,7 +102,7 @@
 
 impl fmt::Debug for BackendLostCallback {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("BackendLost")
+        f.write_str("BackendLostCallback")
     }
 }
 
@@ -111,7 +112,8 @@
         header_profile: &'static HeaderProfile,
         local_id: NodeId,
     ) -> Self {
-        // One that announces itself has nothing to do before it has.
+        // A backend server that announces itself receives no requests before its first
+        // announcement.
         let configured = settings.backend_server.as_ref();
         let configured = configured.filter(|_| !settings.backend_server_announces);
         let backend = configured.map(|configured| Arc::new(LocalBackend::from(configured)));
@@ -147,23 +149,23 @@
         }
     }
 
-    /// Mechanisms that are switched off.
+    /// Mechanisms that the operator has switched off.
     pub(crate) fn without(&self) -> Without {
         self.settings.without
     }
 
-    /// Milliseconds since the process was started.
+    /// Milliseconds since the process started.
     pub(crate) fn uptime_ms(&self) -> u64 {
         clock::since_ms(self.started)
     }
 
-    /// Notes that the store told what is newest, `uptime_ms` ago.
+    /// Records that the newest version was read from the store `age_ms` milliseconds ago.
     pub(crate) fn record_store_read(&self, age_ms: u64) {
         let last_read_ms = self.uptime_ms().saturating_sub(age_ms);
         self.store_read_ms.fetch_max(last_read_ms, Ordering::AcqRel);
     }
 
-    /// How long ago the store told what is newest, if it ever did.
+    /// Milliseconds since the newest version was read from the store. `None` if it never was.
     pub(crate) fn store_age_ms(&self) -> Option<u64> {
         match self.store_read_ms.load(Ordering::Acquire) {
             0 => None,
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Whether the process has gone on without a freeze since it last caught up.
+    /// Whether the process has run without a freeze since it last refreshed its state.
     pub(crate) fn is_fresh(&self) -> bool {
         let since_tick_ms = self
             .uptime_ms()
@@ -183,7 +185,7 @@
         lock_ignoring_poison(&self.balancer)
     }
 
-    /// Brings the retries of this entry in line with the settings and the size of the mesh.
+    /// Applies the retry settings and the current number of nodes to the retry tokens.
     pub(crate) fn update_retry_policy(&self) {
         let tunable = self.tunable.load();
         let (percent, reserve) = (tunable.retry_percent, tunable.retry_reserve);
@@ -200,7 +202,7 @@
         lock_ignoring_poison(&self.admission)
     }
 
-    /// What this node's gate says of its load with the answer to `hop`.
+    /// The load that this node's gate reports with the response to `hop`.
     pub(crate) fn load(&self, hop: &Hop) -> LoadReport {
         let now_us = clock::since_us(self.started);
         let request = hop.fresh_admission_request(self.started);
@@ -209,7 +211,8 @@
         LoadReport { intake_us, ..load }
     }
 
-    /// What this node's gate says, with the answer to `hop`, of how long other requests hold a slot.
+    /// How long requests for other resources hold a slot, as this node's gate reports it with the
+    /// response to `hop`.
     pub(crate) fn other_hold_times(&self, hop: &Hop) -> HeaderValue {
         let admission = self.admission();
         let now_us = clock::since_us(self.started);
@@ -220,19 +223,20 @@
         lock_ignoring_poison(&self.intake)
     }
 
-    /// Lets the backend server have no new work; what waits for a slot is refused at once, so
-    /// that its entry takes it elsewhere.
+    /// Stops admitting requests to the backend server. Queued requests are refused at once, so that
+    /// their entry nodes retry them elsewhere.
     pub(crate) fn close_gate(&self) {
         self.admission().close();
         slots::notify_queued(self);
     }
 
-    /// Lets the backend server have new work again.
+    /// Admits requests to the backend server again.
     pub(crate) fn open_gate(&self) {
         self.admission().open();
     }
 
-    /// Brings the limits in line with what is enforced and which service is local.
+    /// Applies the slot and connection limits of the enforced configuration for the local backend
+    /// server.
     pub(crate) fn update_slot_limits(&self) {
         let backend = self.backend.load_full();
         let applied = self.enforced.load_full();
@@ -245,20 +249,20 @@
         slots::notify_queued(self);
     }
 
-    /// Another instance has answered in `backend`'s place, as an address may pass to another service: the
-    /// gate is closed until something announces itself.
+    /// Closes the gate after another instance has responded at `backend`'s address, which may have
+    /// been reassigned to another service. The gate opens with the next announcement.
     pub(crate) fn handle_wrong_instance(&self, backend: &LocalBackend) {
         let current = self.backend.load_full();
         if current.as_deref() != Some(backend) {
             return;
         }
-        log::warn!(instance:? = backend.instance; "another instance answers at the backend server's address");
+        log::warn!(instance:? = backend.instance; "another instance responded at the backend server's address");
         self.backend.store(None);
         self.on_backend_lost.call(backend.service.clone());
     }
 }
 
-/// How much a backend server takes, and how many connections.
+/// Slot and queue limits of a backend server, and its number of connections.
 fn backend_limits(backend: &LocalBackend, applied: &Applied) -> (Limits, u32) {
     let Some(service) = applied.configuration.service(&backend.service) else {
         return (Limits::default(), 0);
@@ -266,14 +270,14 @@
     let connections = service.connections_per_endpoint;
     let slots = backend.slots.unwrap_or(service.slots_per_endpoint);
     let limits = Limits {
-        // Each request has a connection of its own to the backend server.
+        // Each request uses its own connection to the backend server.
         slots: slots.min(connections),
         queue_len: service.queue_len,
     };
     (limits, connections)
 }
 
-/// A lock that a panic elsewhere does not take away.
+/// Locks a mutex even if another thread panicked while it held the lock.
 pub(crate) fn lock_ignoring_poison<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/proxy/uploads.rs
+++ b/src/proxy/uploads.rs
@@ -1,7 +1,8 @@
-//! Takes in the large bodies that come to a gate; see [`crate::decide::intake`].
+//! Receives large request bodies at the gate, a limited number at a time, so that they do not
+//! saturate the VM's link; see [`crate::decide::intake`].
 //!
-//! An entry asks for a turn before it sends any byte of a large body to another node ([`reserve`]); the
-//! body then comes with the turn that it was given ([`receive`]).
+//! An entry node requests an upload permit before it sends any byte of a large body to another node
+//! ([`reserve`]). It then sends the body with that permit ([`receive`]).
 
 pub(crate) mod permits;
 
@@ -26,24 +27,26 @@
 
 use self::permits::UploadPermit;
 
-/// Most of a body that is kept here if nobody says how long it is. With the window of its request and
-/// one read of the caller's connection on top it stays below what its entry keeps.
+/// Most bytes that the gate buffers of a body of unknown length. Together with the window of its
+/// stream and one read of the caller's connection, this is less than the entry node buffers for a
+/// retry.
 const UNKNOWN_LEN_BUFFER_BYTES: u64 = 64 << 10;
 
-/// Longest turn of one body. A sender that is slower than this keeps no other from coming: at 7 Mbit/s
-/// 800 KB come in this time.
+/// Longest time that one body occupies a permit, so that a slow sender does not block other bodies.
+/// At 7 Mbit/s, 800 KB arrive in this time.
 const PERMIT_HOLD_MAX: Duration = Duration::from_secs(1);
 
-/// Where a body comes from.
+/// Where the body of a request comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodySource {
-    /// Over the link, with the turn that its entry was given, if it has asked for one.
+    /// From another node, over the VM's link. Holds the key of the permit that the entry node
+    /// obtained, if it requested one.
     Peer(Option<permits::PermitKey>),
-    /// From a caller of this VM: it does not use the link.
+    /// From a caller on this VM. The body does not use the link.
     Local,
 }
 
-/// Gives a turn to a request whose body is still with its entry.
+/// Grants an upload permit to a request whose body the entry node has not sent yet.
 pub(crate) async fn reserve(
     node: &Arc<ProxyState>,
     hop: &Hop,
@@ -52,11 +55,12 @@
     Ok(permits::hold_for_body(node, permit))
 }
 
-/// Takes in `body` as far as it is kept, if it is a large one.
+/// Waits for an upload permit and buffers a large body before its request takes a slot. A small
+/// body is returned unread.
 ///
-/// What is kept here is still with its entry, too: a request that gets no slot after all goes to
-/// another endpoint, whole. So of a body that its entry cannot keep nothing is read before its slot; its
-/// turn ends with it.
+/// The entry node still buffers what is read here, so that a request that gets no slot can be sent
+/// whole to another endpoint. A body that is too long for the entry's buffer is therefore not read
+/// before its request has a slot; it keeps its permit until it has been read.
 pub(crate) async fn receive(
     node: &Arc<ProxyState>,
     hop: &Hop,
@@ -89,13 +93,13 @@
             .map_err(|_| Failure::not_run(Reason::TooLate))?,
     };
     filled.map_err(|error| {
-        log::debug!(error:% = error; "a body broke off before it was passed on");
+        log::debug!(error:% = error; "an upload was interrupted before it was forwarded");
         Failure::not_run(Reason::Lost)
     })?;
     Ok(body::boxed(buffered))
 }
 
-/// Counts a large body until it is there.
+/// Counts a large body in [`ProxyState::incoming_uploads`] while it is being received.
 struct UploadCountGuard<'a>(&'a AtomicU32);
 
 impl<'a> UploadCountGuard<'a> {
@@ -111,7 +115,7 @@
     }
 }
 
-/// A body of which the beginning, or all, is here.
+/// A body whose first part, or all of it, has been read into memory.
 struct BufferedBody {
     frames: VecDeque<Frame<Bytes>>,
     buffered_bytes: u64,
@@ -168,7 +172,8 @@
         self.frames.is_empty() && (self.ended || self.inner.is_end_stream())
     }
 
-    /// What the sender said before any of it was read; it is not asked for again after that.
+    /// The size that the sender declared. It does not shrink as the body is read; callers use it
+    /// only before the first read.
     fn size_hint(&self) -> SizeHint {
         self.size_hint
     }
--- a/src/proxy/uploads/permits.rs
+++ b/src/proxy/uploads/permits.rs
@@ -1,4 +1,5 @@
-//! Turns: the right to have one large body come in over the VM's link.
+//! Upload permits: each allows one large body to be sent over the VM's link. Headers and settings
+//! call a permit a *turn*.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -12,26 +13,27 @@
 use crate::util::clock;
 
 new_key_type! {
-    /// Names a turn that waits for its body.
+    /// Identifies a reserved permit whose body has not arrived yet.
     pub(crate) struct PermitKey;
 }
 
 impl PermitKey {
-    /// The number that travels to the entry and back.
+    /// The number that represents the key in [`TURN`](crate::proxy::headers::TURN).
     pub(crate) fn number(self) -> u64 {
         self.data().as_ffi()
     }
 
-    /// The key of a number that came back.
+    /// Converts the number from a request's header back to a key.
     pub(crate) fn from_number(number: u64) -> Self {
         KeyData::from_ffi(number).into()
     }
 }
 
-/// Longest time that a turn is kept for a body that does not come, as when its caller has left.
+/// Longest time that a permit stays reserved for a body that does not arrive, for example because
+/// its caller has disconnected.
 const RESERVATION_MAX: Duration = Duration::from_millis(300);
 
-/// The right to have one body come in.
+/// Permission to receive one large body. Released when dropped.
 #[derive(Debug)]
 pub(crate) struct UploadPermit {
     node: Arc<ProxyState>,
@@ -40,7 +42,8 @@
 }
 
 impl UploadPermit {
-    /// Waits for a turn as long as the request is willing to.
+    /// Waits for a permit, at most as long as the request may wait for a slot. Fails at once if the
+    /// expected wait is longer than that.
     pub(super) async fn acquire(node: &Arc<ProxyState>, hop: &Hop) -> Result<Self, Failure> {
         let wait_us = node.intake().wait_us();
         let expected_wait = Duration::from_micros(wait_us);
@@ -64,7 +67,7 @@
         Ok(Self::start(node, permit))
     }
 
-    /// One that was counted as waiting has its turn.
+    /// Starts the transfer of an upload that was counted as waiting.
     fn start(node: &Arc<ProxyState>, permit: OwnedSemaphorePermit) -> Self {
         node.intake().begun();
         Self {
@@ -81,7 +84,7 @@
     }
 }
 
-/// Counted as waiting until it is dropped or its wait is over.
+/// An upload that is counted as waiting until it gets a permit or is dropped.
 struct WaitingUpload<'a> {
     node: &'a ProxyState,
     finished: bool,
@@ -109,12 +112,12 @@
     }
 }
 
-/// As many turns as `intake` has at a time.
+/// Creates the semaphore that limits concurrent uploads to `at_a_time`.
 pub(crate) fn new_semaphore(at_a_time: u32) -> Arc<Semaphore> {
     Arc::new(Semaphore::new(at_a_time as usize))
 }
 
-/// Turns that were given and whose bodies have not come yet.
+/// Permits that were granted to entry nodes and whose bodies have not arrived yet.
 #[derive(Debug, Default)]
 pub(crate) struct ReservedPermits(Mutex<SlotMap<PermitKey, UploadPermit>>);
 
@@ -123,13 +126,13 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The turn whose body comes now, unless it came too late.
+    /// Takes the permit for a body that has arrived. `None` if the reservation has expired.
     pub(super) fn take(&self, key: PermitKey) -> Option<UploadPermit> {
         self.lock().remove(key)
     }
 }
 
-/// Keeps `permit` until its body comes, [`RESERVATION_MAX`] at most.
+/// Reserves `permit` for a body that is still to come, for at most [`RESERVATION_MAX`].
 pub(super) fn hold_for_body(node: &Arc<ProxyState>, permit: UploadPermit) -> PermitKey {
     let key = node.reserved_permits.lock().insert(permit);
     let node = Arc::clone(node);
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -1,4 +1,4 @@
-//! The members of the mesh as requests and operators see them.
+//! The current membership of the mesh, as the request path and operators read it.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
 use crate::core::status::DataCentreSummary;
 use crate::decide::placement::Ranked;
 
-/// The members as requests and operators see them.
+/// Snapshot of the members, replaced as a whole when the membership changes.
 #[derive(Debug, Default)]
 pub(crate) struct MembershipView {
     pub(crate) members: Vec<Member>,
@@ -19,7 +19,10 @@
     pub(crate) fn new(members: Vec<Member>, local_id: NodeId, local_place: &Place) -> Self {
         let mut endpoints: HashMap<ServiceName, Ranked> = HashMap::new();
         for member in members.iter().filter(|member| member.takes_work()) {
-            let service = member.service.clone().expect("takes_work checks it");
+            let service = member
+                .service
+                .clone()
+                .expect("takes_work is true only with a service");
             endpoints
                 .entry(service)
                 .or_default()
--- a/tests/testsuite/end_to_end.rs
+++ b/tests/testsuite/end_to_end.rs
@@ -1,4 +1,5 @@
-//! The whole path: team files, `publish`, nodes, a request from caller to backend server and back.
+//! End to end: team files, `publish`, nodes, and a request from a caller to a backend server and
+//! back.
 
 use http::Method;
 use testkit::backend::expected_answer_digest;
@@ -13,7 +14,7 @@
     "examples/chatarras/bascula.toml",
 ];
 
-/// A dealer asks any node of any data centre for today's prices and gets them from a backend
+/// A caller requests prices from a node of any data centre. The response must come from a backend
 /// server of `tablon`, under the version that was just published.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_passes_from_caller_to_backend_server() {
@@ -28,7 +29,7 @@
         let headers = [("x-request-id", id.as_str())];
         let path = "/prices/copper?answer_bytes=100";
         let reply = request(caller, Method::GET, "tablon", path, &headers, "").await;
-        let reply = reply.expect("the node answers");
+        let reply = reply.expect("the node responds");
         assert_eq!(reply.status, 200, "{reply:?}");
         assert_eq!(reply.header("x-dragonflywall-version"), "1");
         assert!(reply.header("x-ran-by").starts_with("tablon-"), "{reply:?}");
@@ -37,8 +38,8 @@
     }
 }
 
-/// A weighbridge sends a bundle of 10 MiB and gets 10 MiB back; both pass through two nodes
-/// unchanged, told by their digests.
+/// A request body of 10 MiB and a response of 10 MiB must pass two nodes unchanged, as their
+/// digests show.
 #[tokio::test(flavor = "multi_thread")]
 async fn ten_mebibytes_pass_both_ways_unchanged() {
     const BUNDLE_BYTES: usize = 10 << 20;
@@ -47,7 +48,7 @@
     assert!(published.status.success(), "{published:?}");
     mesh.wait_enforced(1).await;
     mesh.wait_joined().await;
-    // A node of another service is the entry, so the bundle crosses two nodes.
+    // The entry is a node of another service, so that the bodies pass two nodes.
     let entry = mesh.vms.iter().find(|vm| vm.service == "tablon");
     let caller = entry.expect("tablon is deployed").node().addresses.caller;
     let mut bundle = vec![0; BUNDLE_BYTES];
@@ -56,7 +57,7 @@
     let headers = [("x-request-id", "bundle-1")];
     let path = format!("/bundles/7?answer_bytes={BUNDLE_BYTES}");
     let reply = request(caller, Method::PUT, "bascula", &path, &headers, bundle).await;
-    let reply = reply.expect("the node answers");
+    let reply = reply.expect("the node responds");
     assert_eq!(reply.status, 200);
     assert_eq!(reply.header("x-digest"), sent_digest);
     let received_digest = blake3::hash(&reply.body).to_hex().to_string();
--- a/tests/testsuite/payment_faults.rs
+++ b/tests/testsuite/payment_faults.rs
@@ -1,7 +1,7 @@
-//! Payments under faults, with the backend servers' own records as the oracle.
+//! Payments under faults, checked against the backend servers' own records.
 //!
-//! Whatever fails: every payment ran at most once, one that its caller was told "not run" stands
-//! in no record, and every answer is that of the request that it answers.
+//! Whatever fails: each payment runs at most once, a payment reported as `not-run` is in no record,
+//! and every response belongs to its request.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,13 +22,13 @@
 
 const ANSWER_BYTES: u64 = 20_000;
 
-/// What a caller knows of its payment.
+/// What a caller knows about its payment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Outcome {
     Paid,
     NotRun,
     MayHaveRun,
-    /// The caller hung up, or its node was gone.
+    /// The caller disconnected, or its entry node was gone.
     Unknown,
 }
 
@@ -42,7 +42,7 @@
     if reply.status == 200 {
         let digest = blake3::hash(&reply.body).to_hex().to_string();
         let expected = expected_answer_digest(id, ANSWER_BYTES);
-        assert_eq!(digest, expected, "{id} got another request's answer");
+        assert_eq!(digest, expected, "{id} got the response to another request");
         return Outcome::Paid;
     }
     match reply.header(VERDICT) {
@@ -52,8 +52,8 @@
     }
 }
 
-/// Callers that pay without pause through every node that is not a `cobros` one. One payment in
-/// five is hung up on after some milliseconds.
+/// Callers that pay continuously through every node that is not one of `cobros`. One payment in
+/// five is cancelled after a few milliseconds.
 struct Callers {
     stop: Arc<AtomicBool>,
     done: Arc<AtomicU64>,
@@ -88,7 +88,8 @@
                         let payment = tokio::time::timeout(timeout, pay(entry, &id, count % 11));
                         let outcome = payment.await.unwrap_or(Outcome::Unknown);
                         if outcome == Outcome::Unknown {
-                            // A node that is gone refuses at once; no need to ask it all the time.
+                            // A stopped node refuses connections at once; the pause limits the
+                            // request rate.
                             tokio::time::sleep(Duration::from_millis(2)).await;
                         }
                         outcomes.insert(id, outcome);
@@ -101,10 +102,10 @@
         callers
     }
 
-    /// Waits until so many further payments have ended.
+    /// Waits until this many further payments have ended.
     async fn wait_for_payments(&self, payments: u64) {
         let goal = self.done.load(Ordering::Acquire) + payments;
-        wait_until("payments go on", LIMIT, || async {
+        wait_until("further payments end", LIMIT, || async {
             self.done.load(Ordering::Acquire) >= goal
         })
         .await;
@@ -116,7 +117,7 @@
     }
 }
 
-/// Holds what callers were told against what the backend servers did.
+/// Compares what callers were told with what the backend servers ran.
 fn check_outcomes(mesh: &Mesh, outcomes: &Outcomes) {
     let mut runs_by_id: BTreeMap<String, u32> = BTreeMap::new();
     for position in vms_of(mesh, "cobros") {
@@ -134,7 +135,7 @@
             Outcome::MayHaveRun | Outcome::Unknown => assert!(runs <= 1, "{id} ran {runs} times"),
         }
     }
-    println!("ledger: {outcome_counts:?}");
+    println!("payment outcomes: {outcome_counts:?}");
     assert!(
         outcome_counts.get(&Outcome::Paid) > Some(&100),
         "{outcome_counts:?}"
@@ -152,9 +153,9 @@
     vms_of(mesh, service)[0]
 }
 
-/// Nodes and a backend server die in the middle of payments, one after the other: the calling
-/// node, the called node, the backend server. Callers of a dead node hear nothing; all others
-/// hear the truth, and payments go on at what is left.
+/// The entry node, a gate's node and a backend server are killed one after the other while payments
+/// run. Callers of a killed node get no response; all others must get a correct one, and payments
+/// must continue on the remaining endpoints.
 #[tokio::test(flavor = "multi_thread")]
 async fn payments_survive_kills() {
     let mut mesh = start().await;
@@ -165,7 +166,9 @@
         mesh.vms[position].node().signal(Signal::Kill);
         callers.wait_for_payments(300).await;
         mesh.vms[position].node.take();
-        mesh.start_node(position).await.expect("it starts again");
+        mesh.start_node(position)
+            .await
+            .expect("the node starts again");
         callers.wait_for_payments(100).await;
     }
     mesh.vms[vms_of(&mesh, "cobros")[1]].backend.kill().await;
@@ -173,8 +176,8 @@
     check_outcomes(&mesh, &callers.stop_and_collect().await);
 }
 
-/// The same processes freeze, long enough to be given up on, and wake with old requests in hand.
-/// What wakes late must not be run as well as what was tried elsewhere.
+/// The same processes are frozen until their peers consider them failed, and resume with old
+/// requests. These must not run in addition to their retries elsewhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn payments_survive_freezes() {
     let mesh = start().await;
@@ -183,7 +186,7 @@
     for service in ["tablon", "cobros"] {
         let node = mesh.vms[victim(&mesh, service)].node();
         node.signal(Signal::Stop);
-        // Longer than it takes to notice a silent connection.
+        // Longer than it takes to detect an unresponsive connection.
         tokio::time::sleep(Duration::from_secs(5)).await;
         node.signal(Signal::Continue);
         callers.wait_for_payments(200).await;
@@ -200,13 +203,14 @@
     check_outcomes(&mesh, &callers.stop_and_collect().await);
 }
 
-/// The link between the data centres is cut with payments under way on it, and heals: once before
-/// a silent connection is noticed, once after. What was on its way arrives late, when its caller
-/// has been told that it may have run.
+/// The link between the data centres is cut while payments use it, and restored: once before the
+/// unresponsive connection is detected, once after. Requests in transit arrive late, after their
+/// callers have got `may-have-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn payments_survive_cut_links() {
     let mesh = start().await;
-    // Work for both data centres: the near one alone is not to suffice.
+    // Slows each payment down, so that the near endpoints alone are not enough and both data
+    // centres get payments.
     for position in vms_of(&mesh, "cobros") {
         let behaviour = Behaviour {
             work: Duration::from_millis(5),
@@ -220,7 +224,7 @@
     for position in operators {
         let operator = mesh.vms[position].node().addresses.operator;
         let drained = request(operator, Method::POST, "node", "/drain", &[], "").await;
-        drained.expect("the node answers");
+        drained.expect("the node responds");
     }
     let callers = Callers::start(&mesh);
     callers.wait_for_payments(300).await;
@@ -233,8 +237,8 @@
     check_outcomes(&mesh, &callers.stop_and_collect().await);
 }
 
-/// A publication takes the payments' route away while payments are under way. Those that were
-/// admitted end under the version that they began with; later ones are told at once.
+/// A publication removes the payments' route while payments are running. Payments that were
+/// admitted must complete under their version; later ones must be refused at once.
 #[tokio::test(flavor = "multi_thread")]
 async fn removing_a_route_cuts_no_payment() {
     let mesh = start().await;
@@ -242,19 +246,19 @@
     let entry = mesh.vms[victim(&mesh, "tablon")].node().addresses.caller;
     let long = tokio::spawn(async move { pay(entry, "long-1", 2_000).await });
     wait_running(&mesh, "cobros", "long-1").await;
-    let directory = tempfile::tempdir().expect("a directory");
+    let directory = tempfile::tempdir().expect("a temporary directory is created");
     let path = directory.path().join("suscripciones.toml");
     let text = std::fs::read_to_string(crate::support::repository_file(CHATARRAS[1]));
-    let text = text.expect("the example is there");
+    let text = text.expect("the example exists");
     let changed = text.replace("methods = [\"POST\"]", "methods = [\"PATCH\"]");
     assert_ne!(text, changed);
-    std::fs::write(&path, changed).expect("it is written");
+    std::fs::write(&path, changed).expect("the file is written");
     callers.wait_for_payments(200).await;
-    let published = publish(&mesh, &[path.to_str().expect("a plain path")]).await;
+    let published = publish(&mesh, &[path.to_str().expect("the path is UTF-8")]).await;
     assert!(published.status.success(), "{published:?}");
     mesh.wait_enforced(2).await;
     callers.wait_for_payments(100).await;
-    assert_eq!(long.await.expect("no panic"), Outcome::Paid);
+    assert_eq!(long.await.expect("the task does not panic"), Outcome::Paid);
     assert_eq!(pay(entry, "after-1", 0).await, Outcome::NotRun);
     check_outcomes(&mesh, &callers.stop_and_collect().await);
 }
--- a/tests/testsuite/requests_answers.rs
+++ b/tests/testsuite/requests_answers.rs
@@ -1,4 +1,4 @@
-//! What a caller is told: whole answers, visible breaks, and verdicts that are true.
+//! What callers receive: complete responses, visible truncation, and correct verdicts.
 
 use http::Method;
 use testkit::backend::Behaviour;
@@ -10,7 +10,7 @@
     start_chatarras, vms_of, wait_running,
 };
 
-/// An entry that is not itself an endpoint of `service`.
+/// Caller address of a node that is not an endpoint of `service`.
 fn remote_entry(mesh: &Mesh, service: &str) -> std::net::SocketAddr {
     let vm = mesh.vms.iter().find(|vm| vm.service != service);
     vm.expect("another service is deployed")
@@ -19,22 +19,22 @@
         .caller
 }
 
-/// A backend server sheds with its own 503. That is its answer, not the mesh's: it carries no
-/// verdict, and nobody tries again behind the caller's back.
+/// Guards against treating a 503 from the backend server as a failure of the mesh. It is the
+/// backend server's own response: it carries no verdict and is not retried.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_503_from_the_backend_server_is_passed_through() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     let entry = remote_entry(&mesh, "tablon");
     let path = "/prices/copper?status=503";
     let reply = ask(entry, Method::GET, "tablon", path, "shed-1").await;
-    let reply = reply.expect("the node answers");
+    let reply = reply.expect("the node responds");
     assert_eq!(reply.status, 503);
     assert_eq!(reply.header(VERDICT), "");
     assert_eq!(runs(&mesh, "tablon", "shed-1").len(), 1);
 }
 
-/// A backend server dies in the middle of an answer. The caller must see that the answer broke
-/// off: an answer that ends cleanly would be taken for the whole list of prices.
+/// Guards against hiding that a backend server died while it sent its response. If the truncated
+/// response ended normally, the caller would take it for the whole list of prices.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_truncated_response_is_truncated_for_the_caller() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
@@ -45,14 +45,14 @@
         let reply = ask(entry, Method::GET, "tablon", path, "broken-1").await;
         assert!(
             reply.is_err(),
-            "a broken answer looks whole: {:?}",
+            "a truncated response looks complete: {:?}",
             reply.map(|r| r.status)
         );
     }
 }
 
-/// A payment is under way when the backend server dies. The caller is told that it may have run,
-/// and no other backend server gets it: it would be taken twice.
+/// Guards against charging a payment twice. The backend server dies while the payment runs, so the
+/// caller gets `may-have-run` and the request is not sent to another backend server.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_interrupted_payment_is_not_retried() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
@@ -61,16 +61,18 @@
     let pending = tokio::spawn(ask(entry, Method::POST, "cobros", path, "pay-1"));
     let position = wait_running(&mesh, "cobros", "pay-1").await;
     mesh.vms[position].backend.kill().await;
-    let reply = pending.await.expect("no panic").expect("the node answers");
+    let reply = pending
+        .await
+        .expect("the task does not panic")
+        .expect("the node responds");
     assert_eq!(reply.status, 502);
     assert_eq!(reply.header(VERDICT), "may-have-run");
     assert_eq!(reply.header(REASON), "lost");
     assert_eq!(runs(&mesh, "cobros", "pay-1"), [(position, 1)]);
 }
 
-/// A read is cut off in the middle, is tried again as it is idempotent, and is refused there. The
-/// refusal is true of the second attempt only; were it passed on, the caller would be told "not
-/// run" of a request that ran.
+/// Guards against reporting `not-run` for a request that ran. An idempotent read is interrupted
+/// while it runs, and its retry is refused. The refusal applies only to the second attempt.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refused_retry_does_not_hide_the_first_attempt() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
@@ -78,23 +80,26 @@
     let path = "/payments/2?work_ms=900";
     let pending = tokio::spawn(ask(entry, Method::GET, "cobros", path, "status-2"));
     let ran_at = wait_running(&mesh, "cobros", "status-2").await;
-    // First the others, so that the retry finds none.
+    // Drains the other endpoints first, so that the retry finds none.
     for position in vms_of(&mesh, "cobros") {
         if position != ran_at {
             let operator = mesh.vms[position].node().addresses.operator;
             let drained = request(operator, Method::POST, "node", "/drain", &[], "").await;
-            assert_eq!(drained.expect("the node answers").status, 200);
+            assert_eq!(drained.expect("the node responds").status, 200);
         }
     }
     mesh.vms[ran_at].backend.kill().await;
-    let reply = pending.await.expect("no panic").expect("the node answers");
+    let reply = pending
+        .await
+        .expect("the task does not panic")
+        .expect("the node responds");
     assert!(reply.status.is_server_error(), "{reply:?}");
     assert_eq!(reply.header(VERDICT), "may-have-run", "{reply:?}");
     assert_eq!(runs(&mesh, "cobros", "status-2"), [(ran_at, 1)]);
 }
 
-/// Every endpoint of a service is gone. The caller learns at once that its payment did not run,
-/// and when to come again.
+/// Every backend server of the service is gone. The caller learns at once that its payment did not
+/// run and when to retry.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_payment_that_reaches_no_endpoint_gets_not_run() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
@@ -103,7 +108,7 @@
     }
     let entry = remote_entry(&mesh, "cobros");
     let reply = ask(entry, Method::POST, "cobros", "/payments/3", "pay-3").await;
-    let reply = reply.expect("the node answers");
+    let reply = reply.expect("the node responds");
     assert_eq!(reply.status, 503);
     assert_eq!(reply.header(VERDICT), "not-run");
     assert_eq!(reply.header(REASON), "unreachable");
@@ -111,8 +116,8 @@
     assert!(runs(&mesh, "cobros", "pay-3").is_empty());
 }
 
-/// A caller hangs up while its request runs two nodes away. The backend server sees it, stops, and
-/// its slot is free again. Without it, work goes on for nobody.
+/// Guards against work for a disconnected caller. The caller disconnects while its request runs on
+/// another node; the backend server must see that and stop, and its slot must become free.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_disconnect_cancels_the_request_at_the_backend_server() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
@@ -123,14 +128,16 @@
     pending.abort();
     let _ = pending.await;
     let backend = &mesh.vms[position].backend;
-    wait_until("the backend server sees it", LIMIT, || async {
-        backend.record().cancelled == 1
-    })
+    wait_until(
+        "the backend server sees the cancellation",
+        LIMIT,
+        || async { backend.record().cancelled == 1 },
+    )
     .await;
 }
 
-/// Slots are taken and a payment waits in the queue when its caller hangs up. It leaves the queue:
-/// it never runs, although a slot becomes free later.
+/// The caller of a queued payment disconnects. The payment must leave the queue and must not run
+/// when a slot becomes free.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_queued_request_of_a_disconnected_caller_never_runs() {
     let mesh = start_chatarras(small(&["cobros"], 1)).await;
@@ -139,7 +146,7 @@
         if position != target {
             let operator = mesh.vms[position].node().addresses.operator;
             let drained = request(operator, Method::POST, "node", "/drain", &[], "").await;
-            drained.expect("the node answers");
+            drained.expect("the node responds");
         }
     }
     let entry = mesh.vms[target].node().addresses.caller;
@@ -151,27 +158,33 @@
         }));
     }
     let backend = &mesh.vms[target].backend;
-    wait_until("all slots are taken", LIMIT, || async {
+    wait_until("all slots are in use", LIMIT, || async {
         backend.record().peak == 20
     })
     .await;
     let disconnecting = tokio::spawn(ask(entry, Method::POST, "cobros", "/payments", "gone-1"));
     let staying = tokio::spawn(ask(entry, Method::POST, "cobros", "/payments", "stays-1"));
     let operator = mesh.vms[target].node().addresses.operator;
-    wait_until("both wait at the gate", LIMIT, || async {
+    wait_until("both requests are queued at the gate", LIMIT, || async {
         metrics(operator).await.contains("gate_waiting 2")
     })
     .await;
     disconnecting.abort();
     let _ = disconnecting.await;
-    let reply = staying.await.expect("no panic").expect("the node answers");
+    let reply = staying
+        .await
+        .expect("the task does not panic")
+        .expect("the node responds");
     assert_eq!(reply.status, 200);
     for holder in holders {
-        let reply = holder.await.expect("no panic").expect("the node answers");
+        let reply = holder
+            .await
+            .expect("the task does not panic")
+            .expect("the node responds");
         assert_eq!(reply.status, 200);
     }
     assert!(runs(&mesh, "cobros", "gone-1").is_empty());
-    // A slot granted to nobody would be lost for good.
+    // A slot granted to the disconnected request would never be released.
     wait_until("every slot is free", LIMIT, || async {
         metrics(operator).await.contains("gate_slots_in_use 0")
     })
@@ -179,12 +192,12 @@
     assert_eq!(
         backend.record().peak,
         20,
-        "more than the slots ran at a time"
+        "more requests than slots ran concurrently"
     );
 }
 
-/// The node of a backend server freezes after it has taken a payment, and its caller's deadline
-/// passes. Nothing proves that it did not run, and it is not tried elsewhere.
+/// The backend server freezes after it has received a request, and the deadline passes. The request
+/// may have run, so it is not retried elsewhere.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_deadline_after_sending_gets_may_have_run() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
@@ -197,43 +210,43 @@
     }
     let entry = remote_entry(&mesh, "tablon");
     let reply = ask(entry, Method::GET, "tablon", "/prices/zinc", "late-1").await;
-    let reply = reply.expect("the node answers");
+    let reply = reply.expect("the node responds");
     assert_eq!(reply.status, 504);
     assert_eq!(reply.header(VERDICT), "may-have-run");
     assert_eq!(reply.header(REASON), "deadline");
 }
 
-/// A caller asks for the head of an answer only. It passes two nodes with its length and no body.
+/// A HEAD request passes two nodes and gets the length of the response, but no body.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_head_request_gets_headers_without_a_body() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     let entry = remote_entry(&mesh, "tablon");
     let path = "/prices/zinc?answer_bytes=5000";
     let reply = ask(entry, Method::HEAD, "tablon", path, "head-1").await;
-    let reply = reply.expect("the node answers");
+    let reply = reply.expect("the node responds");
     assert_eq!(reply.status, 200);
     assert_eq!(reply.header("content-length"), "5000");
     assert!(reply.body.is_empty());
 }
 
-/// A backend server accepts no more connections than it has slots. Under load the gate never opens
-/// one more, and a request that wants one that has just become free is not refused.
+/// The backend server accepts only as many connections as it has slots. Under load the gate must
+/// not open more, and must not refuse a request whose connection has just become free.
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_never_exceed_what_the_backend_server_accepts() {
     let mut deployment = small(&["cobros"], 1);
     deployment.data_centres.truncate(1);
     let mesh = start_chatarras(deployment).await;
-    let text = std::fs::read_to_string(repository_file(CHATARRAS[1])).expect("it is there");
+    let text = std::fs::read_to_string(repository_file(CHATARRAS[1])).expect("the example exists");
     let limited = text
         .replace("slots_per_endpoint = 20", "slots_per_endpoint = 2")
         .replace(
             "connections_per_endpoint = 110",
             "connections_per_endpoint = 2",
         );
-    let directory = tempfile::tempdir().expect("a directory");
+    let directory = tempfile::tempdir().expect("a temporary directory is created");
     let path = directory.path().join("suscripciones.toml");
-    std::fs::write(&path, limited).expect("it is written");
-    let published = publish(&mesh, &[path.to_str().expect("a plain path")]).await;
+    std::fs::write(&path, limited).expect("the file is written");
+    let published = publish(&mesh, &[path.to_str().expect("the path is UTF-8")]).await;
     assert!(published.status.success(), "{published:?}");
     mesh.wait_enforced(2).await;
     let entry = mesh.vms[0].node().addresses.caller;
@@ -244,14 +257,14 @@
                 let id = format!("tight-{caller}-{n}");
                 let path = "/payments?answer_bytes=20000";
                 let reply = ask(entry, Method::POST, "cobros", path, &id).await;
-                let reply = reply.expect("the node answers");
+                let reply = reply.expect("the node responds");
                 assert_eq!(reply.status, 200, "{reply:?}");
             }
         });
     }
     callers.join_all().await;
     let record = mesh.vms[0].backend.record();
-    assert!(record.peak <= 2, "{} at a time", record.peak);
+    assert!(record.peak <= 2, "{} concurrent requests", record.peak);
     assert!(
         record.peak_connections <= 2,
         "{} connections",
--- a/tests/testsuite/requests_chain.rs
+++ b/tests/testsuite/requests_chain.rs
@@ -1,4 +1,4 @@
-//! Calls that lead to calls: deadline, depth and retries travel down and cannot be forged.
+//! Nested calls: deadline, depth and retries are inherited and cannot be forged.
 
 use http::Method;
 use testkit::backend::Behaviour;
@@ -18,7 +18,8 @@
     mesh
 }
 
-/// `calls` calls below the first one, by turns to the archive and to the prices.
+/// Parameter for `calls` nested calls below the first request, alternately to the archive and to
+/// the prices.
 fn chain_parameter(calls: usize) -> String {
     let calls = (0..calls).map(|n| match n % 2 {
         0 => "hemeroteca:/archive/1",
@@ -27,15 +28,15 @@
     calls.collect::<Vec<_>>().join(",")
 }
 
-/// A call leads to another, seven deep. The first has 800 ms; every later one gets what is left
-/// of them, though its own treatment would allow it minutes.
+/// Seven nested calls. The first request has 800 ms, and each call must get only what is left of
+/// them, although its own treatment would allow minutes.
 #[tokio::test(flavor = "multi_thread")]
 async fn deadlines_shrink_along_a_chain_of_seven() {
     let mesh = start_with_entries().await;
     let entry = mesh.vms[0].node().addresses.caller;
     let path = format!("/prices/zinc?chain={}", chain_parameter(7));
     let reply = ask(entry, Method::GET, "tablon", &path, "chain-7").await;
-    let reply = reply.expect("the node answers");
+    let reply = reply.expect("the node responds");
     assert_eq!(reply.status, 200, "{reply:?}");
     let records = mesh.vms.iter().map(|vm| vm.backend.record());
     let deadlines_ms: Vec<u64> = records.flat_map(|record| record.deadlines_ms).collect();
@@ -43,20 +44,20 @@
     assert!(deadlines_ms.iter().all(|ms| *ms <= 800), "{deadlines_ms:?}");
 }
 
-/// Two services call each other without end. The eighth call below the first is refused, so the
-/// loop ends instead of filling every slot.
+/// Two services call each other in an endless loop. The eighth nested call must be refused, before
+/// the loop fills every slot.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_loop_of_calls_is_refused() {
     let mesh = start_with_entries().await;
     let entry = mesh.vms[0].node().addresses.caller;
     let path = format!("/prices/zinc?chain={}", chain_parameter(8));
     let reply = ask(entry, Method::GET, "tablon", &path, "chain-8").await;
-    let reply = reply.expect("the node answers");
+    let reply = reply.expect("the node responds");
     assert_eq!(reply.status, 508, "{reply:?}");
 }
 
-/// A caller invents headers of the mesh to get a longer deadline, another class, or the identity
-/// of a call that runs. None of them reaches a backend server, and the treatment stays its own.
+/// A caller sends mesh headers to get a longer deadline, another class or the context of a running
+/// request. None of them may reach a backend server or change the treatment.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_cannot_forge_mesh_headers() {
     let mesh = start_with_entries().await;
@@ -69,7 +70,7 @@
         ("x-dragonflywall-data", "1"),
     ];
     let reply = request(entry, Method::GET, "tablon", "/prices/zinc", &forged, "").await;
-    let reply = reply.expect("the node answers");
+    let reply = reply.expect("the node responds");
     assert_eq!(reply.status, 200, "{reply:?}");
     let records = mesh.vms.iter().map(|vm| vm.backend.record());
     let deadlines_ms: Vec<u64> = records.flat_map(|record| record.deadlines_ms).collect();
--- a/tests/testsuite/requests_delayed.rs
+++ b/tests/testsuite/requests_delayed.rs
@@ -1,4 +1,4 @@
-//! Requests that are held up between two nodes.
+//! Requests that are delayed between two nodes.
 
 use std::time::Duration;
 
@@ -12,21 +12,21 @@
 /// Publishes the subscriptions team's file with a single attempt for payments.
 async fn publish_single_attempt(mesh: &Mesh) {
     let file = repository_file("examples/chatarras/suscripciones.toml");
-    let text = std::fs::read_to_string(file).expect("the example is there");
+    let text = std::fs::read_to_string(file).expect("the example exists");
     let text = text.replacen("attempts = 3", "attempts = 1", 1);
-    let directory = tempfile::tempdir().expect("a directory");
+    let directory = tempfile::tempdir().expect("a temporary directory is created");
     let path = directory.path().join("suscripciones.toml");
-    std::fs::write(&path, text).expect("written");
-    let path = path.to_str().expect("a plain path");
+    std::fs::write(&path, text).expect("the file is written");
+    let path = path.to_str().expect("the path is UTF-8");
     let url = mesh.platform.url();
     let published = command(&["publish", "--operator", "ana", "--platform", &url, path]).await;
     assert!(published.status.success(), "{published:?}");
     mesh.wait_enforced(2).await;
 }
 
-/// Packets between two data centres are lost for most of a second, and a payment that was sent
-/// meanwhile comes when its caller may have left. The word of that would come behind it, so a late
-/// payment is not run: the caller, if it still waits, is told so and can pay again.
+/// Guards against running a payment whose caller has left. Packets between two data centres are
+/// lost for most of a second, so a payment arrives late, and a cancellation would arrive after it.
+/// A late payment is therefore not run; a caller that still waits learns this and can pay again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_payment_delayed_in_transit_is_not_run() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
@@ -38,7 +38,7 @@
         mesh.network
             .same_region(site, mesh.vms[entry_position].site)
     };
-    // One endpoint is left, in the other data centre of the region.
+    // The only endpoint left is in the other data centre of the same region.
     let target = vms_of(&mesh, "cobros")
         .into_iter()
         .find(|position| {
@@ -49,10 +49,10 @@
         if position != target {
             let operator = mesh.vms[position].node().addresses.operator;
             let drained = request(operator, Method::POST, "node", "/drain", &[], "").await;
-            drained.expect("the node answers");
+            drained.expect("the node responds");
         }
     }
-    // Until the way is known, nothing can be told to be late.
+    // The gate can only recognise a delay after it has measured the usual transit time.
     wait_until("payments reach the endpoint", LIMIT, || async {
         let reply = ask(entry, Method::POST, "cobros", "/payments/1", "usual").await;
         reply.is_ok_and(|reply| reply.status == 200)
@@ -62,7 +62,10 @@
     let late = tokio::spawn(ask(entry, Method::POST, "cobros", "/payments/2", "late"));
     tokio::time::sleep(Duration::from_millis(700)).await;
     mesh.network.set_cut(false, |_, _| true);
-    let reply = late.await.expect("no panic").expect("the node answers");
+    let reply = late
+        .await
+        .expect("the task does not panic")
+        .expect("the node responds");
     assert_eq!(reply.status, 503, "{reply:?}");
     assert_eq!(reply.header(VERDICT), "not-run");
     assert_eq!(reply.header(REASON), "held-up");
--- a/tests/testsuite/requests_drain.rs
+++ b/tests/testsuite/requests_drain.rs
@@ -1,4 +1,4 @@
-//! Planned stops: nothing in flight is cut, nothing new comes, and callers notice nothing.
+//! Planned shutdown: no request in flight is interrupted, and no new request is accepted.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,8 +17,8 @@
     LIMIT, REASON, VERDICT, ask, metrics, runs, small, start_chatarras, vms_of, wait_running,
 };
 
-/// Payments without pause through every node of another service, until told to stop. Returns
-/// each answer that was not 200.
+/// Sends payments continuously through every node of another service until `stop` is set. The tasks
+/// return each response that was not 200.
 fn start_payments(mesh: &Mesh, stop: &Arc<AtomicBool>) -> JoinSet<Vec<String>> {
     let mut callers = JoinSet::new();
     let entries = mesh.vms.iter().filter(|vm| vm.service != "cobros");
@@ -51,13 +51,14 @@
 async fn drain(mesh: &Mesh, position: usize) -> serde_json::Value {
     let operator = mesh.vms[position].node().addresses.operator;
     let reply = request(operator, Method::POST, "node", "/drain", &[], "").await;
-    let reply = reply.expect("the node answers");
+    let reply = reply.expect("the node responds");
     assert_eq!(reply.status, 200);
-    serde_json::from_slice(&reply.body).expect("the answer is JSON")
+    serde_json::from_slice(&reply.body).expect("the response is JSON")
 }
 
-/// An operator drains one backend server under load, while a long payment runs on it. The long
-/// one ends whole, no new one comes, no caller sees anything, and the node goes on as an entry.
+/// An operator drains a backend server under load while a long payment runs on it. The payment must
+/// complete, no new one may start there, no caller may see a failure, and the node must still serve
+/// as an entry.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drain_by_command_is_invisible_to_callers() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
@@ -71,7 +72,10 @@
     assert_eq!(answer["draining"], true);
     assert!(answer["in_flight"].as_u64() >= Some(1), "{answer}");
     let runs_at_drain = mesh.vms[position].backend.record().runs.len() as u64;
-    let reply = long.await.expect("no panic").expect("the node answers");
+    let reply = long
+        .await
+        .expect("the task does not panic")
+        .expect("the node responds");
     assert_eq!(reply.status, 200);
     wait_until("nothing is in flight", LIMIT, || async {
         drain(&mesh, position).await["in_flight"] == 0
@@ -79,17 +83,17 @@
     .await;
     let failures = collect_failures(callers, &stop).await;
     assert!(failures.is_empty(), "{failures:?}");
-    // What was in flight may have begun a moment after the answer; nothing else did.
+    // Requests counted as in flight may start just after the drain response; no others may.
     let runs_max = runs_at_drain + answer["in_flight"].as_u64().unwrap_or(0);
     let runs_at_end = mesh.vms[position].backend.record().runs.len() as u64;
     assert!(
         runs_at_end <= runs_max,
-        "{runs_at_end} instead of {runs_max} at most"
+        "{runs_at_end} requests ran, expected at most {runs_max}"
     );
-    // The node itself is still there for callers.
+    // The node still accepts callers.
     let entry = mesh.vms[position].node().addresses.caller;
     let reply = ask(entry, Method::POST, "cobros", "/payments", "after-1").await;
-    assert_eq!(reply.expect("the node answers").status, 200);
+    assert_eq!(reply.expect("the node responds").status, 200);
     assert!(
         runs(&mesh, "cobros", "after-1")
             .iter()
@@ -104,10 +108,10 @@
     let operator = vm.node().addresses.operator;
     let path = "/backend-server";
     let reply = request(operator, Method::POST, "node", path, &[], body.to_string()).await;
-    assert_eq!(reply.expect("the node answers").status, 200);
+    assert_eq!(reply.expect("the node responds").status, 200);
 }
 
-/// A backend server says itself that it drains, and later that it serves again.
+/// A backend server announces that it drains and later that it serves again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drain_by_announcement_ends_with_the_next_announcement() {
     let mesh = start_chatarras(small(&["cobros"], 1)).await;
@@ -115,17 +119,17 @@
     let entry = mesh.vms[position].node().addresses.caller;
     announce(&mesh, position, "draining").await;
     let reply = ask(entry, Method::POST, "cobros", "/payments", "away-1").await;
-    assert_eq!(reply.expect("the node answers").status, 200);
+    assert_eq!(reply.expect("the node responds").status, 200);
     assert!(
         runs(&mesh, "cobros", "away-1")
             .iter()
             .all(|run| run.0 != position)
     );
     announce(&mesh, position, "serving").await;
-    wait_until("it has work again", LIMIT, || async {
+    wait_until("the backend server gets requests again", LIMIT, || async {
         let id = format!("home-{}", next_number());
         let reply = ask(entry, Method::POST, "cobros", "/payments", &id).await;
-        assert_eq!(reply.expect("the node answers").status, 200);
+        assert_eq!(reply.expect("the node responds").status, 200);
         runs(&mesh, "cobros", &id)
             .iter()
             .any(|run| run.0 == position)
@@ -133,15 +137,15 @@
     .await;
 }
 
-/// Numbers that differ from call to call.
+/// Returns a different number on each call.
 fn next_number() -> u64 {
     static NEXT: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// A VM is told to stop (SIGTERM) under load, with a payment of 5 s on its backend server, an
-/// upload half sent to it that then runs 10 s, and callers of its own. All end whole, nobody notices,
-/// and the process leaves with 0.
+/// A node gets SIGTERM under load. On its VM runs a payment of 5 s; a caller is in the middle of an
+/// upload through it that then runs for 10 s. Everything must complete without a visible failure,
+/// and the process must exit with 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_terminated_node_finishes_its_requests() {
     let mut mesh = start_chatarras(small(&["tablon", "cobros", "bascula"], 1)).await;
@@ -149,13 +153,14 @@
     let victim = vms_of(&mesh, "cobros")[0];
     let long_entry = mesh.vms[vms_of(&mesh, "tablon")[0]].node().addresses.caller;
     let victim_entry = mesh.vms[victim].node().addresses.caller;
-    // Only payments that run on the victim matter here, so ask until one does.
+    // Only a payment that runs on the victim is of use, so send payments until one does.
     let mut long = None;
     for n in 0..200 {
         let id = format!("long-{n}");
         let request_id = id.clone();
         let pending = tokio::spawn(async move {
-            // Longer than all the pauses of a drain together, so that only waiting for it saves it.
+            // Longer than all fixed waits of a drain together: it only completes if the drain waits
+            // for it.
             let path = "/payments?work_ms=5000";
             ask(long_entry, Method::POST, "cobros", path, &request_id).await
         });
@@ -164,36 +169,52 @@
             break;
         }
     }
-    let long = long.expect("the victim gets some of the work");
-    let mut upload = TcpStream::connect(victim_entry).await.expect("it listens");
+    let long = long.expect("some payment runs on the victim");
+    let mut upload = TcpStream::connect(victim_entry)
+        .await
+        .expect("the node accepts connections");
     let head = "PUT /bundles/9?work_ms=10000 HTTP/1.1\r\nhost: bascula\r\nx-request-id: up-9\r\n\
                 content-length: 300000\r\n\r\n";
     upload
         .write_all(head.as_bytes())
         .await
-        .expect("it is taken");
-    upload.write_all(&[7; 150_000]).await.expect("it is taken");
+        .expect("the node reads the request");
+    upload
+        .write_all(&[7; 150_000])
+        .await
+        .expect("the node reads the request");
     wait_running(&mesh, "bascula", "up-9").await;
     let callers = start_payments(&mesh, &stop);
     mesh.vms[victim].node().signal(Signal::Terminate);
     let terminated_at = Instant::now();
     tokio::time::sleep(Duration::from_millis(700)).await;
-    upload.write_all(&[7; 150_000]).await.expect("it is taken");
+    upload
+        .write_all(&[7; 150_000])
+        .await
+        .expect("the node reads the request");
     let mut answer = Vec::new();
     upload
         .read_to_end(&mut answer)
         .await
-        .expect("the answer is whole");
+        .expect("the response is complete");
     let answer = String::from_utf8_lossy(&answer).to_lowercase();
     assert!(answer.starts_with("http/1.1 200"), "{:.300}", answer);
     assert!(answer.contains("connection: close"), "{:.300}", answer);
     let digest = blake3::hash(&[7; 300_000]).to_hex();
     assert!(answer.contains(digest.as_str()), "{:.300}", answer);
-    let reply = long.await.expect("no panic").expect("the node answers");
+    let reply = long
+        .await
+        .expect("the task does not panic")
+        .expect("the node responds");
     assert_eq!(reply.status, 200);
-    let node = mesh.vms[victim].node.as_mut().expect("it is there");
+    let node = mesh.vms[victim]
+        .node
+        .as_mut()
+        .expect("the node was started");
     let ended = tokio::time::timeout(LIMIT, node.ended()).await;
-    let ended = ended.expect("it leaves").expect("it is a child");
+    let ended = ended
+        .expect("the node exits")
+        .expect("the exit status can be read");
     assert!(ended.success(), "{ended:?}");
     let exited = mesh.vms[victim].node.take();
     drop(exited);
@@ -204,9 +225,9 @@
     println!("last new request {lag:?} after the signal");
 }
 
-/// A data centre without a backend server of `cobros` is cut off from all others. It goes on
-/// serving prices, says at once that a payment did not run, and tells its operator what it lacks.
-/// A node without a backend server is as good an entry as any.
+/// A data centre without a backend server of `cobros` is cut off from all others. It must still
+/// serve prices, refuse payments at once with `not-run`, and list the missing services in its
+/// status. A node without a backend server must still serve as an entry.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_isolated_data_centre_serves_its_own_services() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
@@ -216,7 +237,7 @@
     let operator = vm.node().addresses.operator;
     let entry = vm.node().addresses.caller;
     let status = ask(entry, Method::GET, "cobros", "/payments/1", "near-1").await;
-    assert_eq!(status.expect("the node answers").status, 200);
+    assert_eq!(status.expect("the node responds").status, 200);
 
     let site = vm.site;
     mesh.network
@@ -227,9 +248,9 @@
         let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
         status["lacking"].clone()
     };
-    // The archive and the weighbridges are not deployed in this test at all.
+    // The archive and the weighbridges are not deployed in this test.
     let expected = serde_json::json!(["bascula", "cobros", "hemeroteca"]);
-    wait_until("it knows what it lacks", LIMIT, || async {
+    wait_until("the status lists the missing services", LIMIT, || async {
         let mut services = lacking().await;
         if let Some(services) = services.as_array_mut() {
             services.sort_by_key(ToString::to_string);
@@ -238,32 +259,38 @@
     })
     .await;
     let prices = ask(entry, Method::GET, "tablon", "/prices/zinc", "cut-1").await;
-    assert_eq!(prices.expect("the node answers").status, 200);
+    assert_eq!(prices.expect("the node responds").status, 200);
     let payment = ask(entry, Method::POST, "cobros", "/payments", "cut-2").await;
-    let payment = payment.expect("the node answers");
+    let payment = payment.expect("the node responds");
     assert_eq!(payment.status, 503);
     assert_eq!(payment.header(VERDICT), "not-run");
     assert_eq!(payment.header(REASON), "no-endpoint");
 }
 
-/// Waits until the node with the listener `operator` knows the state of another's backend server.
+/// Waits until the node with the operator listener `operator` reports `state` for the backend
+/// server of `peer`.
 async fn wait_for_backend_state(operator: SocketAddr, peer: SocketAddr, state: &str) {
-    wait_until("the state is known", LIMIT, || async {
-        let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
-        let body = reply.map(|reply| reply.body).unwrap_or_default();
-        let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-        let members = status["members"].as_array().cloned().unwrap_or_default();
-        let peer = peer.to_string();
-        let member = members
-            .iter()
-            .find(|member| member["node"] == peer.as_str());
-        member.is_some_and(|member| member["backend"] == state)
-    })
+    wait_until(
+        "the state of the backend server is known",
+        LIMIT,
+        || async {
+            let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
+            let body = reply.map(|reply| reply.body).unwrap_or_default();
+            let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
+            let members = status["members"].as_array().cloned().unwrap_or_default();
+            let peer = peer.to_string();
+            let member = members
+                .iter()
+                .find(|member| member["node"] == peer.as_str());
+            member.is_some_and(|member| member["backend"] == state)
+        },
+    )
     .await;
 }
 
-/// An upload waits for a slot, its first part already sent, when the backend server that it waits
-/// for is drained. It is sent again from its beginning to another one, and arrives whole.
+/// An upload is queued at a backend server, with its first part already sent, when that backend
+/// server is drained. The upload must be sent from its start to another endpoint and arrive
+/// complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_queued_upload_is_resent_whole_to_another_endpoint() {
     const BYTES: usize = 3 << 20;
@@ -271,7 +298,7 @@
     deployment.data_centres.truncate(2);
     let mesh = start_chatarras(deployment).await;
     let [first, second] = vms_of(&mesh, "bascula")[..] else {
-        panic!("two endpoints were asked for")
+        panic!("the deployment has two endpoints")
     };
     let entry = mesh.vms[vms_of(&mesh, "tablon")[0]].node();
     announce(&mesh, second, "draining").await;
@@ -285,7 +312,7 @@
         holders.spawn(async move { ask(caller, Method::PUT, "bascula", path, &id).await });
     }
     let backend = &mesh.vms[first].backend;
-    wait_until("all slots are taken", LIMIT, || async {
+    wait_until("all slots are in use", LIMIT, || async {
         backend.record().peak == 20
     })
     .await;
@@ -297,18 +324,21 @@
         request(caller, Method::PUT, "bascula", path, &headers, bundle).await
     });
     let gate = mesh.vms[first].node().addresses.operator;
-    wait_until("the upload waits", LIMIT, || async {
+    wait_until("the upload is queued", LIMIT, || async {
         metrics(gate).await.contains("gate_waiting 1")
     })
     .await;
     announce(&mesh, second, "serving").await;
     wait_for_backend_state(entry.addresses.operator, peer, "serving").await;
     drain(&mesh, first).await;
-    let reply = upload.await.expect("no panic").expect("the node answers");
+    let reply = upload
+        .await
+        .expect("the task does not panic")
+        .expect("the node responds");
     assert_eq!(reply.status, 200, "{reply:?}");
     assert_eq!(reply.header("x-digest"), digest);
     assert_eq!(runs(&mesh, "bascula", "upload-1"), [(second, 1)]);
     for reply in holders.join_all().await {
-        assert_eq!(reply.expect("the node answers").status, 200);
+        assert_eq!(reply.expect("the node responds").status, 200);
     }
 }
--- a/tests/testsuite/requests_http2.rs
+++ b/tests/testsuite/requests_http2.rs
@@ -1,4 +1,4 @@
-//! Callers on HTTP/2: many requests at a time, visible breaks, and a polite end.
+//! Callers on HTTP/2: concurrent requests, visible truncation, and graceful shutdown.
 
 use http::Method;
 use testkit::backend::expected_answer_digest;
@@ -8,14 +8,14 @@
 
 use crate::support::{LIMIT, small, start_chatarras, vms_of, wait_running};
 
-/// A clerk's program asks for many prices at a time on one connection. Answers come in any
-/// order and each is its own; one that breaks off breaks alone.
+/// A caller sends many requests concurrently on one connection. Each response must belong to its
+/// own request, and a truncated response must not affect the others.
 #[tokio::test(flavor = "multi_thread")]
 async fn responses_on_one_connection_do_not_mix() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     let entry = mesh.vms[vms_of(&mesh, "cobros")[0]].node();
     let connection = Http2::connect(entry.addresses.caller).await;
-    let connection = connection.expect("it listens");
+    let connection = connection.expect("the node accepts connections");
     let path = "/prices/zinc?answer_bytes=100000&break_after=50000";
     let truncated = connection.request(Method::GET, "tablon", path, "broken-1");
     let mut requests = JoinSet::new();
@@ -25,33 +25,44 @@
         let reply = connection.request(Method::GET, "tablon", &path, &id);
         requests.spawn(async move { (id, reply.await) });
     }
-    assert!(truncated.await.is_err(), "a broken answer looks whole");
+    assert!(
+        truncated.await.is_err(),
+        "a truncated response looks complete"
+    );
     for (id, reply) in requests.join_all().await {
-        let reply = reply.expect("the node answers");
+        let reply = reply.expect("the node responds");
         assert_eq!(reply.status, 200, "{reply:?}");
         let digest = blake3::hash(&reply.body).to_hex().to_string();
         assert_eq!(digest, expected_answer_digest(&id, 3_000), "{id}");
     }
 }
 
-/// The node that a caller is connected to is told to stop while a payment runs. The payment's
-/// answer comes, then the connection ends and the process leaves.
+/// The entry node is stopped while a payment runs. The caller must get the response before the
+/// connection is closed and the process exits.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopping_node_closes_connections_after_their_responses() {
     let mut mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     let position = vms_of(&mesh, "tablon")[0];
     let entry = mesh.vms[position].node().addresses.caller;
-    let connection = Http2::connect(entry).await.expect("it listens");
+    let connection = Http2::connect(entry)
+        .await
+        .expect("the node accepts connections");
     let path = "/payments?work_ms=1500";
     let payment = connection.request(Method::POST, "cobros", path, "pay-1");
     let payment = tokio::spawn(payment);
     wait_running(&mesh, "cobros", "pay-1").await;
     mesh.vms[position].node().signal(Signal::Terminate);
-    let reply = payment.await.expect("no panic").expect("the node answers");
+    let reply = payment
+        .await
+        .expect("the task does not panic")
+        .expect("the node responds");
     assert_eq!(reply.status, 200);
     let closed = tokio::time::timeout(LIMIT, connection.closed()).await;
     assert!(closed.is_ok(), "the connection stays open");
-    let node = mesh.vms[position].node.as_mut().expect("it is there");
-    let ended = node.ended().await.expect("it is a child");
+    let node = mesh.vms[position]
+        .node
+        .as_mut()
+        .expect("the node was started");
+    let ended = node.ended().await.expect("the exit status can be read");
     assert!(ended.success(), "{ended:?}");
 }
--- a/tests/testsuite/requests_imposter.rs
+++ b/tests/testsuite/requests_imposter.rs
@@ -1,4 +1,4 @@
-//! A request that lands at a program which is no node.
+//! Requests that reach a program other than a node at a node's address.
 
 use http::Method;
 use testkit::backend::{Backend, Behaviour};
@@ -7,31 +7,34 @@
 
 use crate::support::{LIMIT, VERDICT, ask, small, start_chatarras, vms_of};
 
-/// A VM is replaced and its address passes to a program of another kind that speaks HTTP/2, before
-/// the mesh has noticed that the node is gone. A payment lands there and is answered. The caller
-/// must not be told "not run", nor the payment be sent to a second endpoint: what that program did
-/// is not known.
+/// A VM is replaced and its address is reassigned to another program that speaks HTTP/2, before the
+/// mesh has detected that the node is gone. A payment is sent there and gets a response. Because
+/// nobody can know whether that program ran it, the caller must not get `not-run`, and the payment
+/// must not be sent to a second endpoint.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_response_from_a_foreign_server_gets_may_have_run() {
     let mut mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
     let replaced = vms_of(&mesh, "cobros")[0];
-    let mut node = mesh.vms[replaced].node.take().expect("it runs");
+    let mut node = mesh.vms[replaced]
+        .node
+        .take()
+        .expect("the node was started");
     let address = node.addresses.peer;
     node.signal(Signal::Kill);
-    node.ended().await.expect("it ends");
+    node.ended().await.expect("the node exits");
     let imposter = Backend::start(address, "imposter", Behaviour::default()).await;
     let imposter = imposter.expect("the address is free");
 
     let entry = vms_of(&mesh, "tablon")[0];
     let caller = mesh.vms[entry].node().addresses.caller;
     let mut attempts = 0;
-    wait_until("a payment lands at the imposter", LIMIT, || {
+    wait_until("a payment reaches the imposter", LIMIT, || {
         attempts += 1;
         let id = format!("payment-{attempts}");
         let imposter = &imposter;
         async move {
             let reply = ask(caller, Method::POST, "cobros", "/payments", &id).await;
-            let reply = reply.expect("the node answers");
+            let reply = reply.expect("the node responds");
             let reached_imposter = imposter.record().runs.contains_key(&id);
             if reached_imposter {
                 assert_eq!(reply.header(VERDICT), "may-have-run", "{reply:?}");
