--- a/tests/testsuite/requests_pipeline.rs
+++ b/tests/testsuite/requests_pipeline.rs
@@ -1,4 +1,4 @@
-//! Callers that send further requests on a connection before the first one is answered.
+//! Pipelined requests: callers that send further requests before the first one is answered.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 
 use crate::support::{LIMIT, runs, small, start_chatarras, vms_of, wait_running};
 
-/// Head of a read of prices without a body.
+/// Head of a request for prices, without a body.
 fn read_request(id: &str, work_ms: u64) -> String {
     format!(
         "GET /prices/copper?answer_bytes=10&work_ms={work_ms} HTTP/1.1\r\n\
@@ -17,19 +17,21 @@
     )
 }
 
-/// Head of a payment without a body.
+/// Head of a payment, without a body.
 fn payment_request(id: &str) -> String {
     format!("POST /payments/9 HTTP/1.1\r\nhost: cobros\r\nx-request-id: {id}\r\n\r\n")
 }
 
 async fn send(entry: SocketAddr, requests: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(entry).await.expect("the node listens");
+    let mut stream = TcpStream::connect(entry)
+        .await
+        .expect("the node accepts connections");
     let sent = stream.write_all(requests.as_bytes()).await;
-    sent.expect("the node reads");
+    sent.expect("the node reads the request");
     stream
 }
 
-/// Ids of the answers in the order in which they come, until there are `count`.
+/// Request ids of the responses in the order in which they arrive, until there are `count`.
 async fn response_ids(stream: &mut TcpStream, count: usize) -> Vec<String> {
     let mut text = String::new();
     loop {
@@ -39,15 +41,15 @@
             return ids;
         }
         let mut bytes = vec![0; 4_096];
-        let read = stream.read(&mut bytes).await.expect("the node answers");
+        let read = stream.read(&mut bytes).await.expect("the node responds");
         assert!(read > 0, "the connection ended after {ids:?}");
         text.push_str(&String::from_utf8_lossy(&bytes[..read]));
     }
 }
 
-/// A dealer's program asks for three prices at once on one connection, and the first takes long.
-/// The others must not wait for it at the mesh, or they are late although their endpoints idle;
-/// but their answers come in the order of the questions.
+/// A caller pipelines three reads, and the first takes long. The others must run at once instead of
+/// waiting for it although their endpoint is idle. The responses must keep the order of the
+/// requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_reads_run_at_once_and_are_answered_in_order() {
     let mesh = start_chatarras(small(&["tablon"], 1)).await;
@@ -56,7 +58,7 @@
         if position != target {
             let operator = mesh.vms[position].node().addresses.operator;
             let drained = request(operator, Method::POST, "node", "/drain", &[], "").await;
-            drained.expect("the node answers");
+            drained.expect("the node responds");
         }
     }
     let entry = mesh.vms[target].node().addresses.caller;
@@ -70,14 +72,13 @@
     let ids = response_ids(&mut stream, 3).await;
     assert_eq!(ids, ["slow", "second", "third"]);
     let record = mesh.vms[target].backend.record();
-    assert_eq!(record.peak, 3, "they ran one after the other");
+    assert_eq!(record.peak, 3, "the requests ran one after the other");
     assert_eq!(record.runs.len(), 3);
 }
 
-/// A dealer's program asks for a price while the answer to the one before is awaited, and then for
-/// nothing more. The HTTP library reads that request itself, to see whether the connection still
-/// stands, and only keeps it. It must start all the same: its answer would be late although its
-/// endpoint is idle.
+/// A caller sends a second read while it waits for the first response, and then nothing more. hyper
+/// reads this request itself, when it checks whether the connection is still open, and only buffers
+/// it. The request must run at once all the same.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_read_pipelined_during_another_starts_at_once() {
     let mesh = start_chatarras(small(&["tablon"], 1)).await;
@@ -87,7 +88,7 @@
     let sent = stream
         .write_all(read_request("behind", 250).as_bytes())
         .await;
-    sent.expect("the node reads");
+    sent.expect("the node reads the request");
     wait_running(&mesh, "tablon", "behind").await;
     let finished = |position: usize| mesh.vms[position].backend.record().finished;
     let finished: u64 = vms_of(&mesh, "tablon").into_iter().map(finished).sum();
@@ -96,8 +97,9 @@
     assert_eq!(ids, ["slow", "behind"]);
 }
 
-/// A payment is sent behind a read that takes long, and the connection breaks before the read is
-/// answered. Its caller takes the payment for unread and pays again, so it must not have run.
+/// Guards against paying twice. A payment is pipelined behind a slow read, and the connection
+/// closes before the read is answered. The caller assumes that the payment was not read and sends
+/// it again, so it must not have run.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_payment_behind_an_unanswered_read_does_not_run() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
@@ -109,7 +111,7 @@
     })
     .await;
     drop(stream);
-    wait_until("the read is given up", LIMIT, || async {
+    wait_until("the read is cancelled", LIMIT, || async {
         let cancelled = |position: usize| mesh.vms[position].backend.record().cancelled;
         vms_of(&mesh, "tablon")
             .into_iter()
--- a/tests/testsuite/requests_streams.rs
+++ b/tests/testsuite/requests_streams.rs
@@ -1,4 +1,5 @@
-//! Streams: callers that stop reading or sending hold bounded memory and no slot for ever.
+//! Callers that stop reading or sending: they may use only bounded memory, and their slots are
+//! released.
 
 use std::net::SocketAddr;
 
@@ -11,18 +12,21 @@
 
 use crate::support::{LIMIT, ask, metrics, small, start_chatarras, vms_of};
 
-/// Answers of 8 MiB to this many callers at a time, which nodes may not hold in memory.
+/// Number of concurrent callers that request responses of 8 MiB. Nodes must not buffer these in
+/// memory.
 const READERS: usize = 16;
 const ANSWER_BYTES: usize = 8 << 20;
-/// Far below what the unread answers amount to (128 MiB), above the windows of the streams.
+/// Far below the size of all unread responses (128 MiB), but above the windows of their streams.
 const GROWTH_MAX_BYTES: u64 = 16 << 20;
 
 fn resident_bytes(mesh: &Mesh, position: usize) -> u64 {
-    let id = mesh.vms[position].node().id().expect("it runs");
-    let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("it runs");
+    let id = mesh.vms[position].node().id().expect("the node runs");
+    let status = std::fs::read_to_string(format!("/proc/{id}/status")).expect("the node runs");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let kib = line.and_then(|line| line.split_whitespace().nth(1));
-    let kib: u64 = kib.and_then(|kib| kib.parse().ok()).expect("a number");
+    let kib: u64 = kib
+        .and_then(|kib| kib.parse().ok())
+        .expect("VmRSS is a number");
     kib << 10
 }
 
@@ -45,16 +49,16 @@
     let mut mesh = start_chatarras(deployment).await;
     mesh.extra_arguments = vec!["--caller-idle-timeout-ms=1500".to_owned()];
     let entry = vms_of(&mesh, "tablon")[0];
-    mesh.kill_node(entry).await.expect("it ends");
-    mesh.start_node(entry).await.expect("it starts");
+    mesh.kill_node(entry).await.expect("the node exits");
+    mesh.start_node(entry).await.expect("the node starts");
     mesh.wait_enforced(1).await;
     mesh.wait_joined().await;
     mesh
 }
 
-/// Callers ask the archive for long answers and read nothing. The answers stay where they are made,
-/// other callers are served on the same connection between the nodes, and after the idle limit
-/// the slots are free again.
+/// Callers request long responses and read nothing. The nodes must not buffer the responses, other
+/// callers must still be served over the same connection between nodes, and the slots must be free
+/// again after the idle limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_readers_hold_bounded_memory() {
     let mesh = start().await;
@@ -64,23 +68,28 @@
     let caller = mesh.vms[entry].node().addresses.caller;
     let mut readers = Vec::new();
     for _ in 0..READERS {
-        let mut stream = TcpStream::connect(caller).await.expect("it listens");
+        let mut stream = TcpStream::connect(caller)
+            .await
+            .expect("the node accepts connections");
         let request_head = format!(
             "GET /archive/1?answer_bytes={ANSWER_BYTES} HTTP/1.1\r\nhost: hemeroteca\r\n\r\n"
         );
         stream
             .write_all(request_head.as_bytes())
             .await
-            .expect("it is taken");
+            .expect("the node reads the request");
         let mut first = [0; 12];
-        stream.read_exact(&mut first).await.expect("it is answered");
+        stream
+            .read_exact(&mut first)
+            .await
+            .expect("the node responds");
         assert_eq!(&first, b"HTTP/1.1 200");
         readers.push(stream);
     }
     assert!(slots_in_use(&mesh).await >= READERS - 1);
     let path = "/archive/2?answer_bytes=100000";
     let reply = request(caller, Method::GET, "hemeroteca", path, &[], "").await;
-    assert_eq!(reply.expect("the node answers").body.len(), 100_000);
+    assert_eq!(reply.expect("the node responds").body.len(), 100_000);
     for (position, before) in [entry, gate].into_iter().zip(before) {
         let grown = resident_bytes(&mesh, position).saturating_sub(before);
         println!("slow readers: VM {position} grew by {} KiB", grown >> 10);
@@ -93,22 +102,27 @@
     drop(readers);
 }
 
-/// A caller sends half of an upload and then nothing. The backend server sees a broken request,
-/// never a short one that looks whole, and its slot is free again.
+/// A caller sends half of an upload and then stops. The backend server must see an aborted request,
+/// not a shorter one that looks complete, and its slot must be released.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stalled_upload_is_aborted_and_frees_its_slot() {
     let mesh = start().await;
     let entry = vms_of(&mesh, "tablon")[0];
     let caller = mesh.vms[entry].node().addresses.caller;
-    let mut stream = TcpStream::connect(caller).await.expect("it listens");
+    let mut stream = TcpStream::connect(caller)
+        .await
+        .expect("the node accepts connections");
     let head = "GET /archive/3 HTTP/1.1\r\nhost: hemeroteca\r\nx-request-id: stalled-3\r\n\
                 content-length: 1000000\r\n\r\n";
     stream
         .write_all(head.as_bytes())
         .await
-        .expect("it is taken");
-    stream.write_all(&[7; 500_000]).await.expect("it is taken");
-    wait_until("it has its slot", LIMIT, || async {
+        .expect("the node reads the request");
+    stream
+        .write_all(&[7; 500_000])
+        .await
+        .expect("the node reads the request");
+    wait_until("the upload has a slot", LIMIT, || async {
         slots_in_use(&mesh).await == 1
     })
     .await;
@@ -120,8 +134,8 @@
     assert_eq!(backend.record().finished, 0);
 }
 
-/// Callers hang up in the middle of answers, and while their requests run. The next answers on the
-/// same way are those of the next requests, never the rest of an old one.
+/// Callers disconnect while they receive responses and while their requests run. Later requests on
+/// the same connections must get their own responses, not the rest of an earlier one.
 #[tokio::test(flavor = "multi_thread")]
 async fn abandoned_responses_reach_no_other_caller() {
     let mesh = start().await;
@@ -131,7 +145,9 @@
     for caller_number in 0..4 {
         tasks.spawn(async move {
             for n in 0..40 {
-                let mut stream = TcpStream::connect(caller).await.expect("it listens");
+                let mut stream = TcpStream::connect(caller)
+                    .await
+                    .expect("the node accepts connections");
                 let request_head = format!(
                     "GET /archive/1?answer_bytes=200000&work_ms={} HTTP/1.1\r\n\
                      host: hemeroteca\r\n\r\n",
@@ -140,10 +156,13 @@
                 stream
                     .write_all(request_head.as_bytes())
                     .await
-                    .expect("it is taken");
+                    .expect("the node reads the request");
                 if n % 2 == 0 {
                     let mut first = [0; 1_000];
-                    stream.read_exact(&mut first).await.expect("it is answered");
+                    stream
+                        .read_exact(&mut first)
+                        .await
+                        .expect("the node responds");
                 }
                 drop(stream);
                 let id = format!("own-{caller_number}-{n}");
@@ -163,19 +182,20 @@
 
 async fn request_archive(caller: SocketAddr, path: &str, id: &str) -> Reply {
     let reply = ask(caller, Method::GET, "hemeroteca", path, id).await;
-    let reply = reply.expect("the node answers");
+    let reply = reply.expect("the node responds");
     assert_eq!(reply.status, 200, "{reply:?}");
     reply
 }
 
-/// Connections kept open by callers, one after the other.
+/// Number of connections that callers keep open.
 const IDLE_CONNECTIONS: usize = 800;
-/// Most that the node may grow by for each. The HTTP library alone keeps 16 KB of buffers for a
-/// connection that it serves, and 30 KB went into one in all before idle ones were taken from it.
+/// Limit on the node's memory growth per connection. hyper alone uses 16 KB of buffers for a
+/// connection that it serves, and a connection took 30 KB in all before idle ones were taken from
+/// hyper.
 const IDLE_CONNECTION_MAX_BYTES: u64 = 12 << 10;
 
-/// A crowd of callers keeps its connections open, as libraries do, and asks on each now and then.
-/// What an idle one costs decides how many a small VM bears.
+/// Many callers keep their connections open, as client libraries do, and rarely send requests. The
+/// memory of an idle connection limits how many callers a small VM can serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn idle_connections_hold_little_memory() {
     let mesh = start().await;
@@ -185,10 +205,18 @@
     let mut before = 0;
     let mut streams = Vec::new();
     for number in 0..=IDLE_CONNECTIONS {
-        let mut stream = TcpStream::connect(caller).await.expect("it listens");
-        stream.write_all(request_head).await.expect("it is taken");
+        let mut stream = TcpStream::connect(caller)
+            .await
+            .expect("the node accepts connections");
+        stream
+            .write_all(request_head)
+            .await
+            .expect("the node reads the request");
         let mut first = [0; 12];
-        stream.read_exact(&mut first).await.expect("it is answered");
+        stream
+            .read_exact(&mut first)
+            .await
+            .expect("the node responds");
         assert_eq!(&first, b"HTTP/1.1 200");
         streams.push(stream);
         if number == 0 {
@@ -202,14 +230,17 @@
         bytes_per_connection < IDLE_CONNECTION_MAX_BYTES,
         "{bytes_per_connection} bytes for each connection"
     );
-    // They are served as before.
+    // The connections must still be served.
     for stream in &mut streams {
-        stream.write_all(request_head).await.expect("it is taken");
+        stream
+            .write_all(request_head)
+            .await
+            .expect("the node reads the request");
     }
     let mut answered = 0;
     for mut stream in streams {
         let mut rest = vec![0; 600];
-        let read = stream.read(&mut rest).await.expect("it is answered");
+        let read = stream.read(&mut rest).await.expect("the node responds");
         answered += usize::from(read > 0);
     }
     assert_eq!(answered, IDLE_CONNECTIONS + 1);
--- a/tests/testsuite/requests_untrusted.rs
+++ b/tests/testsuite/requests_untrusted.rs
@@ -1,4 +1,4 @@
-//! Callers are not trusted: ambiguous framing, endless heads, hoarded connections.
+//! Untrusted callers: ambiguous framing, endless heads, and too many connections.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,10 +9,13 @@
 
 use crate::support::{LIMIT, small, start_chatarras};
 
-/// Sends bytes as they are; returns all that comes back until the node closes or falls silent.
+/// Sends raw bytes. Returns everything that the node sends until it closes the connection or sends
+/// nothing more for a while.
 async fn exchange_raw(entry: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(entry).await.expect("it listens");
-    // The node may close before it has read everything.
+    let mut stream = TcpStream::connect(entry)
+        .await
+        .expect("the node accepts connections");
+    // The node may close the connection before it has read everything.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let reading = stream.read_to_end(&mut answer);
@@ -24,12 +27,17 @@
 const LONG_REQUEST: &[u8] = b"GET /prices/zinc?work_ms=700 HTTP/1.1\r\nhost: tablon\r\n\r\n";
 
 async fn send(entry: SocketAddr, request: &[u8]) -> TcpStream {
-    let mut stream = TcpStream::connect(entry).await.expect("it listens");
-    stream.write_all(request).await.expect("it is taken");
+    let mut stream = TcpStream::connect(entry)
+        .await
+        .expect("the node accepts connections");
+    stream
+        .write_all(request)
+        .await
+        .expect("the node reads the request");
     stream
 }
 
-/// Reads the answer to [`QUICK_REQUEST`].
+/// Reads the complete response to [`QUICK_REQUEST`].
 async fn read_answer(stream: &mut TcpStream) {
     let mut answer = Vec::new();
     loop {
@@ -38,7 +46,10 @@
             return;
         }
         let read = stream.read_buf(&mut answer).await;
-        assert!(read.is_ok_and(|count| count > 0), "cut after {answer:?}");
+        assert!(
+            read.is_ok_and(|count| count > 0),
+            "connection ended after {answer:?}"
+        );
     }
 }
 
@@ -47,8 +58,8 @@
     lines.filter_map(|line| line.get(9..12)).collect()
 }
 
-/// A caller hides a second request in the body of the first, by framing that two readers would
-/// cut in different places. The hidden request must never run.
+/// Guards against request smuggling: a second request is hidden in the body of the first, with
+/// framing that two parsers may read differently. The hidden request must never run.
 #[tokio::test(flavor = "multi_thread")]
 async fn ambiguous_framing_smuggles_nothing() {
     let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
@@ -58,16 +69,16 @@
     let length = hidden.len();
     let start = "POST /payments HTTP/1.1\r\nhost: cobros\r\nx-request-id: front\r\n";
     let frames = [
-        // Length and chunks: which one holds?
+        // Both a length and chunked encoding.
         format!("{start}content-length: 5\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n{hidden}"),
         format!(
             "{start}transfer-encoding: chunked\r\ncontent-length: {length}\r\n\r\n0\r\n\r\n{hidden}"
         ),
-        // Two lengths.
+        // Two different lengths.
         format!("{start}content-length: 0\r\ncontent-length: {length}\r\n\r\n{hidden}"),
-        // A coding that is no framing at all.
+        // A transfer coding that does not delimit the body.
         format!("{start}transfer-encoding: identity, x\r\n\r\n{hidden}"),
-        // Chunks of no number, and of one beyond all bounds.
+        // A chunk size that is not a number, and one that overflows.
         format!("{start}transfer-encoding: chunked\r\n\r\nzz\r\n{hidden}"),
         format!("{start}transfer-encoding: chunked\r\n\r\nfffffffffffffffff\r\n{hidden}"),
         // A header folded over two lines.
@@ -83,7 +94,8 @@
     }
 }
 
-/// A caller sends a head that never ends, or nothing, or opens more connections than it may have.
+/// A caller sends an oversized head, an incomplete head or nothing, or opens more connections than
+/// it may have.
 #[tokio::test(flavor = "multi_thread")]
 async fn limits_on_heads_and_connections_hold() {
     let mut deployment = small(&["tablon"], 1);
@@ -107,19 +119,22 @@
     let answer = exchange_raw(entry, long.as_bytes()).await;
     assert!(matches!(statuses(&answer)[..], ["431"] | []), "{answer:?}");
 
-    // Silent from the start, and silent in the middle of the head.
+    // The caller sends nothing, or stops in the middle of the head.
     for start in ["", "GET", "GET /prices HTTP/1.1\r\nhost: tab"] {
-        let mut stream = TcpStream::connect(entry).await.expect("it listens");
+        let mut stream = TcpStream::connect(entry)
+            .await
+            .expect("the node accepts connections");
         stream
             .write_all(start.as_bytes())
             .await
-            .expect("it is taken");
+            .expect("the node reads the request");
         let mut answer = Vec::new();
         let closed = tokio::time::timeout(LIMIT, stream.read_to_end(&mut answer)).await;
         assert!(closed.is_ok(), "still open after {start:?}");
     }
 
-    // Of the four that it may have, the one that has been idle the longest goes for a fifth.
+    // The caller has its four connections. For a fifth, the one that has been idle longest is
+    // closed.
     let mut streams = Vec::new();
     for _ in 0..5 {
         let mut stream = send(entry, QUICK_REQUEST).await;
@@ -133,17 +148,17 @@
         stream
             .write_all(QUICK_REQUEST)
             .await
-            .expect("it is still open");
+            .expect("the connection is still open");
         read_answer(stream).await;
     }
     drop(streams);
 
-    // While all four have a request in hand, none goes: the fifth is closed at once.
+    // While all four have a request in progress, none may be closed; the fifth is closed at once.
     let mut streams = Vec::new();
     for _ in 0..4 {
         streams.push(send(entry, LONG_REQUEST).await);
     }
-    wait_until("four long requests run", LIMIT, || async {
+    wait_until("four long requests are running", LIMIT, || async {
         mesh.vms[0].backend.record().peak == 4
     })
     .await;
--- a/tests/testsuite/requests_uploads.rs
+++ b/tests/testsuite/requests_uploads.rs
@@ -1,4 +1,4 @@
-//! Uploads that come in slowly.
+//! Slow and concurrent uploads of large bodies.
 
 use std::net::SocketAddr;
 
@@ -16,9 +16,8 @@
     text.lines().find_map(value).unwrap_or(0.0)
 }
 
-/// Yards with bad reception send their photo bundles a few bytes at a time. Were each to hold a slot of
-/// its backend server meanwhile, forty of them would keep every other yard out for as long as they
-/// take.
+/// Callers with slow connections send their uploads a few bytes at a time. If each upload held a
+/// slot while it arrives, forty of them would keep all other callers out.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_uploads_hold_no_slots() {
     // Twice the slots of both endpoints that the entry may use.
@@ -28,16 +27,24 @@
     let entry = node.addresses.caller;
     let mut streams = Vec::new();
     for number in 0..SLOW_UPLOADS {
-        let mut stream = TcpStream::connect(entry).await.expect("the node listens");
+        let mut stream = TcpStream::connect(entry)
+            .await
+            .expect("the node accepts connections");
         let head = format!(
             "PUT /bundles/{number} HTTP/1.1\r\nhost: bascula\r\nx-request-id: slow-{number}\r\n\
              content-length: 100000\r\n\r\n"
         );
-        stream.write_all(head.as_bytes()).await.expect("sent");
-        stream.write_all(&[0; 20_000]).await.expect("sent");
+        stream
+            .write_all(head.as_bytes())
+            .await
+            .expect("the node reads the upload");
+        stream
+            .write_all(&[0; 20_000])
+            .await
+            .expect("the node reads the upload");
         streams.push(stream);
     }
-    wait_until("slow uploads come in", LIMIT, || async {
+    wait_until("slow uploads are in progress", LIMIT, || async {
         let mut in_progress = 0.0;
         for vm in &mesh.vms {
             let text = metrics(vm.node().addresses.operator).await;
@@ -57,14 +64,17 @@
             &format!("quick-{number}"),
         )
         .await;
-        assert_eq!(reply.expect("the node answers").status, 200);
+        assert_eq!(reply.expect("the node responds").status, 200);
     }
 }
 
-/// Asks the gate at `peer` for a turn for an upload of 60 KB that does not wait for one. Each time on a
-/// connection of its own: on one connection the gate would find the later ones held up on their way.
+/// Requests an upload permit for 60 KB from the gate at `peer`, without waiting for one. Each
+/// request uses its own connection, because on a shared one the gate would consider the later
+/// requests delayed in transit.
 async fn reserve(peer: SocketAddr, id: &str) -> Reply {
-    let connection = Http2::connect(peer).await.expect("the node listens");
+    let connection = Http2::connect(peer)
+        .await
+        .expect("the node accepts connections");
     let headers = [
         ("x-request-id", id),
         ("x-dragonflywall-data", "1"),
@@ -75,20 +85,21 @@
         ("x-dragonflywall-reserve", "60000"),
     ];
     let reservation = connection.request_with(Method::PUT, "bascula", "/bundles/1", &headers);
-    reservation.await.expect("the gate answers")
+    reservation.await.expect("the gate responds")
 }
 
-/// Two uploads use the small link of a VM, and a third entry wants to send one. It is told before it has
-/// sent a byte, so that the link is left to those that are let in and to short calls. A turn that nobody
-/// uses, as its caller has left, is given to another one.
+/// Two uploads use the slow link of a VM, and a third entry node requests a permit. It must be
+/// refused before it sends any of the body, which leaves the link to the admitted uploads and to
+/// short requests. An unused permit, for example after its caller has disconnected, must be granted
+/// to another upload.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_is_refused_before_it_uses_the_link() {
     let mut deployment = small(&["bascula"], 1);
     deployment.data_centres.truncate(1);
     let mut mesh = start(deployment).await;
     mesh.extra_arguments = vec!["--link-kbit-per-s".to_owned(), "7000".to_owned()];
-    mesh.kill_node(0).await.expect("it ends");
-    mesh.start_node(0).await.expect("it starts");
+    mesh.kill_node(0).await.expect("the node exits");
+    mesh.start_node(0).await.expect("the node starts");
     let published = publish(&mesh, crate::support::CHATARRAS).await;
     assert!(published.status.success(), "{published:?}");
     mesh.wait_enforced(1).await;
@@ -102,7 +113,7 @@
     assert_eq!(refused.status, 503, "{refused:?}");
     assert_eq!(refused.header(VERDICT), "not-run");
     assert_eq!(refused.header(REASON), "full");
-    wait_until("unused turns are given to others", LIMIT, || async {
+    wait_until("unused permits are granted to others", LIMIT, || async {
         reserve(peer, "fourth").await.status == 200
     })
     .await;
--- a/tests/testsuite/users_requests.rs
+++ b/tests/testsuite/users_requests.rs
@@ -1,4 +1,4 @@
-//! Requests on the users' platform, beside backend servers that do what theirs do.
+//! Requests on the users' platform, with backend servers that behave like those of the users.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     LIMIT, SERVICES, metrics, start_users_serving, users_routes, users_runs, write_routes,
 };
 
-/// One VM of each service.
+/// One VM of each service in one data centre.
 fn small() -> Plan {
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
@@ -28,11 +28,11 @@
 }
 
 async fn send(mesh: &Mesh, request: &Asked<'_>) -> Reply {
-    mesh.ask(0, request).await.expect("the node answers")
+    mesh.ask(0, request).await.expect("the node responds")
 }
 
-/// A backend server answers some requests twice, the second time at once or when the connection may carry
-/// another request already. A keeper who asks for one stock must never get the figure of another.
+/// A backend server sends some responses twice, the second one at once or when the connection may
+/// already carry another request. A caller must never get the response to another request.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_duplicate_response_reaches_no_other_caller() {
     let mesh = start_users_serving(small()).await;
@@ -47,7 +47,8 @@
         let path = format!("/stock/{number}?bytes={bytes}&answer={mode}");
         let id = format!("twice-{number}");
         let reply = send(&mesh, &Asked::get(&path, &id)).await;
-        // Whose place the other answer took may have run, and is tried again only so often.
+        // A request that received a duplicate in place of its response may have run, so its retries
+        // are limited.
         if reply.status != StatusCode::BAD_GATEWAY {
             assert_own_answer(&reply, &id, bytes);
             served += 1;
@@ -56,8 +57,8 @@
     assert!(served >= 40, "{served} of 60");
 }
 
-/// An answer without a length ends with its connection. It is passed on whole, and one that breaks off
-/// in the middle does not look complete to the caller.
+/// A response without a length ends when its connection closes. It must be forwarded completely,
+/// and a truncated response must not look complete to the caller.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_response_without_length_is_whole_and_a_truncated_one_fails() {
     let mesh = start_users_serving(small()).await;
@@ -67,11 +68,11 @@
     let path = format!("/book/1?bytes=5000&answer={}", Answering::Cut.word());
     let reply = mesh.ask(0, &Asked::post(&path, "cut")).await;
     let whole = reply.is_ok_and(|reply| reply.status == 200);
-    assert!(!whole, "a cut answer looked whole");
+    assert!(!whole, "a truncated response looked complete");
 }
 
-/// A booking runs and its answer is lost. The keeper is told neither "booked" nor "not run", and the
-/// lorry is not booked twice.
+/// Guards against a double booking. A booking runs and its response is lost: the caller must get
+/// neither a success nor `not-run`, and the booking must not be sent again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_whose_response_is_lost_runs_once() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -81,8 +82,8 @@
     assert_eq!(users_runs(&mesh, "lost").len(), 1);
 }
 
-/// A look-up whose answer is lost is asked for once more, elsewhere, and no more often than the route
-/// says.
+/// A read whose response is lost is retried on another endpoint, and no more often than the route
+/// allows.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lookup_whose_response_is_lost_is_retried_elsewhere() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -94,8 +95,8 @@
     assert_ne!(runs[0], runs[1]);
 }
 
-/// All slots are taken by long bookings. Whoever comes then is told at once that nothing ran and when to
-/// come back, and it is true for good: the request never runs later.
+/// Long bookings use all slots. Further requests must be refused at once with a retry delay, and a
+/// refused request must never run later.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_refused_for_load_never_runs() {
     let mut plan = small();
@@ -123,7 +124,10 @@
     assert!(served.count() >= 2);
     for (reply, runs) in &outcomes {
         if reply.status == 503 {
-            let seconds: f64 = reply.header("retry-after").parse().expect("it is told");
+            let seconds: f64 = reply
+                .header("retry-after")
+                .parse()
+                .expect("the response has a retry delay");
             assert!(seconds > 0.0);
             assert_eq!(*runs, 0);
         } else {
@@ -155,8 +159,8 @@
     outputs.into_iter().flatten().collect()
 }
 
-/// A backend server crashes, and its address goes to one of another service before anybody hears of it.
-/// The other one runs nothing that was meant for the first.
+/// A backend server crashes, and its address is reassigned to another service before the mesh
+/// detects it. The new backend server must not run requests for the old service.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_reused_address_receives_no_request_for_the_old_service() {
     let mut mesh = start_users_serving(small()).await;
@@ -164,15 +168,16 @@
     mesh.crash_backend(position).await;
     mesh.restart_backend(position, SERVICES[1])
         .await
-        .expect("the address is free");
-    // It has not announced itself where it stands now.
+        .expect("the address can be reused");
+    // The new backend server has not announced itself at this address.
     mesh.mute_backend(position);
     let reply = send(&mesh, &Asked::post("/sheets/1", "meant-for-the-last")).await;
     assert_eq!(reply.status, 503);
     assert!(users_runs(&mesh, "meant-for-the-last").is_empty());
 }
 
-/// A keeper hangs up while the work runs; the backend server is told, and does not work on for nobody.
+/// A caller disconnects while its request runs. The backend server must learn this and stop
+/// working.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_disconnect_cancels_the_work() {
     let mesh = start_users_serving(Plan::new(&SERVICES)).await;
@@ -183,24 +188,24 @@
         request.deadline_ms = 60_000;
         {
             let pending = mesh.ask(position, &request);
-            let running = wait_until("it runs", LIMIT, || async {
+            let running = wait_until("the request runs", LIMIT, || async {
                 !users_runs(&mesh, &id).is_empty()
             });
             tokio::select! {
-                _ = pending => panic!("nothing was answered"),
+                _ = pending => panic!("the request was answered although it must still run"),
                 () = running => (),
             }
         }
         let ran = users_runs(&mesh, &id)[0];
-        wait_until("the work is given up", LIMIT, || async {
+        wait_until("the request is cancelled", LIMIT, || async {
             mesh.vms[ran].backend().running() == 0
         })
         .await;
     }
 }
 
-/// What is left of the caller's time comes to the backend server with the service that asks, whatever
-/// the caller claimed, and the answer is given at the deadline.
+/// The backend server receives the remaining time of the caller and the service that calls,
+/// whatever the caller claimed, and the response is sent at the deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_backend_server_receives_remaining_time_and_calling_service() {
     let mesh = start_users_serving(small()).await;
@@ -215,8 +220,8 @@
     assert_eq!(run.target, "GET mesh.example/stock/1?work_ms=5000");
 }
 
-/// An upload is rejected before it is in, and the backend server reads on. The keeper gets that answer,
-/// and the bytes that were still due reach no other request.
+/// The backend server rejects an upload before it has read all of it, and reads on. The caller must
+/// get that response, and the remaining bytes must not become part of another request.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_upload_rejected_early_does_not_affect_the_next() {
     let mesh = start_users_serving(small()).await;
@@ -228,7 +233,7 @@
             body: &body,
             ..Asked::post(&path, &id)
         };
-        // It may break off as the answer comes before its end.
+        // The request may fail, because the response arrives before the body has been sent.
         if let Ok(reply) = mesh.ask(0, &request).await {
             assert_eq!(reply.status, 500);
         }
@@ -246,8 +251,8 @@
     }
 }
 
-/// A backend server that is full resets its connections, or never answers on them again. The node beside
-/// it keeps count of its slots, so that neither happens however many ask.
+/// A backend server without a free slot resets connections, or never responds on them again. Its
+/// node counts the slots, so that neither happens however many requests arrive.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_backend_server_is_never_sent_more_than_its_slots() {
     for on_full in [OnFull::Reset, OnFull::Mute] {
@@ -271,7 +276,8 @@
     }
 }
 
-/// Asks again and again, each time after the backend server has forgotten its idle connections.
+/// Sends requests one after the other, each after the backend server has dropped its idle
+/// connections.
 async fn request_over_dropped_connections(new_request: for<'a> fn(&'a str) -> Asked<'a>) {
     let mut plan = small();
     plan.behaviour = Behaviour {
@@ -287,21 +293,21 @@
     }
 }
 
-/// A backend server forgets connections that have been idle for a while, without a word, and resets them
-/// when something is sent on them. Nobody can tell then whether a booking has run, so none may be sent
-/// on such a connection.
+/// A backend server silently drops connections that have been idle for a while and resets them when
+/// data arrives. Because a reset does not show whether a booking has run, no booking may be sent on
+/// such a connection.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dropped_idle_connection_fails_no_booking() {
     request_over_dropped_connections(|id| Asked::post("/book/1", id)).await;
 }
 
-/// Guards against reads that fail on a connection which the backend server has forgotten.
+/// Guards against reads that fail on a connection which the backend server has dropped.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dropped_idle_connection_fails_no_read() {
     request_over_dropped_connections(|id| Asked::get("/stock/1", id)).await;
 }
 
-/// Guards against a new connection to the backend server for each read of a quiet time.
+/// Guards against opening a new backend connection for each read when requests are infrequent.
 #[tokio::test(flavor = "multi_thread")]
 async fn infrequent_reads_share_a_connection() {
     const READS: u64 = 8;
@@ -322,13 +328,15 @@
     assert!(opened < READS, "{opened} connections for {READS} reads");
 }
 
-/// A caller sends three look-ups at once on one connection. The first is the slowest; the answers come
-/// in the order of the questions.
+/// A caller pipelines three reads on one connection, the slowest first. The responses must keep the
+/// order of the requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn pipelined_requests_are_answered_in_order() {
     let mesh = start_users_serving(small()).await;
     let entry = mesh.vms[0].node().addresses.caller;
-    let mut stream = TcpStream::connect(entry).await.expect("the node listens");
+    let mut stream = TcpStream::connect(entry)
+        .await
+        .expect("the node accepts connections");
     let mut sent = String::new();
     for (number, work_ms) in [200, 50, 0].into_iter().enumerate() {
         sent.push_str(&format!(
@@ -336,17 +344,20 @@
              X-Dfw-Attempt-Id: order-{number}\r\nX-Dfw-Deadline-Ms: 5000\r\n\r\n"
         ));
     }
-    stream.write_all(sent.as_bytes()).await.expect("it is sent");
+    stream
+        .write_all(sent.as_bytes())
+        .await
+        .expect("the node reads the requests");
     let mut text = String::new();
     let mut buffer = [0; 4_096];
     while text.matches("HTTP/1.1 200").count() < 3 {
-        let len = stream.read(&mut buffer).await.expect("it answers");
+        let len = stream.read(&mut buffer).await.expect("the node responds");
         assert!(len > 0, "the connection ended: {text}");
         text.push_str(&String::from_utf8_lossy(&buffer[..len]));
     }
     let at = |number: usize| text.find(&format!("order-{number}"));
     assert!(at(0) < at(1) && at(1) < at(2), "{text}");
-    // The last of them did not wait for the first to run.
+    // The last read must not wait until the first has run.
     let started_at = |number: usize| {
         let id = format!("order-{number}");
         let ran = users_runs(&mesh, &id)[0];
@@ -355,7 +366,7 @@
     assert!(started_at(2) < started_at(0) + Duration::from_millis(200));
 }
 
-/// A backend server's work leads to a call of its own, which goes through the node beside it.
+/// A backend server makes a call while it runs a request. The call goes through its own node.
 #[tokio::test(flavor = "multi_thread")]
 async fn calls_of_a_backend_server_go_through_its_node() {
     let mesh = start_users_serving(small()).await;
@@ -368,9 +379,9 @@
     assert_eq!(run.caller, SERVICES[1]);
 }
 
-/// The only slot of the stock ledger is taken, and keepers' look-ups wait for it. A booking that runs at
-/// the other service looks up a stock itself. It holds a slot meanwhile, so its call goes before the
-/// keepers who came earlier.
+/// The only slot of the stock ledger is in use, and callers' reads are queued for it. A booking
+/// that runs at the other service reads a stock itself. Because the booking holds a slot meanwhile,
+/// its call must run before the callers' reads that arrived earlier.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_call_of_a_running_request_goes_before_waiting_callers() {
     let mut plan = small();
@@ -389,7 +400,7 @@
     let ledger = mesh.vms_of(SERVICES[0])[0];
     let operator = mesh.vms[ledger].node().addresses.operator;
     let waiting = async |count: u64| {
-        wait_until("requests wait", LIMIT, || async {
+        wait_until("requests are queued", LIMIT, || async {
             let text = metrics(operator).await;
             let has_line = |line: String| text.lines().any(|known| known == line);
             has_line("dragonflywall_gate_slots_in_use 1".to_owned())
@@ -424,8 +435,8 @@
     assert!(started_at("booking.call") < started_at("keeper-2"));
 }
 
-/// A caller gives its request an id as if a running one had made it. Nobody runs such a request, so it is
-/// a caller's like any other, and has its whole own deadline.
+/// A caller sends a request id that looks like that of a nested call. No such parent request is
+/// running, so the request must be treated like any other, with its own full deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_id_that_extends_no_running_request_is_not_a_call() {
     let mesh = start_users_serving(small()).await;
@@ -436,7 +447,7 @@
     assert!(run.deadline_ms > Some(4_000), "{run:?}");
 }
 
-/// A failure of the backend server's own is passed on as it is, with its seal.
+/// A failure response of the backend server is forwarded unchanged, with its seal.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_failure_response_of_the_backend_server_is_passed_on() {
     let mesh = start_users_serving(small()).await;
