--- a/src/proxy/backend/tests.rs
+++ b/src/proxy/backend/tests.rs
@@ -53,7 +53,7 @@
 impl OpenResponse {
     async fn read(self) {
         let body = self.response.into_body().collect().await;
-        let body = body.expect("a complete response").to_bytes();
+        let body = body.expect("the response is complete").to_bytes();
         let digest = blake3::hash(&body).to_hex().to_string();
         let expected = expected_answer_digest(&self.id, self.answer_bytes);
         assert_eq!(
@@ -78,12 +78,12 @@
         .header("host", "hemeroteca")
         .header("x-request-id", id)
         .body(body::full(""))
-        .expect("a valid request")
+        .expect("the request is valid")
 }
 
 impl Harness {
     async fn start() -> Self {
-        let any_port: SocketAddr = "127.0.0.1:0".parse().expect("a constant address");
+        let any_port: SocketAddr = "127.0.0.1:0".parse().expect("the address is valid");
         let start = async |name| {
             let backend = Backend::start(any_port, name, Behaviour::default()).await;
             backend.expect("the backend server starts")
@@ -219,7 +219,7 @@
         let request = request("/archive?answer_bytes=10", id);
         let response = harness.pool.send(address, request, idempotent).await;
         let body = response.expect("a connection is available").into_body();
-        body.collect().await.expect("a complete response");
+        body.collect().await.expect("the response is complete");
     };
     send("look-up", true).await;
     tokio::time::sleep(IDLE_REUSE_MAX).await;
--- a/src/proxy/entry/routed_request.rs
+++ b/src/proxy/entry/routed_request.rs
@@ -27,7 +27,7 @@
 use crate::proxy::{gate, headers, uploads};
 use crate::util::clock;
 
-/// A caller's request that matched a route.
+/// A request that matched a route, of a caller or of a local backend server.
 pub(super) struct RoutedRequest<'a> {
     pub(super) node: &'a Arc<ProxyState>,
     pub(super) parts: &'a Parts,
@@ -363,8 +363,8 @@
     }
 }
 
-/// Failure for a response without a load header, which every gate sends. Such a response comes from
-/// a node that refused the mesh token before it reached the gate, or from a program that is not a
+/// Failure for a response without a load header, which a gate sends with each response to a valid
+/// request. Such a response comes from a node that refused the mesh token before it reached the gate, or from a program that is not a
 /// node, because the VM's address was reassigned. Only a `not-run` verdict from the mesh proves
 /// that the request did not run.
 fn failure_without_load(headers: &HeaderMap) -> Failure {
--- a/src/proxy/gate.rs
+++ b/src/proxy/gate.rs
@@ -25,8 +25,8 @@
 /// request for a disconnected caller is wasted work.
 const TRANSIT_DELAY_MAX: Duration = Duration::from_millis(300);
 
-/// Serves a request from another node. Failures become responses, too, and every response carries
-/// the gate's load.
+/// Serves a request from another node. Failures become responses, too, and the responses carry the
+/// gate's load.
 ///
 /// `delay` is how much longer than usual the request took from its entry node. After a long delay
 /// its caller may have disconnected, so the request is not run; an entry node that still waits
--- a/tests/testsuite/payment_faults.rs
+++ b/tests/testsuite/payment_faults.rs
@@ -131,7 +131,9 @@
         let runs = runs_by_id.get(id).copied().unwrap_or(0);
         match outcome {
             Outcome::Paid => assert_eq!(runs, 1, "{id} was paid and ran {runs} times"),
-            Outcome::NotRun => assert_eq!(runs, 0, "{id} was told not run and ran {runs} times"),
+            Outcome::NotRun => {
+                assert_eq!(runs, 0, "{id} was reported as not run and ran {runs} times")
+            }
             Outcome::MayHaveRun | Outcome::Unknown => assert!(runs <= 1, "{id} ran {runs} times"),
         }
     }
--- a/tests/testsuite/requests_answers.rs
+++ b/tests/testsuite/requests_answers.rs
@@ -267,7 +267,7 @@
     assert!(record.peak <= 2, "{} concurrent requests", record.peak);
     assert!(
         record.peak_connections <= 2,
-        "{} connections",
+        "{} concurrent connections",
         record.peak_connections
     );
 }
--- a/tests/testsuite/requests_untrusted.rs
+++ b/tests/testsuite/requests_untrusted.rs
@@ -90,7 +90,10 @@
             .vms
             .iter()
             .any(|vm| vm.backend.record().runs.contains_key("hidden"));
-        assert!(!ran, "smuggled by {frame:?}, answered {answer:?}");
+        assert!(
+            !ran,
+            "the hidden request ran after {frame:?}; response: {answer:?}"
+        );
     }
 }
 
@@ -101,14 +104,14 @@
     let mut deployment = small(&["tablon"], 1);
     deployment.data_centres.truncate(1);
     let mut mesh = start_chatarras(deployment).await;
-    mesh.kill_node(0).await.expect("it ends");
+    mesh.kill_node(0).await.expect("the node exits");
     mesh.extra_arguments = [
         "--caller-header-timeout-ms=500",
         "--caller-connections-max=4",
     ]
     .map(str::to_owned)
     .to_vec();
-    mesh.start_node(0).await.expect("it starts");
+    mesh.start_node(0).await.expect("the node starts");
     mesh.wait_enforced(1).await;
     let entry = mesh.vms[0].node().addresses.caller;
 
--- a/tests/testsuite/users_requests.rs
+++ b/tests/testsuite/users_requests.rs
@@ -54,7 +54,7 @@
             served += 1;
         }
     }
-    assert!(served >= 40, "{served} of 60");
+    assert!(served >= 40, "{served} of 60 requests were served");
 }
 
 /// A response without a length ends when its connection closes. It must be forwarded completely,
