--- a/src/proxy/backend/tests.rs
+++ b/src/proxy/backend/tests.rs
@@ -184,7 +184,7 @@
 /// response that is read completely must belong to its own request and come from the current
 /// backend server.
 #[test]
-fn reused_connections_never_mix_answers() {
+fn reused_connections_never_mix_up_responses() {
     let mut runner = TestRunner::new(Config {
         cases: CASES,
         rng_seed: RngSeed::Fixed(SEED),
@@ -211,7 +211,7 @@
 /// Guards against a payment that is refused because an idle connection, which it must not use,
 /// takes the last place.
 #[tokio::test]
-async fn an_idle_connection_makes_room_for_a_request_that_may_not_use_it() {
+async fn an_idle_connection_is_closed_for_a_request_that_must_not_reuse_it() {
     let harness = Harness::start().await;
     harness.pool.set_connections_max(1);
     let address = harness.backends[0].address;
--- a/src/proxy/entry/routed_request.rs
+++ b/src/proxy/entry/routed_request.rs
@@ -27,7 +27,7 @@
 use crate::proxy::{gate, headers, uploads};
 use crate::util::clock;
 
-/// A request that matched a route, of a caller or of a local backend server.
+/// A request that matched a route, with the limits that apply to it.
 pub(super) struct RoutedRequest<'a> {
     pub(super) node: &'a Arc<ProxyState>,
     pub(super) parts: &'a Parts,
@@ -120,7 +120,7 @@
     fn choose_endpoint(&self, tried: &[NodeId]) -> Option<Endpoint> {
         let view = self.node.view.load();
         let Some(ranked) = view.endpoints.get(self.service()) else {
-            self.log_not_placed(0, tried.len());
+            self.log_no_endpoint(0, tried.len());
             return None;
         };
         let need = Need {
@@ -134,10 +134,10 @@
         let now_us = clock::since_us(self.node.started);
         let mut balancer = self.node.balancer();
         let Some(endpoint) = balancer.choose(now_us, ranked, &need, &mut rand::rng()) else {
-            self.log_not_placed(ranked.iter().count(), tried.len());
+            self.log_no_endpoint(ranked.iter().count(), tried.len());
             return None;
         };
-        self.log_placed(
+        self.log_endpoint_chosen(
             &endpoint,
             &balancer.believed(now_us, &endpoint, &need),
             tried.len(),
@@ -156,7 +156,12 @@
         u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn log_placed(&self, endpoint: &Endpoint, believed: &Believed, tried_endpoints: usize) {
+    fn log_endpoint_chosen(
+        &self,
+        endpoint: &Endpoint,
+        believed: &Believed,
+        tried_endpoints: usize,
+    ) {
         if !self.node.log_limiter.may_log(LogClass::Routine) {
             return;
         }
@@ -176,7 +181,7 @@
         );
     }
 
-    fn log_not_placed(&self, known_endpoints: usize, tried_endpoints: usize) {
+    fn log_no_endpoint(&self, known_endpoints: usize, tried_endpoints: usize) {
         if !self.node.log_limiter.may_log(LogClass::Notable) {
             return;
         }
@@ -364,9 +369,9 @@
 }
 
 /// Failure for a response without a load header, which a gate sends with each response to a valid
-/// request. Such a response comes from a node that refused the mesh token before it reached the gate, or from a program that is not a
-/// node, because the VM's address was reassigned. Only a `not-run` verdict from the mesh proves
-/// that the request did not run.
+/// request. Such a response comes from a node that refused the mesh token before the request
+/// reached the gate, or from a program that is not a node, because the VM's address was reassigned.
+/// Only a `not-run` verdict from the mesh proves that the request did not run.
 fn failure_without_load(headers: &HeaderMap) -> Failure {
     match Failure::from_headers(headers) {
         Some(failure) if failure.verdict == Verdict::NotRun => {
