--- a/src/proxy/backend.rs
+++ b/src/proxy/backend.rs
@@ -17,7 +17,7 @@
 
 use super::body::{self, Body, BoxError, GuardedBody};
 use super::failure::{Failure, Reason};
-use crate::core::mechanism::{Mechanism, Without};
+use crate::core::mechanism::{Mechanism, MechanismSwitches};
 use crate::util::dial::dial;
 
 #[cfg(test)]
@@ -59,7 +59,7 @@
     connections_max: Arc<AtomicU32>,
     /// Notified when a connection has closed.
     closed: Arc<Notify>,
-    without: Without,
+    without: MechanismSwitches,
 }
 
 /// Counts a connection as open until dropped.
@@ -77,7 +77,7 @@
 
 impl BackendPool {
     /// Creates an empty pool.
-    pub(crate) fn new(without: Without) -> Self {
+    pub(crate) fn new(without: MechanismSwitches) -> Self {
         Self {
             without,
             ..Self::default()
@@ -199,7 +199,7 @@
     /// Takes the most recently used idle connection, if it has been idle for less than `idle_max`.
     fn take_idle(&self, address: SocketAddr, idle_max: Duration) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let reuse_any_idle = !self.without.has(Mechanism::ShortRests);
+        let reuse_any_idle = !self.without.is_enabled(Mechanism::IdleConnectionLimit);
         idle.retain(|connection| {
             let is_kept = connection.address == address && !connection.sender.is_closed();
             is_kept
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -18,10 +18,10 @@
 use super::replay::ReplayableBody;
 use super::running_requests::{InheritedContext, RetryBudget};
 use crate::core::mechanism::Mechanism;
-use crate::core::routing::{Branch, Route};
+use crate::core::routing::{ResolvedTarget, Route};
 use crate::decide::retry::{self, Attempts};
 use crate::decide::split;
-use crate::distribution::Applied;
+use crate::distribution::CompiledConfiguration;
 use crate::proxy::state::ProxyState;
 
 mod request_log;
@@ -31,7 +31,7 @@
 /// answered. Only idempotent requests may: if the connection closes before the response, the caller
 /// sends the request again.
 pub(crate) fn may_start_early(node: &ProxyState, parts: &Parts) -> bool {
-    if !node.without().has(Mechanism::EarlyStart) {
+    if !node.without().is_enabled(Mechanism::PipelinedStart) {
         return false;
     }
     let applied = node.enforced.load();
@@ -40,7 +40,7 @@
     };
     let route = requested_host(parts).and_then(|host| find_route(applied, parts, host.host()).ok());
     route.is_some_and(|route| {
-        let mut branches = route.branches.iter();
+        let mut branches = route.targets.iter();
         branches.all(|branch| branch.treatment.idempotent)
     })
 }
@@ -146,7 +146,7 @@
 
 async fn route_and_run(
     node: &Arc<ProxyState>,
-    applied: &Applied,
+    applied: &CompiledConfiguration,
     parts: &Parts,
     body: &ReplayableBody,
     mut context: RequestContext,
@@ -194,7 +194,11 @@
     }
 }
 
-fn find_route<'a>(applied: &'a Applied, parts: &Parts, host: &str) -> Result<&'a Route, Failure> {
+fn find_route<'a>(
+    applied: &'a CompiledConfiguration,
+    parts: &Parts,
+    host: &str,
+) -> Result<&'a Route, Failure> {
     let (method, path) = (parts.method.as_str(), parts.uri.path());
     if let Some(route) = applied.routes.find(host, method, path) {
         return Ok(route);
@@ -206,14 +210,14 @@
     Err(Failure::not_run(reason))
 }
 
-fn choose_branch(route: &Route) -> &Branch {
-    let weights = route.branches.iter().map(|branch| branch.weight);
-    &route.branches[split::branch(weights, route.next_turn())]
+fn choose_branch(route: &Route) -> &ResolvedTarget {
+    let weights = route.targets.iter().map(|branch| branch.weight);
+    &route.targets[split::branch(weights, route.next_request_number())]
 }
 
 /// Rejects a body whose declared length exceeds the limit. A body of unknown length is not checked
 /// here.
-fn check_body_len(applied: &Applied, body: &ReplayableBody) -> Result<(), Failure> {
+fn check_body_len(applied: &CompiledConfiguration, body: &ReplayableBody) -> Result<(), Failure> {
     let limits = applied.configuration.caller_limits();
     let body_max_bytes = limits.map_or(u64::MAX, |limits| limits.body_max_bytes);
     match body.min_len_bytes() > body_max_bytes {
--- a/src/proxy/entry/routed_request.rs
+++ b/src/proxy/entry/routed_request.rs
@@ -12,7 +12,7 @@
 use crate::core::mechanism::Mechanism;
 use crate::core::member::NodeId;
 use crate::core::names::ServiceName;
-use crate::core::routing::Branch;
+use crate::core::routing::ResolvedTarget;
 use crate::core::verdict::Verdict;
 use crate::decide::intake::SMALL_BYTES;
 use crate::decide::patience;
@@ -33,7 +33,7 @@
     pub(super) parts: &'a Parts,
     /// Host that the caller requested.
     pub(super) host: &'a Authority,
-    pub(super) branch: &'a Branch,
+    pub(super) branch: &'a ResolvedTarget,
     pub(super) slots: u32,
     pub(super) body_bytes: u64,
     pub(super) started_at: Instant,
@@ -269,7 +269,7 @@
     }
 
     fn is_large(&self) -> bool {
-        self.body_bytes > SMALL_BYTES && self.node.without().has(Mechanism::UploadTurns)
+        self.body_bytes > SMALL_BYTES && self.node.without().is_enabled(Mechanism::UploadScheduling)
     }
 
     /// Requests an upload permit, and sends the request with its body once the permit is granted.
--- a/src/proxy/failure.rs
+++ b/src/proxy/failure.rs
@@ -225,7 +225,7 @@
     pub(crate) fn from_headers(headers: &HeaderMap) -> Option<Self> {
         let verdict = headers::get_str(headers, &headers::VERDICT)?;
         let reason = headers::get_str(headers, &headers::REASON).and_then(Reason::from_code);
-        let failure = match Verdict::from_word(verdict) {
+        let failure = match Verdict::from_header_value(verdict) {
             Verdict::NotRun => Self::not_run(reason.unwrap_or(Reason::Full)),
             _ => Self::may_have_run(reason.unwrap_or(Reason::Lost)),
         };
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -161,7 +161,7 @@
             .handshake(TokioIo::new(stream))
             .await?;
         tokio::spawn(connection);
-        let token = self.dial_options.token.to_send().map(headers::to_value);
+        let token = self.dial_options.token.outgoing().map(headers::to_value);
         Ok(PeerSender { requests, token })
     }
 }
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -22,15 +22,15 @@
 use super::slots::{self, DecisionSender};
 use super::uploads::permits::{self, ReservedPermits};
 use super::view::MembershipView;
-use crate::core::mechanism::Without;
+use crate::core::mechanism::MechanismSwitches;
 use crate::core::member::NodeId;
 use crate::core::names::ServiceName;
 use crate::decide::admission::{Admission, Limits};
 use crate::decide::intake::{Intake, LinkShare};
 use crate::decide::placement::{Balancer, LoadReport};
 use crate::decide::retry::{RetryPolicy, ServiceTokens};
-use crate::distribution::Applied;
-use crate::node::settings::{Settings, Tunable};
+use crate::distribution::CompiledConfiguration;
+use crate::node::settings::{ReloadableSettings, Settings};
 use crate::util::clock;
 
 /// Gap between two ticks from which the process counts as having been frozen.
@@ -42,11 +42,11 @@
 pub(crate) struct ProxyState {
     pub(crate) settings: Settings,
     /// Settings that can change while the node runs, with their current values.
-    pub(crate) tunable: ArcSwap<Tunable>,
+    pub(crate) tunable: ArcSwap<ReloadableSettings>,
     pub(crate) header_profile: &'static HeaderProfile,
     pub(crate) local_id: NodeId,
     pub(crate) started: Instant,
-    pub(crate) enforced: ArcSwapOption<Applied>,
+    pub(crate) enforced: ArcSwapOption<CompiledConfiguration>,
     pub(crate) view: ArcSwap<MembershipView>,
     /// Load and failures of endpoints, as this node has observed them as an entry node.
     balancer: Mutex<Balancer>,
@@ -118,7 +118,7 @@
         let configured = configured.filter(|_| !settings.backend_server_announces);
         let backend = configured.map(|configured| Arc::new(LocalBackend::from(configured)));
         let link_share = LinkShare::of_link(settings.link_kbit_per_s);
-        let without = settings.without;
+        let without = settings.disabled_mechanisms;
         Self {
             link_share,
             intake: Mutex::new(Intake::new(link_share)),
@@ -126,7 +126,7 @@
             incoming_uploads: AtomicU32::new(0),
             reserved_permits: ReservedPermits::default(),
             header_profile,
-            tunable: ArcSwap::from_pointee(settings.tunable()),
+            tunable: ArcSwap::from_pointee(settings.reloadable()),
             peers: PeerConnections::new(settings.dial_options()),
             local_id,
             started: Instant::now(),
@@ -150,8 +150,8 @@
     }
 
     /// Mechanisms that the operator has switched off.
-    pub(crate) fn without(&self) -> Without {
-        self.settings.without
+    pub(crate) fn without(&self) -> MechanismSwitches {
+        self.settings.disabled_mechanisms
     }
 
     /// Milliseconds since the process started.
@@ -263,7 +263,7 @@
 }
 
 /// Slot and queue limits of a backend server, and its number of connections.
-fn backend_limits(backend: &LocalBackend, applied: &Applied) -> (Limits, u32) {
+fn backend_limits(backend: &LocalBackend, applied: &CompiledConfiguration) -> (Limits, u32) {
     let Some(service) = applied.configuration.service(&backend.service) else {
         return (Limits::default(), 0);
     };
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -18,7 +18,7 @@
 impl MembershipView {
     pub(crate) fn new(members: Vec<Member>, local_id: NodeId, local_place: &Place) -> Self {
         let mut endpoints: HashMap<ServiceName, Ranked> = HashMap::new();
-        for member in members.iter().filter(|member| member.takes_work()) {
+        for member in members.iter().filter(|member| member.accepts_requests()) {
             let service = member
                 .service
                 .clone()
