--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -107,7 +107,12 @@
 
     fn leads(&self) -> Leads {
         let leads = self.node.leads.borrow().clone();
-        match self.node.proxy.without().is_enabled(Mechanism::StoreReader) {
+        match self
+            .node
+            .proxy
+            .mechanisms()
+            .is_enabled(Mechanism::StoreReader)
+        {
             true => leads,
             false => Leads {
                 higher_ranked: Vec::new(),
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -89,11 +89,11 @@
             return;
         }
     };
-    let before = node.proxy.tunable.load();
+    let before = node.proxy.reloadable.load();
     let now = read.reloadable();
     let changed = **before != now;
     let pending_restart = needs_restart(&node.proxy.settings, &read).join(", ");
-    node.proxy.tunable.store(Arc::new(now));
+    node.proxy.reloadable.store(Arc::new(now));
     node.proxy.update_retry_policy();
     log::info!(changed, needs_restart = pending_restart; "read the settings file again");
 }
--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -145,7 +145,7 @@
         configuration.clone(),
         shutdown.all.clone(),
     ));
-    let disabled_mechanisms = node.proxy.without();
+    let disabled_mechanisms = node.proxy.mechanisms();
     if !disabled_mechanisms.all_enabled() {
         log::warn!(disabled_mechanisms:%; "mechanisms are switched off");
     }
@@ -247,7 +247,7 @@
         let _ = self
             .membership
             .cast(MembershipMsg::SetBackend(service, BackendState::Draining));
-        let drain_timeout_ms = self.node.proxy.tunable.load().drain_timeout_ms;
+        let drain_timeout_ms = self.node.proxy.reloadable.load().drain_timeout_ms;
         let drain_timeout = Duration::from_millis(drain_timeout_ms);
         if tokio::time::timeout(drain_timeout, self.wait_for_requests())
             .await
@@ -271,7 +271,8 @@
         // Callers' connections that have been idle so long are closed; until then an answer says that
         // it is the last on its connection. A caller that sends while its idle connection is being
         // closed cannot know whether its request was read, so few are to be closed that way.
-        let min_serving_time = Duration::from_millis(self.node.proxy.tunable.load().stop_least_ms);
+        let min_serving_time =
+            Duration::from_millis(self.node.proxy.reloadable.load().stop_least_ms);
         // Whatever the gate is asked from now on it refuses at once, so a request that comes
         // after the last one has ended cannot be lost by not being waited for.
         self.node.proxy.gate_requests.close();
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -71,7 +71,7 @@
 
     /// Shares of the time within which a version is to be in force.
     pub(crate) fn budget(&self) -> ApplyBudget {
-        ApplyBudget::new(self.proxy.tunable.load().apply_within_ms)
+        ApplyBudget::new(self.proxy.reloadable.load().apply_within_ms)
     }
 
     /// Lets [`Self::send_to_membership`] and the request path reach the actor.
--- a/src/proxy/backend.rs
+++ b/src/proxy/backend.rs
@@ -59,7 +59,7 @@
     connections_max: Arc<AtomicU32>,
     /// Notified when a connection has closed.
     closed: Arc<Notify>,
-    without: MechanismSwitches,
+    mechanisms: MechanismSwitches,
 }
 
 /// Counts a connection as open until dropped.
@@ -77,9 +77,9 @@
 
 impl BackendPool {
     /// Creates an empty pool.
-    pub(crate) fn new(without: MechanismSwitches) -> Self {
+    pub(crate) fn new(mechanisms: MechanismSwitches) -> Self {
         Self {
-            without,
+            mechanisms,
             ..Self::default()
         }
     }
@@ -199,7 +199,7 @@
     /// Takes the most recently used idle connection, if it has been idle for less than `idle_max`.
     fn take_idle(&self, address: SocketAddr, idle_max: Duration) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let reuse_any_idle = !self.without.is_enabled(Mechanism::IdleConnectionLimit);
+        let reuse_any_idle = !self.mechanisms.is_enabled(Mechanism::IdleConnectionLimit);
         idle.retain(|connection| {
             let is_kept = connection.address == address && !connection.sender.is_closed();
             is_kept
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -31,17 +31,18 @@
 /// answered. Only idempotent requests may: if the connection closes before the response, the caller
 /// sends the request again.
 pub(crate) fn may_start_early(node: &ProxyState, parts: &Parts) -> bool {
-    if !node.without().is_enabled(Mechanism::PipelinedStart) {
+    if !node.mechanisms().is_enabled(Mechanism::PipelinedStart) {
         return false;
     }
-    let applied = node.enforced.load();
-    let Some(applied) = applied.as_ref().filter(|_| !node.leaving.is_cancelled()) else {
+    let compiled = node.enforced.load();
+    let Some(compiled) = compiled.as_ref().filter(|_| !node.leaving.is_cancelled()) else {
         return false;
     };
-    let route = requested_host(parts).and_then(|host| find_route(applied, parts, host.host()).ok());
+    let route =
+        requested_host(parts).and_then(|host| find_route(compiled, parts, host.host()).ok());
     route.is_some_and(|route| {
-        let mut branches = route.targets.iter();
-        branches.all(|branch| branch.treatment.idempotent)
+        let mut targets = route.targets.iter();
+        targets.all(|target| target.treatment.idempotent)
     })
 }
 
@@ -53,20 +54,20 @@
 ) -> Response<Body> {
     // A request uses one configuration from start to end, even if a newer one takes effect
     // meanwhile.
-    let applied = node.enforced.load_full();
-    let version = applied
+    let compiled = node.enforced.load_full();
+    let version = compiled
         .as_ref()
-        .map_or(0, |applied| applied.stamp.version.0);
+        .map_or(0, |compiled| compiled.stamp.version.0);
     let context = RequestContext::from_request(&node, &parts);
     let id = request_id(&node, &parts);
     headers::strip_hop_by_hop(&mut parts.headers);
     headers::strip_mesh_headers(&mut parts.headers);
     add_backend_headers(&node, &mut parts, id.clone());
-    let request_log = RequestLog::new(&node, &id, target(&parts), version);
-    let result = match applied {
+    let request_log = RequestLog::new(&node, &id, host_and_path(&parts), version);
+    let result = match compiled {
         _ if !node.is_fresh() => Err(Failure::not_run(Reason::Refreshing)),
         None => Err(Failure::not_run(Reason::NoConfiguration)),
-        Some(applied) => route_and_run(&node, &applied, &parts, &body, context).await,
+        Some(compiled) => route_and_run(&node, &compiled, &parts, &body, context).await,
     };
     request_log.finish(&result);
     let mut response = match result {
@@ -146,26 +147,26 @@
 
 async fn route_and_run(
     node: &Arc<ProxyState>,
-    applied: &CompiledConfiguration,
+    compiled: &CompiledConfiguration,
     parts: &Parts,
     body: &ReplayableBody,
     mut context: RequestContext,
 ) -> Result<Response<Body>, Failure> {
     let host = requested_host(parts).ok_or(Failure::not_run(Reason::BadRequest))?;
-    let route = find_route(applied, parts, host.host())?;
+    let route = find_route(compiled, parts, host.host())?;
     if context.depth > retry::DEPTH_MAX {
         return Err(Failure::not_run(Reason::TooDeep));
     }
-    check_body_len(applied, body)?;
-    let branch = choose_branch(route);
-    let service = applied.configuration.service(&branch.service);
-    let timeout = Duration::from_millis(u64::from(branch.treatment.timeout_ms));
+    check_body_len(compiled, body)?;
+    let target = choose_target(route);
+    let service = compiled.configuration.service(&target.service);
+    let timeout = Duration::from_millis(u64::from(target.treatment.timeout_ms));
     let route_deadline = Instant::now() + timeout;
     let request = RoutedRequest {
         node,
         parts,
         host: &host,
-        branch,
+        target,
         slots: service.map_or(1, |service| service.slots_per_endpoint),
         body_bytes: body.min_len_bytes(),
         started_at: Instant::now(),
@@ -174,7 +175,7 @@
             .map_or(route_deadline, |inherited| inherited.min(route_deadline)),
         depth: context.depth,
     };
-    let mut attempts = Attempts::new(&branch.treatment, context.budget.retries);
+    let mut attempts = Attempts::new(&target.treatment, context.budget.retries);
     let cancellation = context.cancellation.clone();
     // Dropping this future cancels the running attempt, up to the backend server.
     let outcome = cancellation.run_until_cancelled(request.run(body, &mut attempts));
@@ -195,30 +196,30 @@
 }
 
 fn find_route<'a>(
-    applied: &'a CompiledConfiguration,
+    compiled: &'a CompiledConfiguration,
     parts: &Parts,
     host: &str,
 ) -> Result<&'a Route, Failure> {
     let (method, path) = (parts.method.as_str(), parts.uri.path());
-    if let Some(route) = applied.routes.find(host, method, path) {
+    if let Some(route) = compiled.routes.find(host, method, path) {
         return Ok(route);
     }
-    let reason = match applied.routes.has_host(host) {
+    let reason = match compiled.routes.has_host(host) {
         true => Reason::NoRoute,
         false => Reason::NoService,
     };
     Err(Failure::not_run(reason))
 }
 
-fn choose_branch(route: &Route) -> &ResolvedTarget {
-    let weights = route.targets.iter().map(|branch| branch.weight);
+fn choose_target(route: &Route) -> &ResolvedTarget {
+    let weights = route.targets.iter().map(|target| target.weight);
     &route.targets[split::branch(weights, route.next_request_number())]
 }
 
 /// Rejects a body whose declared length exceeds the limit. A body of unknown length is not checked
 /// here.
-fn check_body_len(applied: &CompiledConfiguration, body: &ReplayableBody) -> Result<(), Failure> {
-    let limits = applied.configuration.caller_limits();
+fn check_body_len(compiled: &CompiledConfiguration, body: &ReplayableBody) -> Result<(), Failure> {
+    let limits = compiled.configuration.caller_limits();
     let body_max_bytes = limits.map_or(u64::MAX, |limits| limits.body_max_bytes);
     match body.min_len_bytes() > body_max_bytes {
         true => Err(Failure::not_run(Reason::BodyTooLong)),
@@ -227,7 +228,7 @@
 }
 
 /// Host and path of a request, for log lines.
-fn target(parts: &Parts) -> String {
+fn host_and_path(parts: &Parts) -> String {
     let host = requested_host(parts);
     let host = host.as_ref().map_or("", Authority::host);
     format!("{host}{}", parts.uri.path())
--- a/src/proxy/entry/routed_request.rs
+++ b/src/proxy/entry/routed_request.rs
@@ -33,7 +33,7 @@
     pub(super) parts: &'a Parts,
     /// Host that the caller requested.
     pub(super) host: &'a Authority,
-    pub(super) branch: &'a ResolvedTarget,
+    pub(super) target: &'a ResolvedTarget,
     pub(super) slots: u32,
     pub(super) body_bytes: u64,
     pub(super) started_at: Instant,
@@ -43,7 +43,7 @@
 
 impl RoutedRequest<'_> {
     fn service(&self) -> &ServiceName {
-        &self.branch.service
+        &self.target.service
     }
 
     pub(super) async fn run(
@@ -53,7 +53,7 @@
     ) -> Result<Response<Body>, Failure> {
         self.node.retry_tokens().entry_for(self.service()).earn();
         let mut tried: Vec<NodeId> = Vec::new();
-        let mut search = Search::new(self.node.without());
+        let mut search = Search::new(self.node.mechanisms());
         let mut verdict = Verdict::NotRun;
         let mut last_failure = None;
         loop {
@@ -99,8 +99,8 @@
 
     /// When the target latency has passed.
     fn due(&self) -> Instant {
-        let target_ms = self.branch.treatment.target_latency_ms;
-        let target_ms = target_ms.unwrap_or(self.branch.treatment.timeout_ms);
+        let target_ms = self.target.treatment.target_latency_ms;
+        let target_ms = target_ms.unwrap_or(self.target.treatment.timeout_ms);
         self.started_at + Duration::from_millis(u64::from(target_ms))
     }
 
@@ -124,9 +124,9 @@
             return None;
         };
         let need = Need {
-            spill: self.branch.treatment.spill,
+            spill: self.target.treatment.spill,
             slots: self.slots,
-            resource: &self.branch.resource,
+            resource: &self.target.resource,
             limits: self.time_limits(),
             body_bytes: self.body_bytes,
             tried,
@@ -168,7 +168,7 @@
         log::info!(
             request_id = self.request_id(),
             service:% = self.service(),
-            resource:% = self.branch.resource,
+            resource:% = self.target.resource,
             node:% = endpoint.node,
             tried_endpoints,
             in_hand = believed.in_hand,
@@ -206,7 +206,7 @@
             node:% = endpoint.node,
             verdict = failure.verdict.as_str(),
             reason = failure.reason.code(),
-            idempotent = self.branch.treatment.idempotent,
+            idempotent = self.target.treatment.idempotent,
             retry,
             remaining_ms = self.remaining_ms();
             "an attempt failed: {}", failure.reason.as_str()
@@ -216,16 +216,16 @@
     /// Metadata of an attempt for the gate. With `waits`, the request may queue there for a slot;
     /// otherwise it is refused unless a slot is free.
     fn hop(&self, retries: u32, waits: bool) -> Hop {
-        let treatment = &self.branch.treatment;
+        let treatment = &self.target.treatment;
         let patience = match waits {
             true if self.is_nested() => patience::of_call(treatment),
-            true => patience::of_caller(treatment, self.node.without()),
+            true => patience::of_caller(treatment, self.node.mechanisms()),
             false => Duration::ZERO,
         };
         let now = Instant::now();
         Hop {
             service: self.service().clone(),
-            resource: self.branch.resource.clone(),
+            resource: self.target.resource.clone(),
             class: treatment.class,
             rank: treatment.priority,
             idempotent: treatment.idempotent,
@@ -262,14 +262,18 @@
         self.record_outcome(&endpoint, &result);
         if let Ok(response) = &result {
             let bytes = response.body().size_hint().lower();
-            self.node.balancer().answered(&self.branch.resource, bytes);
+            self.node.balancer().answered(&self.target.resource, bytes);
         }
         result
             .map(|response| response.map(|inner| body::boxed(GuardedBody::new(inner, outstanding))))
     }
 
     fn is_large(&self) -> bool {
-        self.body_bytes > SMALL_BYTES && self.node.without().is_enabled(Mechanism::UploadScheduling)
+        self.body_bytes > SMALL_BYTES
+            && self
+                .node
+                .mechanisms()
+                .is_enabled(Mechanism::UploadScheduling)
     }
 
     /// Requests an upload permit, and sends the request with its body once the permit is granted.
@@ -324,7 +328,7 @@
 
     fn record_load(&self, endpoint: &Endpoint, load: LoadReport) {
         let now_us = clock::since_us(self.node.started);
-        let resource = &self.branch.resource;
+        let resource = &self.target.resource;
         let mut balancer = self.node.balancer();
         balancer.reported(now_us, endpoint.node, resource, load);
     }
--- a/src/proxy/health.rs
+++ b/src/proxy/health.rs
@@ -28,10 +28,10 @@
 /// Checks the backend server that sent `announcement`.
 pub(crate) async fn check(node: &ProxyState, announcement: &Announcement) -> Health {
     let enforced = node.enforced.load_full();
-    let Some(applied) = enforced else {
+    let Some(compiled) = enforced else {
         return Health::Unknown;
     };
-    let service = applied.configuration.service(&announcement.service);
+    let service = compiled.configuration.service(&announcement.service);
     let path = service.and_then(|service| service.health_path.as_deref());
     let Some(path) = path else {
         return from_announcement(announcement);
--- a/src/proxy/listener/callers.rs
+++ b/src/proxy/listener/callers.rs
@@ -98,7 +98,7 @@
     let settings = &node.settings;
     let enforced = node.enforced.load();
     let limits = enforced.as_ref();
-    match limits.and_then(|applied| applied.configuration.caller_limits()) {
+    match limits.and_then(|compiled| compiled.configuration.caller_limits()) {
         Some(limits) => HttpLimits {
             head_max_bytes: limits.header_max_bytes as usize,
             head_timeout: Duration::from_millis(u64::from(limits.header_timeout_ms)),
--- a/src/proxy/listener/peers.rs
+++ b/src/proxy/listener/peers.rs
@@ -90,7 +90,7 @@
             Err(never) => match never {},
         };
     };
-    let check_enabled = node.without().is_enabled(Mechanism::TransitDelayCheck);
+    let check_enabled = node.mechanisms().is_enabled(Mechanism::TransitDelayCheck);
     let delay = {
         let mut transit = transit.lock().unwrap_or_else(PoisonError::into_inner);
         let delay_us = transit.delay_us(clock::boot_us(), sent_us);
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -42,7 +42,7 @@
 pub(crate) struct ProxyState {
     pub(crate) settings: Settings,
     /// Settings that can change while the node runs, with their current values.
-    pub(crate) tunable: ArcSwap<ReloadableSettings>,
+    pub(crate) reloadable: ArcSwap<ReloadableSettings>,
     pub(crate) header_profile: &'static HeaderProfile,
     pub(crate) local_id: NodeId,
     pub(crate) started: Instant,
@@ -118,7 +118,7 @@
         let configured = configured.filter(|_| !settings.backend_server_announces);
         let backend = configured.map(|configured| Arc::new(LocalBackend::from(configured)));
         let link_share = LinkShare::of_link(settings.link_kbit_per_s);
-        let without = settings.disabled_mechanisms;
+        let mechanisms = settings.disabled_mechanisms;
         Self {
             link_share,
             intake: Mutex::new(Intake::new(link_share)),
@@ -126,18 +126,18 @@
             incoming_uploads: AtomicU32::new(0),
             reserved_permits: ReservedPermits::default(),
             header_profile,
-            tunable: ArcSwap::from_pointee(settings.reloadable()),
+            reloadable: ArcSwap::from_pointee(settings.reloadable()),
             peers: PeerConnections::new(settings.dial_options()),
             local_id,
             started: Instant::now(),
             enforced: ArcSwapOption::empty(),
             view: ArcSwap::default(),
-            balancer: Mutex::new(Balancer::new(without)),
+            balancer: Mutex::new(Balancer::new(mechanisms)),
             retry_tokens: Mutex::default(),
-            admission: Mutex::new(Admission::new(without)),
+            admission: Mutex::new(Admission::new(mechanisms)),
             backend: ArcSwapOption::from(backend),
             on_backend_lost: BackendLostCallback::default(),
-            pool: BackendPool::new(without),
+            pool: BackendPool::new(mechanisms),
             running_requests: RunningRequests::default(),
             log_limiter: LogLimiter::default(),
             refreshing: AtomicBool::new(false),
@@ -150,7 +150,7 @@
     }
 
     /// Mechanisms that the operator has switched off.
-    pub(crate) fn without(&self) -> MechanismSwitches {
+    pub(crate) fn mechanisms(&self) -> MechanismSwitches {
         self.settings.disabled_mechanisms
     }
 
@@ -187,11 +187,11 @@
 
     /// Applies the retry settings and the current number of nodes to the retry tokens.
     pub(crate) fn update_retry_policy(&self) {
-        let tunable = self.tunable.load();
-        let (percent, reserve) = (tunable.retry_percent, tunable.retry_reserve);
+        let reloadable = self.reloadable.load();
+        let (percent, reserve) = (reloadable.retry_percent, reloadable.retry_reserve);
         let policy = RetryPolicy::of_entry(percent, reserve, self.view.load().alive_count());
         self.retry_tokens()
-            .set_policy(policy.without(self.without()));
+            .set_policy(policy.without(self.mechanisms()));
     }
 
     pub(crate) fn retry_tokens(&self) -> MutexGuard<'_, ServiceTokens> {
@@ -239,9 +239,9 @@
     /// server.
     pub(crate) fn update_slot_limits(&self) {
         let backend = self.backend.load_full();
-        let applied = self.enforced.load_full();
-        let (limits, connections) = match backend.as_ref().zip(applied.as_ref()) {
-            Some((backend, applied)) => backend_limits(backend, applied),
+        let compiled = self.enforced.load_full();
+        let (limits, connections) = match backend.as_ref().zip(compiled.as_ref()) {
+            Some((backend, compiled)) => backend_limits(backend, compiled),
             None => (Limits::default(), 0),
         };
         self.pool.set_connections_max(connections);
@@ -263,8 +263,8 @@
 }
 
 /// Slot and queue limits of a backend server, and its number of connections.
-fn backend_limits(backend: &LocalBackend, applied: &CompiledConfiguration) -> (Limits, u32) {
-    let Some(service) = applied.configuration.service(&backend.service) else {
+fn backend_limits(backend: &LocalBackend, compiled: &CompiledConfiguration) -> (Limits, u32) {
+    let Some(service) = compiled.configuration.service(&backend.service) else {
         return (Limits::default(), 0);
     };
     let connections = service.connections_per_endpoint;
--- a/src/proxy/uploads.rs
+++ b/src/proxy/uploads.rs
@@ -68,7 +68,7 @@
     source: BodySource,
 ) -> Result<Body, Failure> {
     let len_bytes = body.size_hint().upper();
-    let uses_permits = node.without().is_enabled(Mechanism::UploadScheduling);
+    let uses_permits = node.mechanisms().is_enabled(Mechanism::UploadScheduling);
     if !uses_permits || len_bytes.is_some_and(|len_bytes| len_bytes <= SMALL_BYTES) {
         return Ok(body);
     }
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -22,7 +22,7 @@
             let service = member
                 .service
                 .clone()
-                .expect("takes_work is true only with a service");
+                .expect("accepts_requests is true only with a service");
             endpoints
                 .entry(service)
                 .or_default()
