--- a/src/proxy/failure.rs
+++ b/src/proxy/failure.rs
@@ -20,7 +20,7 @@
 pub(crate) enum Reason {
     /// This node enforces no configuration yet.
     NoConfiguration,
-    /// This node was frozen and has not refreshed its state yet.
+    /// This node was frozen and has not refreshed its configuration yet.
     Refreshing,
     /// The configuration has no service for the host.
     NoService,
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -70,7 +70,7 @@
     /// Limits the rate of log lines about requests.
     pub(crate) log_limiter: LogLimiter,
     pub(crate) peers: PeerConnections,
-    /// Set when the process was frozen, until it has refreshed its configuration and membership.
+    /// Set when the process was frozen, until it has refreshed its configuration.
     pub(crate) refreshing: AtomicBool,
     /// Time of the last tick, in milliseconds since `started`.
     pub(crate) last_tick_ms: AtomicU64,
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Whether the process has run without a freeze since it last refreshed its state.
+    /// Whether the process has not been frozen since it last refreshed its configuration.
     pub(crate) fn is_fresh(&self) -> bool {
         let since_tick_ms = self
             .uptime_ms()
--- a/tests/testsuite/requests_drain.rs
+++ b/tests/testsuite/requests_drain.rs
@@ -68,9 +68,9 @@
     let path = "/payments?work_ms=2000";
     let long = tokio::spawn(ask(entry, Method::POST, "cobros", path, "long-1"));
     let position = wait_running(&mesh, "cobros", "long-1").await;
-    let answer = drain(&mesh, position).await;
-    assert_eq!(answer["draining"], true);
-    assert!(answer["in_flight"].as_u64() >= Some(1), "{answer}");
+    let response = drain(&mesh, position).await;
+    assert_eq!(response["draining"], true);
+    assert!(response["in_flight"].as_u64() >= Some(1), "{response}");
     let runs_at_drain = mesh.vms[position].backend.record().runs.len() as u64;
     let reply = long
         .await
@@ -84,7 +84,7 @@
     let failures = collect_failures(callers, &stop).await;
     assert!(failures.is_empty(), "{failures:?}");
     // Requests counted as in flight may start just after the drain response; no others may.
-    let runs_max = runs_at_drain + answer["in_flight"].as_u64().unwrap_or(0);
+    let runs_max = runs_at_drain + response["in_flight"].as_u64().unwrap_or(0);
     let runs_at_end = mesh.vms[position].backend.record().runs.len() as u64;
     assert!(
         runs_at_end <= runs_max,
@@ -192,16 +192,16 @@
         .write_all(&[7; 150_000])
         .await
         .expect("the node reads the request");
-    let mut answer = Vec::new();
+    let mut response = Vec::new();
     upload
-        .read_to_end(&mut answer)
+        .read_to_end(&mut response)
         .await
         .expect("the response is complete");
-    let answer = String::from_utf8_lossy(&answer).to_lowercase();
-    assert!(answer.starts_with("http/1.1 200"), "{:.300}", answer);
-    assert!(answer.contains("connection: close"), "{:.300}", answer);
+    let response = String::from_utf8_lossy(&response).to_lowercase();
+    assert!(response.starts_with("http/1.1 200"), "{:.300}", response);
+    assert!(response.contains("connection: close"), "{:.300}", response);
     let digest = blake3::hash(&[7; 300_000]).to_hex();
-    assert!(answer.contains(digest.as_str()), "{:.300}", answer);
+    assert!(response.contains(digest.as_str()), "{:.300}", response);
     let reply = long
         .await
         .expect("the task does not panic")
--- a/tests/testsuite/requests_untrusted.rs
+++ b/tests/testsuite/requests_untrusted.rs
@@ -17,10 +17,10 @@
         .expect("the node accepts connections");
     // The node may close the connection before it has read everything.
     let _ = stream.write_all(bytes).await;
-    let mut answer = Vec::new();
-    let reading = stream.read_to_end(&mut answer);
+    let mut response = Vec::new();
+    let reading = stream.read_to_end(&mut response);
     let _ = tokio::time::timeout(Duration::from_millis(1_500), reading).await;
-    String::from_utf8_lossy(&answer).into_owned()
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 const QUICK_REQUEST: &[u8] = b"GET /prices/zinc?answer_bytes=10 HTTP/1.1\r\nhost: tablon\r\n\r\n";
@@ -38,23 +38,25 @@
 }
 
 /// Reads the complete response to [`QUICK_REQUEST`].
-async fn read_answer(stream: &mut TcpStream) {
-    let mut answer = Vec::new();
+async fn read_response(stream: &mut TcpStream) {
+    let mut response = Vec::new();
     loop {
-        let head_end = answer.windows(4).position(|four| four == b"\r\n\r\n");
-        if head_end.is_some_and(|end| answer.len() == end + 4 + 10) {
+        let head_end = response.windows(4).position(|four| four == b"\r\n\r\n");
+        if head_end.is_some_and(|end| response.len() == end + 4 + 10) {
             return;
         }
-        let read = stream.read_buf(&mut answer).await;
+        let read = stream.read_buf(&mut response).await;
         assert!(
             read.is_ok_and(|count| count > 0),
-            "connection ended after {answer:?}"
+            "connection ended after {response:?}"
         );
     }
 }
 
-fn statuses(answer: &str) -> Vec<&str> {
-    let lines = answer.lines().filter(|line| line.starts_with("HTTP/1.1 "));
+fn statuses(response: &str) -> Vec<&str> {
+    let lines = response
+        .lines()
+        .filter(|line| line.starts_with("HTTP/1.1 "));
     lines.filter_map(|line| line.get(9..12)).collect()
 }
 
@@ -85,14 +87,14 @@
         format!("{start}content-length:\r\n 0\r\n\r\n{hidden}"),
     ];
     for frame in frames {
-        let answer = exchange_raw(entry, frame.as_bytes()).await;
+        let response = exchange_raw(entry, frame.as_bytes()).await;
         let ran = mesh
             .vms
             .iter()
             .any(|vm| vm.backend.record().runs.contains_key("hidden"));
         assert!(
             !ran,
-            "the hidden request ran after {frame:?}; response: {answer:?}"
+            "the hidden request ran after {frame:?}; response: {response:?}"
         );
     }
 }
@@ -119,8 +121,11 @@
         "GET / HTTP/1.1\r\nhost: tablon\r\nx: {}\r\n\r\n",
         "y".repeat(100_000)
     );
-    let answer = exchange_raw(entry, long.as_bytes()).await;
-    assert!(matches!(statuses(&answer)[..], ["431"] | []), "{answer:?}");
+    let response = exchange_raw(entry, long.as_bytes()).await;
+    assert!(
+        matches!(statuses(&response)[..], ["431"] | []),
+        "{response:?}"
+    );
 
     // The caller sends nothing, or stops in the middle of the head.
     for start in ["", "GET", "GET /prices HTTP/1.1\r\nhost: tab"] {
@@ -131,8 +136,8 @@
             .write_all(start.as_bytes())
             .await
             .expect("the node reads the request");
-        let mut answer = Vec::new();
-        let closed = tokio::time::timeout(LIMIT, stream.read_to_end(&mut answer)).await;
+        let mut response = Vec::new();
+        let closed = tokio::time::timeout(LIMIT, stream.read_to_end(&mut response)).await;
         assert!(closed.is_ok(), "still open after {start:?}");
     }
 
@@ -141,7 +146,7 @@
     let mut streams = Vec::new();
     for _ in 0..5 {
         let mut stream = send(entry, QUICK_REQUEST).await;
-        read_answer(&mut stream).await;
+        read_response(&mut stream).await;
         streams.push(stream);
     }
     let mut rest = Vec::new();
@@ -152,7 +157,7 @@
             .write_all(QUICK_REQUEST)
             .await
             .expect("the connection is still open");
-        read_answer(stream).await;
+        read_response(stream).await;
     }
     drop(streams);
 
--- a/tests/testsuite/users_requests.rs
+++ b/tests/testsuite/users_requests.rs
@@ -20,7 +20,7 @@
     plan
 }
 
-fn assert_own_answer(reply: &Reply, id: &str, bytes: u64) {
+fn assert_own_response(reply: &Reply, id: &str, bytes: u64) {
     assert_eq!(reply.status, 200, "{id}");
     assert_eq!(reply.header(REQUEST_ID), id);
     assert_eq!(reply.header(SEAL), seal_of(id, bytes), "{id}");
@@ -50,7 +50,7 @@
         // A request that received a duplicate in place of its response may have run, so its retries
         // are limited.
         if reply.status != StatusCode::BAD_GATEWAY {
-            assert_own_answer(&reply, &id, bytes);
+            assert_own_response(&reply, &id, bytes);
             served += 1;
         }
     }
@@ -64,7 +64,7 @@
     let mesh = start_users_serving(small()).await;
     let path = format!("/stock/1?bytes=5000&answer={}", Answering::Unframed.word());
     let reply = send(&mesh, &Asked::get(&path, "unframed")).await;
-    assert_own_answer(&reply, "unframed", 5_000);
+    assert_own_response(&reply, "unframed", 5_000);
     let path = format!("/book/1?bytes=5000&answer={}", Answering::Cut.word());
     let reply = mesh.ask(0, &Asked::post(&path, "cut")).await;
     let whole = reply.is_ok_and(|reply| reply.status == 200);
@@ -244,7 +244,7 @@
             ..Asked::post(&path, &id)
         };
         let reply = send(&mesh, &request).await;
-        assert_own_answer(&reply, &id, 64);
+        assert_own_response(&reply, &id, 64);
         let ran = users_runs(&mesh, &id)[0];
         let run = mesh.vms[ran].backend().record().runs[&id][0].clone();
         assert_eq!(run.body_digest, blake3::hash(&body).to_hex().to_string());
@@ -288,7 +288,7 @@
     for number in 0..8 {
         let id = format!("idle-{number}");
         let reply = send(&mesh, &new_request(&id)).await;
-        assert_own_answer(&reply, &id, 64);
+        assert_own_response(&reply, &id, 64);
         tokio::time::sleep(Duration::from_millis(250)).await;
     }
 }
@@ -321,7 +321,7 @@
     for number in 0..READS {
         let id = format!("quiet-{number}");
         let reply = send(&mesh, &Asked::get("/stock/1", &id)).await;
-        assert_own_answer(&reply, &id, 64);
+        assert_own_response(&reply, &id, 64);
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
     let opened = connections() - before;
@@ -372,7 +372,7 @@
     let mesh = start_users_serving(small()).await;
     let path = "/book/1?call=mesh.example/stock/7";
     let reply = send(&mesh, &Asked::post(path, "chain")).await;
-    assert_own_answer(&reply, "chain", 64);
+    assert_own_response(&reply, "chain", 64);
     let called = users_runs(&mesh, "chain.call");
     assert_eq!(called.len(), 1);
     let run = mesh.vms[called[0]].backend().record().runs["chain.call"][0].clone();
@@ -414,7 +414,7 @@
         request.deadline_ms = 60_000;
         async move {
             let reply = send(mesh, &request).await;
-            assert_own_answer(&reply, id, 64);
+            assert_own_response(&reply, id, 64);
         }
     };
     let others = async {
@@ -441,7 +441,7 @@
 async fn an_id_that_extends_no_running_request_is_not_a_call() {
     let mesh = start_users_serving(small()).await;
     let reply = send(&mesh, &Asked::get("/stock/1", "nobody.call")).await;
-    assert_own_answer(&reply, "nobody.call", 64);
+    assert_own_response(&reply, "nobody.call", 64);
     let ran = users_runs(&mesh, "nobody.call")[0];
     let run = mesh.vms[ran].backend().record().runs["nobody.call"][0].clone();
     assert!(run.deadline_ms > Some(4_000), "{run:?}");
