--- a/src/proxy/backend.rs
+++ b/src/proxy/backend.rs
@@ -23,7 +23,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Short, because the backend server is on the same VM.
+/// Timeout for opening a connection. Short, because the backend server is on the same VM.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Read buffer per connection: limits the head of a response, and how much of a response is read
--- a/src/proxy/failure.rs
+++ b/src/proxy/failure.rs
@@ -9,8 +9,8 @@
 use crate::core::verdict::Verdict;
 use crate::decide::retry::Failed;
 
-/// Retry delay where no estimate exists: several times as long as an endpoint's gate needs to apply
-/// a change.
+/// Retry delay where no estimate exists: several times as long as a change takes to reach an
+/// endpoint's gate.
 const RETRY_AFTER_DEFAULT_MS: u64 = 100;
 /// Longest retry delay: estimates beyond half a minute are not reliable.
 const RETRY_AFTER_MAX_MS: u64 = 30_000;
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -17,8 +17,8 @@
 use crate::peer::client::DialOptions;
 use crate::util::dial::dial;
 
-/// Longest wait for a connection. A retransmitted connection attempt takes longer than a request to
-/// another endpoint.
+/// Timeout for opening a connection. An endpoint that does not respond in this time is probably
+/// gone, and a request to another endpoint is faster than a retransmitted connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval and timeout of keep-alive pings. With requests in flight, a frozen or unreachable peer
 /// is detected within twice this time.
