--- a/src/node/backend_announcements.rs
+++ b/src/node/backend_announcements.rs
@@ -6,7 +6,7 @@
 use crate::core::member::BackendState;
 use crate::core::names::InstanceName;
 use crate::core::status::Announcement;
-use crate::decide::announcements::Heard;
+use crate::decide::announcements::AnnouncementOutcome;
 use crate::node::membership::MembershipMsg;
 use crate::node::state::NodeState;
 use crate::proxy::health::{self, Health};
@@ -38,25 +38,25 @@
         if serving && self.is_stopping() {
             return AnnouncementReply::Draining;
         }
-        let outcome = self.announcements().hear(announcement);
+        let outcome = self.announcements().apply(announcement);
         match outcome {
-            Heard::Outdated => {
+            AnnouncementOutcome::Outdated => {
                 log::info!(
                     instance:? = announcement.instance, state:? = announcement.state;
                     "ignored an outdated announcement"
                 );
                 return AnnouncementReply::Accepted;
             }
-            Heard::Unconfirmed => {
+            AnnouncementOutcome::Unconfirmed => {
                 let node = Arc::clone(self);
                 let announcement = announcement.clone();
                 tokio::spawn(async move { node.check_health(&announcement).await });
                 return AnnouncementReply::Accepted;
             }
-            Heard::Repeated if !serving || self.proxy.backend.load().is_some() => {
+            AnnouncementOutcome::Duplicate if !serving || self.proxy.backend.load().is_some() => {
                 return AnnouncementReply::Accepted;
             }
-            Heard::Repeated | Heard::Taken => (),
+            AnnouncementOutcome::Duplicate | AnnouncementOutcome::Accepted => (),
         }
         self.apply_announcement(announcement);
         AnnouncementReply::Accepted
@@ -96,7 +96,7 @@
         let is_own = configured.is_some_and(|configured| {
             configured.service == announcement.service && configured.address == announcement.address
         });
-        if is_own && self.announcements().is_silent() {
+        if is_own && self.announcements().is_empty() {
             log::info!(instance:? = announcement.instance; "restored the backend server from the stored row");
             self.handle_announcement(announcement);
         }
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -25,7 +25,7 @@
 use crate::node::backend_announcements::AnnouncementReply;
 use crate::node::membership::MembershipMsg;
 use crate::node::state::NodeState;
-use crate::platform::listeners;
+use crate::platform::node_requests;
 
 /// Longest body of an announcement; bounds the memory that one request can take.
 const ANNOUNCEMENT_MAX_BYTES: usize = 4 << 10;
@@ -126,7 +126,7 @@
         &self,
         request: Request<Incoming>,
     ) -> Response<Full<Bytes>> {
-        if listeners::asks_readiness(request.method(), request.uri().path()) {
+        if node_requests::is_readiness_probe(request.method(), request.uri().path()) {
             return self.ready();
         }
         let Some(local) = &self.node.proxy.settings.backend_server else {
@@ -137,7 +137,7 @@
             return text(StatusCode::BAD_REQUEST, "the announcement is too long\n");
         };
         let path = parts.uri.path();
-        match listeners::announcement(&parts.method, path, &body.to_bytes(), local) {
+        match node_requests::parse_announcement(&parts.method, path, &body.to_bytes(), local) {
             Ok(announcement) => {
                 // The reply is the same whether or not the announcement has an effect: it was received.
                 self.node.handle_announcement(&announcement);
--- a/src/node/registration.rs
+++ b/src/node/registration.rs
@@ -23,7 +23,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::core::member::Member;
-use crate::decide::pacing::{self, Backoff};
+use crate::decide::backoff::{self, Backoff};
 use crate::membership::neighbours;
 use crate::node::membership::MembershipMsg;
 use crate::node::state::NodeState;
@@ -131,7 +131,7 @@
                 return;
             }
             page_rows = if alone { LARGE_PAGE_ROWS } else { PAGE_ROWS };
-            sleep_jittered(Duration::from_millis(RETRY_BACKOFF.pause_ms(failures))).await;
+            sleep_jittered(Duration::from_millis(RETRY_BACKOFF.delay_ms(failures))).await;
             failures += 1;
         }
     }
@@ -158,7 +158,7 @@
             let mut failures = 0;
             while let Err(error) = self.register().await {
                 log::debug!(error:%; "cannot write the row of this node");
-                sleep_jittered(Duration::from_millis(RETRY_BACKOFF.pause_ms(failures))).await;
+                sleep_jittered(Duration::from_millis(RETRY_BACKOFF.delay_ms(failures))).await;
                 failures += 1;
             }
         }
@@ -185,7 +185,7 @@
             node: self.local_member.node,
             external: self.local_member.external,
             place: self.local_member.place.clone(),
-            renewed_ms: clock::wall_ms(),
+            renewed_ms: clock::unix_time_ms(),
             backend: self.node.announcements().serving().cloned(),
         };
         let value = serde_json::to_string(&row).expect("the row can be encoded as JSON");
@@ -214,7 +214,7 @@
 /// spread their requests.
 async fn sleep_jittered(pause: Duration) {
     let pause_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
-    let jittered_ms = pacing::jittered_ms(pause_ms, rand::random());
+    let jittered_ms = backoff::jittered_ms(pause_ms, rand::random());
     tokio::time::sleep(Duration::from_millis(jittered_ms)).await;
 }
 
@@ -227,7 +227,7 @@
 /// Returns the peer addresses in `rows`, nearest first, so that the answer with the whole view does not cross the
 /// link between the regions if possible.
 fn seeds(rows: &BTreeMap<String, Row>, local_member: &Member) -> Vec<SocketAddr> {
-    let now_ms = clock::wall_ms();
+    let now_ms = clock::unix_time_ms();
     let mut seed_rows: Vec<NodeRow> = rows
         .values()
         .filter_map(|row| serde_json::from_str::<NodeRow>(&row.value).ok())
--- a/src/proxy/caller_connections.rs
+++ b/src/proxy/caller_connections.rs
@@ -6,9 +6,9 @@
 use slotmap::SecondaryMap;
 use tokio::sync::oneshot;
 
-use crate::decide::connections::{ConnectionKey, ConnectionLimits, Connections};
+use crate::decide::connections::{ConnectionKey, ConnectionLimits, ConnectionTable};
 
-/// The open caller connections of a node, shared by its connection tasks. [`Connections`] holds the
+/// The open caller connections of a node, shared by its connection tasks. [`ConnectionTable`] holds the
 /// limits and chooses which idle connection to close.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerConnections {
@@ -17,7 +17,7 @@
 
 #[derive(Debug)]
 struct State {
-    connections: Connections,
+    connections: ConnectionTable,
     /// One sender per idle connection. Dropping it makes the connection's task close the
     /// connection.
     close_senders: SecondaryMap<ConnectionKey, oneshot::Sender<()>>,
@@ -26,7 +26,7 @@
 impl CallerConnections {
     pub(crate) fn new(limits: ConnectionLimits) -> Self {
         let state = State {
-            connections: Connections::new(limits),
+            connections: ConnectionTable::new(limits),
             close_senders: SecondaryMap::new(),
         };
         Self {
@@ -38,7 +38,7 @@
     /// room; returns `None` if no connection is idle.
     pub(crate) fn register(&self, caller: IpAddr) -> Option<ConnectionGuard> {
         let mut state = self.lock();
-        let Some(entered) = state.connections.enter(caller) else {
+        let Some(entered) = state.connections.accept(caller) else {
             metrics::counter!("dragonflywall_caller_connections_refused_total").increment(1);
             return None;
         };
@@ -79,7 +79,7 @@
     pub(crate) fn mark_idle(&self) -> IdleGuard<'_> {
         let (close_sender, close_receiver) = oneshot::channel();
         let mut state = self.registry.lock();
-        state.connections.idle(self.key);
+        state.connections.mark_idle(self.key);
         state.close_senders.insert(self.key, close_sender);
         IdleGuard {
             connection: self,
@@ -91,7 +91,7 @@
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let mut state = self.registry.lock();
-        state.connections.leave(self.key);
+        state.connections.remove(self.key);
         state.close_senders.remove(self.key);
         state.record_count();
     }
@@ -115,7 +115,7 @@
 impl Drop for IdleGuard<'_> {
     fn drop(&mut self) {
         let mut state = self.connection.registry.lock();
-        state.connections.used(self.connection.key);
+        state.connections.mark_active(self.connection.key);
         state.close_senders.remove(self.connection.key);
     }
 }
--- a/src/proxy/failure.rs
+++ b/src/proxy/failure.rs
@@ -7,7 +7,7 @@
 use super::header_profile::{self, HeaderProfile};
 use super::headers;
 use crate::core::verdict::Verdict;
-use crate::decide::retry::Failed;
+use crate::decide::retry::AttemptFailure;
 
 /// Retry delay where no estimate exists: several times as long as a change takes to reach an
 /// endpoint's gate.
@@ -213,11 +213,11 @@
     }
 
     /// Kind of failure that decides whether the request may be retried.
-    pub(crate) fn retry_kind(&self) -> Failed {
+    pub(crate) fn retry_kind(&self) -> AttemptFailure {
         match (self.verdict, self.reason) {
-            (Verdict::NotRun, Reason::Draining | Reason::NoEndpoint) => Failed::Draining,
-            (Verdict::NotRun, _) => Failed::NotRun,
-            (Verdict::MayHaveRun | Verdict::Answered, _) => Failed::MayHaveRun,
+            (Verdict::NotRun, Reason::Draining | Reason::NoEndpoint) => AttemptFailure::Draining,
+            (Verdict::NotRun, _) => AttemptFailure::NotRun,
+            (Verdict::MayHaveRun | Verdict::Answered, _) => AttemptFailure::MayHaveRun,
         }
     }
 
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -13,12 +13,14 @@
 use super::hop::Hop;
 use crate::core::configuration::Class;
 use crate::core::names::ResourceName;
-use crate::decide::admission::{Admission, Admitted, Ask, Cause, Refusal, Released, Ticket, Turn};
+use crate::decide::admission::{
+    Admission, AdmitOutcome, Refusal, RefusalCause, ReleasedSlot, SlotRequest, Ticket, WaitOutcome,
+};
 use crate::proxy::state::ProxyState;
 use crate::util::clock;
 
 /// Sends the admission decision to a queued request.
-pub(crate) type DecisionSender = oneshot::Sender<Turn>;
+pub(crate) type DecisionSender = oneshot::Sender<WaitOutcome>;
 
 /// A slot of the backend server. It is released when dropped, after the response has been forwarded
 /// or the request was abandoned.
@@ -62,9 +64,9 @@
             admission.admit(now_us, &request, new_sender)
         };
         let ticket = match admitted {
-            Admitted::Slot => return Ok(Self::new(node, hop)),
-            Admitted::Refused(refusal) => return Err(refusal_failure(refusal)),
-            Admitted::Queued(ticket) => ticket,
+            AdmitOutcome::Slot => return Ok(Self::new(node, hop)),
+            AdmitOutcome::Refused(refusal) => return Err(refusal_failure(refusal)),
+            AdmitOutcome::Queued(ticket) => ticket,
         };
         // Admission may have evicted a queued request of another class to make room for this one.
         notify_queued(node);
@@ -76,8 +78,8 @@
         };
         let decision = tokio::time::timeout_at(deadline.into(), &mut queued.decision).await;
         match decision {
-            Ok(Ok(Turn::Slot)) => Ok(Self::new(node, hop)),
-            Ok(Ok(Turn::Refused(refusal))) => Err(refusal_failure(refusal)),
+            Ok(Ok(WaitOutcome::Slot)) => Ok(Self::new(node, hop)),
+            Ok(Ok(WaitOutcome::Refused(refusal))) => Err(refusal_failure(refusal)),
             // Dropping `queued` removes the request from the queue, so it will not run.
             Ok(Err(_)) | Err(_) => Err(Failure::not_run(Reason::TooLate)),
         }
@@ -86,10 +88,10 @@
 
 impl Drop for Slot {
     fn drop(&mut self) {
-        let released = Released {
+        let released = ReleasedSlot {
             class: self.class,
             resource: &self.resource,
-            held_us: clock::since_us(self.acquired_at),
+            service_time_us: clock::since_us(self.acquired_at),
             answered: self.answered,
         };
         let now_us = clock::since_us(self.node.started);
@@ -107,7 +109,7 @@
     node: &'a Arc<ProxyState>,
     hop: &'a Hop,
     ticket: Ticket,
-    decision: oneshot::Receiver<Turn>,
+    decision: oneshot::Receiver<WaitOutcome>,
 }
 
 impl Drop for QueuedRequest<'_> {
@@ -116,7 +118,7 @@
             return;
         }
         // The channel is empty if the decision was received. The slot then belongs to its receiver.
-        if let Ok(Turn::Slot) = self.decision.try_recv() {
+        if let Ok(WaitOutcome::Slot) = self.decision.try_recv() {
             drop(Slot::new(self.node, self.hop));
         }
     }
@@ -134,9 +136,13 @@
 }
 
 /// The admission request for `hop`, with the hold time measured at this gate for its resource.
-fn admission_request(node: &ProxyState, admission: &Admission<DecisionSender>, hop: &Hop) -> Ask {
-    Ask {
-        held_us: admission.held_of(&hop.resource),
+fn admission_request(
+    node: &ProxyState,
+    admission: &Admission<DecisionSender>,
+    hop: &Hop,
+) -> SlotRequest {
+    SlotRequest {
+        service_time_us: admission.known_service_time_us(&hop.resource),
         ..hop.admission_request(node.started)
     }
 }
@@ -145,7 +151,7 @@
 pub(crate) fn notify_queued(node: &ProxyState) {
     let now_us = clock::since_us(node.started);
     let mut admission = node.admission();
-    while let Some((sender, decision)) = admission.next(now_us) {
+    while let Some((sender, decision)) = admission.end_next_wait(now_us) {
         // Sending fails only if the request is being dropped; see `QueuedRequest`.
         let _ = sender.send(decision);
     }
@@ -153,9 +159,9 @@
 
 fn refusal_failure(refusal: Refusal) -> Failure {
     let reason = match refusal.cause {
-        Cause::Full | Cause::TooLong => Reason::Full,
-        Cause::TooLate => Reason::TooLate,
-        Cause::Closed => Reason::Draining,
+        RefusalCause::QueueFull | RefusalCause::WaitTooLong => Reason::Full,
+        RefusalCause::DeadlineTooSoon => Reason::TooLate,
+        RefusalCause::Closed => Reason::Draining,
     };
     Failure::not_run(reason).with_retry_after_ms(refusal.retry_after_ms)
 }
--- a/src/proxy/uploads.rs
+++ b/src/proxy/uploads.rs
@@ -1,5 +1,5 @@
 //! Receives large request bodies at the gate, a limited number at a time, so that they do not
-//! saturate the VM's link; see [`crate::decide::intake`].
+//! saturate the VM's link; see [`crate::decide::uploads`].
 //!
 //! An entry node requests an upload permit before it sends any byte of a large body to another node
 //! ([`reserve`]). It then sends the body with that permit ([`receive`]).
@@ -22,7 +22,7 @@
 use super::hop::Hop;
 use super::replay;
 use crate::core::mechanism::Mechanism;
-use crate::decide::intake::SMALL_BYTES;
+use crate::decide::uploads::SMALL_BODY_MAX_BYTES;
 use crate::proxy::state::ProxyState;
 
 use self::permits::UploadPermit;
@@ -69,7 +69,7 @@
 ) -> Result<Body, Failure> {
     let len_bytes = body.size_hint().upper();
     let uses_permits = node.mechanisms().is_enabled(Mechanism::UploadScheduling);
-    if !uses_permits || len_bytes.is_some_and(|len_bytes| len_bytes <= SMALL_BYTES) {
+    if !uses_permits || len_bytes.is_some_and(|len_bytes| len_bytes <= SMALL_BODY_MAX_BYTES) {
         return Ok(body);
     }
     let permit = match source {
--- a/src/proxy/uploads/permits.rs
+++ b/src/proxy/uploads/permits.rs
@@ -45,7 +45,7 @@
     /// Waits for a permit, at most as long as the request may wait for a slot. Fails at once if the
     /// expected wait is longer than that.
     pub(super) async fn acquire(node: &Arc<ProxyState>, hop: &Hop) -> Result<Self, Failure> {
-        let wait_us = node.intake().wait_us();
+        let wait_us = node.intake().estimated_wait_us();
         let expected_wait = Duration::from_micros(wait_us);
         if expected_wait > hop.patience || Instant::now() + expected_wait > hop.deadline {
             return Err(Failure::not_run(Reason::Full).with_retry_after_ms(wait_us / 1_000));
@@ -54,7 +54,7 @@
         if hop.patience.is_zero() {
             let permit = semaphore.try_acquire_owned();
             let permit = permit.map_err(|_| Failure::not_run(Reason::Full))?;
-            node.intake().waits();
+            node.intake().enqueue();
             return Ok(Self::start(node, permit));
         }
         let waiting = WaitingUpload::new(node);
@@ -69,7 +69,7 @@
 
     /// Starts the transfer of an upload that was counted as waiting.
     fn start(node: &Arc<ProxyState>, permit: OwnedSemaphorePermit) -> Self {
-        node.intake().begun();
+        node.intake().start();
         Self {
             node: Arc::clone(node),
             acquired_at: Instant::now(),
@@ -80,7 +80,7 @@
 
 impl Drop for UploadPermit {
     fn drop(&mut self) {
-        self.node.intake().ended(clock::since_us(self.acquired_at));
+        self.node.intake().finish(clock::since_us(self.acquired_at));
     }
 }
 
@@ -92,7 +92,7 @@
 
 impl<'a> WaitingUpload<'a> {
     fn new(node: &'a ProxyState) -> Self {
-        node.intake().waits();
+        node.intake().enqueue();
         Self {
             node,
             finished: false,
@@ -107,7 +107,7 @@
 impl Drop for WaitingUpload<'_> {
     fn drop(&mut self) {
         if !self.finished {
-            self.node.intake().left();
+            self.node.intake().leave_queue();
         }
     }
 }
--- a/src/proxy/view.rs
+++ b/src/proxy/view.rs
@@ -5,19 +5,19 @@
 use crate::core::member::{Liveness, Member, NodeId, Place};
 use crate::core::names::ServiceName;
 use crate::core::status::DataCentreSummary;
-use crate::decide::placement::Ranked;
+use crate::decide::load_balancing::RankedEndpoints;
 
 /// Snapshot of the members, replaced as a whole when the membership changes.
 #[derive(Debug, Default)]
 pub(crate) struct MembershipView {
     pub(crate) members: Vec<Member>,
-    pub(crate) endpoints: HashMap<ServiceName, Ranked>,
+    pub(crate) endpoints: HashMap<ServiceName, RankedEndpoints>,
     pub(crate) data_centres: Vec<DataCentreSummary>,
 }
 
 impl MembershipView {
     pub(crate) fn new(members: Vec<Member>, local_id: NodeId, local_place: &Place) -> Self {
-        let mut endpoints: HashMap<ServiceName, Ranked> = HashMap::new();
+        let mut endpoints: HashMap<ServiceName, RankedEndpoints> = HashMap::new();
         for member in members.iter().filter(|member| member.accepts_requests()) {
             let service = member
                 .service
--- a/tests/testsuite/fuzz_holder.rs
+++ b/tests/testsuite/fuzz_holder.rs
@@ -1,6 +1,6 @@
-//! What a node holds, against a number: content in any order, damaged, stale, for another parent,
-//! or accepted by mistake though it does not close. Either the whole of a greater version is
-//! enforced, or nothing has changed.
+//! Compares what a `Holder` enforces with the expected version number. Content arrives in any
+//! order; it may be damaged, outdated, for another parent, or have references that do not resolve.
+//! Either a greater version is enforced as a whole, or nothing changes.
 
 use std::sync::LazyLock;
 
@@ -17,7 +17,7 @@
 /// A version in which a call names a resource that does not exist.
 const UNRESOLVED_VERSION: usize = 4;
 
-/// Versions 0 (empty) to 8; each has one team more than the one before, and other records.
+/// Versions 0 (empty) to 8. Each has one team more than the one before, and other records.
 static PUBLISHED: LazyLock<Vec<Configuration>> =
     LazyLock::new(|| (0..=VERSIONS).map(published).collect());
 
@@ -35,7 +35,7 @@
              idempotent = true\n[[service.s{team}.route]]\npath = \"/\"\n\
              resource = \"{resource}\"\n[calls]\ns0 = [\"{called}\"]\n"
         );
-        let record = team_file::parse(&text).expect("a right team file");
+        let record = team_file::parse(&text).expect("the team file is valid");
         (record.team.clone(), record)
     });
     Configuration {
@@ -66,14 +66,14 @@
         parent: usize,
         version: usize,
     },
-    /// A snapshot or delta of which one bit has flipped, or the end is missing.
+    /// A snapshot or delta with one bit flipped, or truncated.
     Damaged {
         version: usize,
         delta: bool,
-        at: prop::sample::Index,
-        cut: bool,
+        position: prop::sample::Index,
+        truncated: bool,
     },
-    /// The right content under another version's stamp.
+    /// Valid content under the stamp of a possibly different version.
     WrongStamp {
         version: usize,
         content: usize,
@@ -83,7 +83,7 @@
     },
 }
 
-/// What must be enforced, and the floor.
+/// The version that must be enforced, and the floor.
 #[derive(Clone, Copy, Debug, Default)]
 struct Expected {
     version: usize,
@@ -110,14 +110,16 @@
         let version = 1..=VERSIONS;
         let held = state.version;
         let next = (held + 1).min(VERSIONS);
-        let fitting = next..=(next + 2).min(VERSIONS);
+        let following_versions = next..=(next + 2).min(VERSIONS);
         prop_oneof![
             2 => version.clone().prop_map(|version| Step::Snapshot { version }),
-            3 => fitting.prop_map(move |version| Step::Delta { parent: held, version }),
+            3 => following_versions.prop_map(move |version| Step::Delta { parent: held, version }),
             2 => (0..=VERSIONS, version.clone())
                 .prop_map(|(parent, version)| Step::Delta { parent, version }),
             3 => (version.clone(), any::<bool>(), any::<prop::sample::Index>(), any::<bool>())
-                .prop_map(|(version, delta, at, cut)| Step::Damaged { version, delta, at, cut }),
+                .prop_map(|(version, delta, position, truncated)| {
+                    Step::Damaged { version, delta, position, truncated }
+                }),
             1 => (version.clone(), version.clone())
                 .prop_map(|(version, content)| Step::WrongStamp { version, content }),
             1 => version.prop_map(|version| Step::RaiseFloor { version }),
@@ -128,7 +130,7 @@
     fn apply(mut state: Expected, step: &Step) -> Expected {
         match *step {
             Step::Snapshot { version } if state.accepts(version) => state.version = version,
-            // Nothing is enforced at version 0, so there is no parent.
+            // At version 0 no configuration is enforced, so there is no parent for a delta.
             Step::Delta { parent, version }
                 if state.accepts(version) && parent == state.version && parent != 0 =>
             {
@@ -146,12 +148,12 @@
     }
 }
 
-/// Damages `bytes`; `None` if the compression hides the damage, so that nothing is wrong.
+/// Damaged content of `version`. `None` if the damage does not change the decompressed content.
 fn damaged(
     version: usize,
     parent: Option<usize>,
-    at: prop::sample::Index,
-    cut: bool,
+    position: prop::sample::Index,
+    truncated: bool,
 ) -> Option<Content> {
     let mut bytes = match parent {
         Some(parent) => {
@@ -160,22 +162,22 @@
         }
         None => PUBLISHED[version].to_snapshot(),
     };
-    let at = at.index(bytes.len());
-    if cut {
-        bytes.truncate(at);
+    let position = position.index(bytes.len());
+    if truncated {
+        bytes.truncate(position);
     } else {
-        bytes[at] ^= 1 << (at % 8);
+        bytes[position] ^= 1 << (position % 8);
     }
     let stamp = stamp(version);
     match parent {
         Some(parent) => {
             let read = Delta::from_bytes(&bytes, &PUBLISHED[parent]);
-            let intact = read.and_then(|delta| delta.apply(&PUBLISHED[parent], stamp));
-            intact.is_err().then_some(Content::Delta(bytes))
+            let decoded = read.and_then(|delta| delta.apply(&PUBLISHED[parent], stamp));
+            decoded.is_err().then_some(Content::Delta(bytes))
         }
         None => {
-            let intact = Configuration::from_snapshot(&bytes, stamp);
-            intact.is_err().then_some(Content::Snapshot(bytes))
+            let decoded = Configuration::from_snapshot(&bytes, stamp);
+            decoded.is_err().then_some(Content::Snapshot(bytes))
         }
     }
 }
@@ -203,11 +205,11 @@
             Step::Damaged {
                 version,
                 delta,
-                at,
-                cut,
+                position,
+                truncated,
             } => {
-                let held = usize::try_from(before.version.0).expect("few versions");
-                match damaged(version, delta.then_some(held), at, cut) {
+                let held = usize::try_from(before.version.0).expect("the version fits in usize");
+                match damaged(version, delta.then_some(held), position, truncated) {
                     Some(content) => (stamp(version), content),
                     None => return holder,
                 }
@@ -230,7 +232,8 @@
     }
 }
 
-/// Whatever a peer holds, what it is handed brings it to the same configuration.
+/// Checks that the content offered to a peer leads it to the same configuration, whichever version
+/// the peer holds.
 fn assert_peers_reach(holder: &Holder, version: usize) {
     for have in 0..=VERSIONS {
         let offered = holder.content_for(Version(have as u64));
@@ -245,7 +248,7 @@
         }
         if have != UNRESOLVED_VERSION {
             peer.apply(stamp, &content)
-                .expect("it fits what the peer has");
+                .expect("the content applies to the peer's version");
             assert_eq!(peer.stamp(), PUBLISHED[version].stamp());
         }
     }
--- a/tests/testsuite/requests_drain.rs
+++ b/tests/testsuite/requests_drain.rs
@@ -14,7 +14,8 @@
 use tokio::task::JoinSet;
 
 use crate::support::{
-    LIMIT, REASON, VERDICT, ask, metrics, runs, small, start_chatarras, vms_of, wait_running,
+    REASON_HEADER, VERDICT_HEADER, WAIT_TIMEOUT, fetch_metrics, run_counts, send_request,
+    small_deployment, start_chatarras, vms_of, wait_until_running,
 };
 
 /// Sends payments continuously through every node of another service until `stop` is set. The tasks
@@ -32,7 +33,7 @@
                 let id = format!("load-{n}-{count}");
                 count += 1;
                 let path = "/payments?work_ms=5";
-                match ask(entry, Method::POST, "cobros", path, &id).await {
+                match send_request(entry, Method::POST, "cobros", path, &id).await {
                     Ok(reply) if reply.status == 200 => (),
                     other => failures.push(format!("{id}: {other:?}")),
                 }
@@ -61,13 +62,13 @@
 /// as an entry.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drain_by_command_is_invisible_to_callers() {
-    let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     let stop = Arc::default();
     let callers = start_payments(&mesh, &stop);
     let entry = mesh.vms[vms_of(&mesh, "tablon")[0]].node().addresses.caller;
     let path = "/payments?work_ms=2000";
-    let long = tokio::spawn(ask(entry, Method::POST, "cobros", path, "long-1"));
-    let position = wait_running(&mesh, "cobros", "long-1").await;
+    let long = tokio::spawn(send_request(entry, Method::POST, "cobros", path, "long-1"));
+    let position = wait_until_running(&mesh, "cobros", "long-1").await;
     let response = drain(&mesh, position).await;
     assert_eq!(response["draining"], true);
     assert!(response["in_flight"].as_u64() >= Some(1), "{response}");
@@ -77,7 +78,7 @@
         .expect("the task does not panic")
         .expect("the node responds");
     assert_eq!(reply.status, 200);
-    wait_until("nothing is in flight", LIMIT, || async {
+    wait_until("nothing is in flight", WAIT_TIMEOUT, || async {
         drain(&mesh, position).await["in_flight"] == 0
     })
     .await;
@@ -92,10 +93,10 @@
     );
     // The node still accepts callers.
     let entry = mesh.vms[position].node().addresses.caller;
-    let reply = ask(entry, Method::POST, "cobros", "/payments", "after-1").await;
+    let reply = send_request(entry, Method::POST, "cobros", "/payments", "after-1").await;
     assert_eq!(reply.expect("the node responds").status, 200);
     assert!(
-        runs(&mesh, "cobros", "after-1")
+        run_counts(&mesh, "cobros", "after-1")
             .iter()
             .all(|run| run.0 != position)
     );
@@ -114,26 +115,30 @@
 /// A backend server announces that it drains and later that it serves again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drain_by_announcement_ends_with_the_next_announcement() {
-    let mesh = start_chatarras(small(&["cobros"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["cobros"], 1)).await;
     let position = vms_of(&mesh, "cobros")[0];
     let entry = mesh.vms[position].node().addresses.caller;
     announce(&mesh, position, "draining").await;
-    let reply = ask(entry, Method::POST, "cobros", "/payments", "away-1").await;
+    let reply = send_request(entry, Method::POST, "cobros", "/payments", "away-1").await;
     assert_eq!(reply.expect("the node responds").status, 200);
     assert!(
-        runs(&mesh, "cobros", "away-1")
+        run_counts(&mesh, "cobros", "away-1")
             .iter()
             .all(|run| run.0 != position)
     );
     announce(&mesh, position, "serving").await;
-    wait_until("the backend server gets requests again", LIMIT, || async {
-        let id = format!("home-{}", next_number());
-        let reply = ask(entry, Method::POST, "cobros", "/payments", &id).await;
-        assert_eq!(reply.expect("the node responds").status, 200);
-        runs(&mesh, "cobros", &id)
-            .iter()
-            .any(|run| run.0 == position)
-    })
+    wait_until(
+        "the backend server gets requests again",
+        WAIT_TIMEOUT,
+        || async {
+            let id = format!("home-{}", next_number());
+            let reply = send_request(entry, Method::POST, "cobros", "/payments", &id).await;
+            assert_eq!(reply.expect("the node responds").status, 200);
+            run_counts(&mesh, "cobros", &id)
+                .iter()
+                .any(|run| run.0 == position)
+        },
+    )
     .await;
 }
 
@@ -148,7 +153,7 @@
 /// and the process must exit with 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_terminated_node_finishes_its_requests() {
-    let mut mesh = start_chatarras(small(&["tablon", "cobros", "bascula"], 1)).await;
+    let mut mesh = start_chatarras(small_deployment(&["tablon", "cobros", "bascula"], 1)).await;
     let stop = Arc::default();
     let victim = vms_of(&mesh, "cobros")[0];
     let long_entry = mesh.vms[vms_of(&mesh, "tablon")[0]].node().addresses.caller;
@@ -162,9 +167,9 @@
             // Longer than all fixed waits of a drain together: it only completes if the drain waits
             // for it.
             let path = "/payments?work_ms=5000";
-            ask(long_entry, Method::POST, "cobros", path, &request_id).await
+            send_request(long_entry, Method::POST, "cobros", path, &request_id).await
         });
-        if wait_running(&mesh, "cobros", &id).await == victim {
+        if wait_until_running(&mesh, "cobros", &id).await == victim {
             long = Some(pending);
             break;
         }
@@ -183,7 +188,7 @@
         .write_all(&[7; 150_000])
         .await
         .expect("the node reads the request");
-    wait_running(&mesh, "bascula", "up-9").await;
+    wait_until_running(&mesh, "bascula", "up-9").await;
     let callers = start_payments(&mesh, &stop);
     mesh.vms[victim].node().signal(Signal::Terminate);
     let terminated_at = Instant::now();
@@ -211,7 +216,7 @@
         .node
         .as_mut()
         .expect("the node was started");
-    let ended = tokio::time::timeout(LIMIT, node.ended()).await;
+    let ended = tokio::time::timeout(WAIT_TIMEOUT, node.wait_exit()).await;
     let ended = ended
         .expect("the node exits")
         .expect("the exit status can be read");
@@ -220,7 +225,7 @@
     drop(exited);
     let failures = collect_failures(callers, &stop).await;
     assert!(failures.is_empty(), "{failures:?}");
-    let last_begun = mesh.vms[victim].backend.record().last_begun;
+    let last_begun = mesh.vms[victim].backend.record().last_run_start;
     let lag = last_begun.map(|at| at.saturating_duration_since(terminated_at));
     println!("last new request {lag:?} after the signal");
 }
@@ -230,13 +235,13 @@
 /// status. A node without a backend server must still serve as an entry.
 #[tokio::test(flavor = "multi_thread")]
 async fn an_isolated_data_centre_serves_its_own_services() {
-    let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     let isolated = vms_of(&mesh, "cobros")[2];
     let vm = &mesh.vms[isolated];
     announce(&mesh, isolated, "gone").await;
     let operator = vm.node().addresses.operator;
     let entry = vm.node().addresses.caller;
-    let status = ask(entry, Method::GET, "cobros", "/payments/1", "near-1").await;
+    let status = send_request(entry, Method::GET, "cobros", "/payments/1", "near-1").await;
     assert_eq!(status.expect("the node responds").status, 200);
 
     let site = vm.site;
@@ -250,21 +255,25 @@
     };
     // The archive and the weighbridges are not deployed in this test.
     let expected = serde_json::json!(["bascula", "cobros", "hemeroteca"]);
-    wait_until("the status lists the missing services", LIMIT, || async {
-        let mut services = lacking().await;
-        if let Some(services) = services.as_array_mut() {
-            services.sort_by_key(ToString::to_string);
-        }
-        services == expected
-    })
+    wait_until(
+        "the status lists the missing services",
+        WAIT_TIMEOUT,
+        || async {
+            let mut services = lacking().await;
+            if let Some(services) = services.as_array_mut() {
+                services.sort_by_key(ToString::to_string);
+            }
+            services == expected
+        },
+    )
     .await;
-    let prices = ask(entry, Method::GET, "tablon", "/prices/zinc", "cut-1").await;
+    let prices = send_request(entry, Method::GET, "tablon", "/prices/zinc", "cut-1").await;
     assert_eq!(prices.expect("the node responds").status, 200);
-    let payment = ask(entry, Method::POST, "cobros", "/payments", "cut-2").await;
+    let payment = send_request(entry, Method::POST, "cobros", "/payments", "cut-2").await;
     let payment = payment.expect("the node responds");
     assert_eq!(payment.status, 503);
-    assert_eq!(payment.header(VERDICT), "not-run");
-    assert_eq!(payment.header(REASON), "no-endpoint");
+    assert_eq!(payment.header(VERDICT_HEADER), "not-run");
+    assert_eq!(payment.header(REASON_HEADER), "no-endpoint");
 }
 
 /// Waits until the node with the operator listener `operator` reports `state` for the backend
@@ -272,7 +281,7 @@
 async fn wait_for_backend_state(operator: SocketAddr, peer: SocketAddr, state: &str) {
     wait_until(
         "the state of the backend server is known",
-        LIMIT,
+        WAIT_TIMEOUT,
         || async {
             let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
             let body = reply.map(|reply| reply.body).unwrap_or_default();
@@ -294,7 +303,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_queued_upload_is_resent_whole_to_another_endpoint() {
     const BYTES: usize = 3 << 20;
-    let mut deployment = small(&["tablon", "bascula"], 1);
+    let mut deployment = small_deployment(&["tablon", "bascula"], 1);
     deployment.data_centres.truncate(2);
     let mesh = start_chatarras(deployment).await;
     let [first, second] = vms_of(&mesh, "bascula")[..] else {
@@ -309,11 +318,11 @@
     for n in 0..20 {
         let id = format!("holder-{n}");
         let path = "/bundles/1?work_ms=2500";
-        holders.spawn(async move { ask(caller, Method::PUT, "bascula", path, &id).await });
+        holders.spawn(async move { send_request(caller, Method::PUT, "bascula", path, &id).await });
     }
     let backend = &mesh.vms[first].backend;
-    wait_until("all slots are in use", LIMIT, || async {
-        backend.record().peak == 20
+    wait_until("all slots are in use", WAIT_TIMEOUT, || async {
+        backend.record().peak_running == 20
     })
     .await;
     let bundle = vec![9; BYTES];
@@ -324,8 +333,8 @@
         request(caller, Method::PUT, "bascula", path, &headers, bundle).await
     });
     let gate = mesh.vms[first].node().addresses.operator;
-    wait_until("the upload is queued", LIMIT, || async {
-        metrics(gate).await.contains("gate_waiting 1")
+    wait_until("the upload is queued", WAIT_TIMEOUT, || async {
+        fetch_metrics(gate).await.contains("gate_waiting 1")
     })
     .await;
     announce(&mesh, second, "serving").await;
@@ -337,7 +346,7 @@
         .expect("the node responds");
     assert_eq!(reply.status, 200, "{reply:?}");
     assert_eq!(reply.header("x-digest"), digest);
-    assert_eq!(runs(&mesh, "bascula", "upload-1"), [(second, 1)]);
+    assert_eq!(run_counts(&mesh, "bascula", "upload-1"), [(second, 1)]);
     for reply in holders.join_all().await {
         assert_eq!(reply.expect("the node responds").status, 200);
     }
--- a/tests/testsuite/requests_untrusted.rs
+++ b/tests/testsuite/requests_untrusted.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::support::{LIMIT, small, start_chatarras};
+use crate::support::{WAIT_TIMEOUT, small_deployment, start_chatarras};
 
 /// Sends raw bytes. Returns everything that the node sends until it closes the connection or sends
 /// nothing more for a while.
@@ -64,7 +64,7 @@
 /// framing that two parsers may read differently. The hidden request must never run.
 #[tokio::test(flavor = "multi_thread")]
 async fn ambiguous_framing_smuggles_nothing() {
-    let mesh = start_chatarras(small(&["tablon", "cobros"], 1)).await;
+    let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     let entry = mesh.vms[0].node().addresses.caller;
     let hidden = "POST /payments HTTP/1.1\r\nhost: cobros\r\nx-request-id: hidden\r\n\
                   content-length: 0\r\n\r\n";
@@ -103,7 +103,7 @@
 /// it may have.
 #[tokio::test(flavor = "multi_thread")]
 async fn limits_on_heads_and_connections_hold() {
-    let mut deployment = small(&["tablon"], 1);
+    let mut deployment = small_deployment(&["tablon"], 1);
     deployment.data_centres.truncate(1);
     let mut mesh = start_chatarras(deployment).await;
     mesh.kill_node(0).await.expect("the node exits");
@@ -137,7 +137,7 @@
             .await
             .expect("the node reads the request");
         let mut response = Vec::new();
-        let closed = tokio::time::timeout(LIMIT, stream.read_to_end(&mut response)).await;
+        let closed = tokio::time::timeout(WAIT_TIMEOUT, stream.read_to_end(&mut response)).await;
         assert!(closed.is_ok(), "still open after {start:?}");
     }
 
@@ -166,14 +166,14 @@
     for _ in 0..4 {
         streams.push(send(entry, LONG_REQUEST).await);
     }
-    wait_until("four long requests are running", LIMIT, || async {
-        mesh.vms[0].backend.record().peak == 4
+    wait_until("four long requests are running", WAIT_TIMEOUT, || async {
+        mesh.vms[0].backend.record().peak_running == 4
     })
     .await;
     let fifth = exchange_raw(entry, QUICK_REQUEST).await;
     assert_eq!(fifth, "");
     drop(streams);
-    wait_until("the caller may connect again", LIMIT, || async {
+    wait_until("the caller may connect again", WAIT_TIMEOUT, || async {
         statuses(&exchange_raw(entry, QUICK_REQUEST).await) == ["200"]
     })
     .await;
