--- a/src/proxy/caller_connections.rs
+++ b/src/proxy/caller_connections.rs
@@ -38,11 +38,11 @@
     /// room; returns `None` if no connection is idle.
     pub(crate) fn register(&self, caller: IpAddr) -> Option<ConnectionGuard> {
         let mut state = self.lock();
-        let Some(entered) = state.connections.accept(caller) else {
+        let Some(accepted) = state.connections.accept(caller) else {
             metrics::counter!("dragonflywall_caller_connections_refused_total").increment(1);
             return None;
         };
-        if let Some(closed) = entered.closed {
+        if let Some(closed) = accepted.closed {
             metrics::counter!("dragonflywall_caller_connections_closed_idle_total").increment(1);
             // Dropping the sender ends the task of that connection.
             state.close_senders.remove(closed);
@@ -50,7 +50,7 @@
         state.record_count();
         Some(ConnectionGuard {
             registry: self.clone(),
-            key: entered.connection,
+            key: accepted.connection,
         })
     }
 
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -167,7 +167,7 @@
         parts,
         host: &host,
         target,
-        slots: service.map_or(1, |service| service.slots_per_endpoint),
+        default_slots: service.map_or(1, |service| service.slots_per_endpoint),
         body_bytes: body.min_len_bytes(),
         started_at: Instant::now(),
         deadline: context
--- a/src/proxy/entry/routed_request.rs
+++ b/src/proxy/entry/routed_request.rs
@@ -37,7 +37,7 @@
     /// Host that the caller requested.
     pub(super) host: &'a Authority,
     pub(super) target: &'a ResolvedTarget,
-    pub(super) slots: u32,
+    pub(super) default_slots: u32,
     pub(super) body_bytes: u64,
     pub(super) started_at: Instant,
     pub(super) deadline: Instant,
@@ -79,10 +79,10 @@
             if failure.verdict != Verdict::NotRun {
                 verdict = Verdict::MayHaveRun;
             }
-            let retry_kind = failure.retry_kind();
+            let attempt_failure = failure.attempt_failure();
             let retry = {
                 let mut tokens = self.node.retry_tokens();
-                attempts.take_retry(retry_kind, tokens.for_service(self.service()))
+                attempts.take_retry(attempt_failure, tokens.for_service(self.service()))
             };
             let retry = retry && body.can_replay() && Instant::now() < self.deadline;
             self.log_attempt_failed(&endpoint, &failure, retry);
@@ -126,9 +126,9 @@
             self.log_no_endpoint(0, tried.len());
             return None;
         };
-        let need = Requirements {
+        let requirements = Requirements {
             spill: self.target.treatment.spill,
-            default_slots: self.slots,
+            default_slots: self.default_slots,
             resource: &self.target.resource,
             limits: self.time_limits(),
             body_bytes: self.body_bytes,
@@ -136,13 +136,14 @@
         };
         let now_us = clock::since_us(self.node.started);
         let mut balancer = self.node.balancer();
-        let Some(endpoint) = balancer.choose(now_us, ranked, &need, &mut rand::rng()) else {
+        let Some(endpoint) = balancer.choose(now_us, ranked, &requirements, &mut rand::rng())
+        else {
             self.log_no_endpoint(ranked.iter().count(), tried.len());
             return None;
         };
         self.log_endpoint_chosen(
             &endpoint,
-            &balancer.estimate(now_us, &endpoint, &need),
+            &balancer.estimate(now_us, &endpoint, &requirements),
             tried.len(),
         );
         balancer.record_start(now_us, &endpoint);
@@ -162,7 +163,7 @@
     fn log_endpoint_chosen(
         &self,
         endpoint: &Endpoint,
-        believed: &EndpointEstimate,
+        estimate: &EndpointEstimate,
         tried_endpoints: usize,
     ) {
         if !self.node.log_limiter.may_log(LogClass::Routine) {
@@ -174,11 +175,11 @@
             resource:% = self.target.resource,
             node:% = endpoint.node,
             tried_endpoints,
-            in_hand = believed.in_flight,
-            slots = believed.slots,
-            held_us:? = believed.service_time_us,
-            failing = believed.failure_rate,
-            report_age_us:? = believed.report_age_us,
+            in_flight = estimate.in_flight,
+            slots = estimate.slots,
+            service_time_us:? = estimate.service_time_us,
+            failure_rate = estimate.failure_rate,
+            report_age_us:? = estimate.report_age_us,
             remaining_ms = self.remaining_ms();
             "chose an endpoint for the request"
         );
@@ -220,7 +221,7 @@
     /// otherwise it is refused unless a slot is free.
     fn hop(&self, retries: u32, waits: bool) -> Hop {
         let treatment = &self.target.treatment;
-        let patience = match waits {
+        let max_wait = match waits {
             true if self.is_nested() => max_wait::for_nested_call(treatment),
             true => max_wait::for_caller_request(treatment, self.node.mechanisms()),
             false => Duration::ZERO,
@@ -232,7 +233,7 @@
             class: treatment.class,
             rank: treatment.priority,
             idempotent: treatment.idempotent,
-            patience,
+            max_wait,
             received_at: now,
             due_in: self.due().saturating_duration_since(now),
             deadline: self.deadline,
@@ -324,7 +325,7 @@
             return Err(failure_without_load(response.headers()));
         };
         self.record_load(endpoint, load);
-        self.record_hold_times(endpoint, response.headers());
+        self.record_service_times(endpoint, response.headers());
         match Failure::from_headers(response.headers()) {
             None => Ok(response.map(body::boxed)),
             Some(failure) => Err(failure),
@@ -338,17 +339,17 @@
         balancer.record_load(now_us, endpoint.node, resource, load);
     }
 
-    fn record_hold_times(&self, endpoint: &Endpoint, headers: &HeaderMap) {
+    fn record_service_times(&self, endpoint: &Endpoint, headers: &HeaderMap) {
         let now_us = clock::since_us(self.node.started);
         let mut balancer = self.node.balancer();
-        for (resource, held_us) in headers::parse_hold_times(headers) {
-            balancer.record_service_time(now_us, endpoint.node, &resource, held_us);
+        for (resource, service_time_us) in headers::parse_service_times(headers) {
+            balancer.record_service_time(now_us, endpoint.node, &resource, service_time_us);
         }
     }
 
     /// Reports to the balancer what this attempt showed about its endpoint.
     fn record_outcome(&self, endpoint: &Endpoint, result: &Result<Response<Body>, Failure>) {
-        let observed = match result {
+        let outcome = match result {
             Ok(response) => AttemptOutcome::Answered {
                 server_error: response.status().is_server_error(),
             },
@@ -363,7 +364,7 @@
         let now_us = clock::since_us(self.node.started);
         self.node
             .balancer()
-            .record_outcome(now_us, endpoint.node, observed);
+            .record_outcome(now_us, endpoint.node, outcome);
     }
 
     fn build_request(&self, body: Body) -> Request<Body> {
--- a/src/proxy/failure.rs
+++ b/src/proxy/failure.rs
@@ -213,7 +213,7 @@
     }
 
     /// Kind of failure that decides whether the request may be retried.
-    pub(crate) fn retry_kind(&self) -> AttemptFailure {
+    pub(crate) fn attempt_failure(&self) -> AttemptFailure {
         match (self.verdict, self.reason) {
             (Verdict::NotRun, Reason::Draining | Reason::NoEndpoint) => AttemptFailure::Draining,
             (Verdict::NotRun, _) => AttemptFailure::NotRun,
--- a/src/proxy/gate.rs
+++ b/src/proxy/gate.rs
@@ -46,8 +46,8 @@
     let mut response = result.unwrap_or_else(Failure::into_peer_response);
     let load = headers::format_load(&node.load(&hop));
     response.headers_mut().insert(headers::LOAD, load);
-    let hold_times = node.other_hold_times(&hop);
-    response.headers_mut().insert(headers::HELD, hold_times);
+    let service_times = node.other_service_times(&hop);
+    response.headers_mut().insert(headers::HELD, service_times);
     response
 }
 
@@ -181,7 +181,7 @@
     let reason = failure.reason.code();
     metrics::counter!("dragonflywall_gate_failures_total", "reason" => reason).increment(1);
     // The entry node sends such a request to another gate next.
-    let log_class = match hop.patience.is_zero() {
+    let log_class = match hop.max_wait.is_zero() {
         true => LogClass::Routine,
         false => LogClass::Notable,
     };
@@ -198,13 +198,13 @@
         verdict = failure.verdict.as_str(),
         reason,
         took_ms = clock::since_ms(received_at),
-        patience_ms:% = hop.patience.as_millis(),
+        max_wait_ms:% = hop.max_wait.as_millis(),
         remaining_ms:% = remaining.as_millis(),
         in_use = load.in_use,
         ahead = load.ahead,
         slots = load.slots,
-        mean_held_us = load.mean_service_time_us,
-        resource_held_us = load.resource_service_time_us,
+        mean_service_time_us = load.mean_service_time_us,
+        resource_service_time_us = load.resource_service_time_us,
         retry_after_ms = failure.retry_after_ms();
         "the request failed at the gate: {}", failure.reason.as_str()
     );
--- a/src/proxy/headers.rs
+++ b/src/proxy/headers.rs
@@ -106,12 +106,12 @@
         in_use,
         ahead,
         slots,
-        mean_service_time_us: mean_held_us,
-        resource_service_time_us: resource_held_us,
-        upload_time_us: intake_us,
+        mean_service_time_us,
+        resource_service_time_us,
+        upload_time_us,
     } = load;
     to_value(&format!(
-        "{in_use} {ahead} {slots} {mean_held_us} {resource_held_us} {intake_us}"
+        "{in_use} {ahead} {slots} {mean_service_time_us} {resource_service_time_us} {upload_time_us}"
     ))
 }
 
@@ -131,21 +131,24 @@
 }
 
 /// Formats how long requests for each resource hold a slot, as the value of [`HELD`].
-pub(crate) fn format_hold_times(times: &[(&ResourceName, u64)]) -> HeaderValue {
+pub(crate) fn format_service_times(times: &[(&ResourceName, u64)]) -> HeaderValue {
     let times = times.iter();
     let times: Vec<String> = times
-        .map(|(resource, held_us)| format!("{resource} {held_us}"))
+        .map(|(resource, service_time_us)| format!("{resource} {service_time_us}"))
         .collect();
     to_value(&times.join(","))
 }
 
-/// Parses the value that [`format_hold_times`] writes.
-pub(crate) fn parse_hold_times(headers: &HeaderMap) -> Vec<(ResourceName, u64)> {
+/// Parses the value that [`format_service_times`] writes.
+pub(crate) fn parse_service_times(headers: &HeaderMap) -> Vec<(ResourceName, u64)> {
     let times = get_str(headers, &HELD).unwrap_or("").split(',');
     let times = times.filter_map(|time| {
-        let (resource, held_us) = time.split_once(' ')?;
-        let held_us = held_us.parse().ok().filter(|held_us| *held_us > 0)?;
-        Some((ResourceName::new(resource), held_us))
+        let (resource, service_time_us) = time.split_once(' ')?;
+        let service_time_us = service_time_us
+            .parse()
+            .ok()
+            .filter(|service_time_us| *service_time_us > 0)?;
+        Some((ResourceName::new(resource), service_time_us))
     });
     times.collect()
 }
--- a/src/proxy/hop.rs
+++ b/src/proxy/hop.rs
@@ -31,7 +31,7 @@
     /// Whether the request may run more than once.
     pub(crate) idempotent: bool,
     /// Longest time that the request waits for a slot.
-    pub(crate) patience: Duration,
+    pub(crate) max_wait: Duration,
     pub(crate) received_at: Instant,
     /// Time from `received_at` until the target latency has passed.
     pub(crate) due_in: Duration,
@@ -76,7 +76,7 @@
             class: class_fields.class,
             rank: class_fields.rank,
             idempotent: class_fields.idempotent,
-            patience: class_fields.patience,
+            max_wait: class_fields.max_wait,
             received_at: now,
             due_in: class_fields.due_in.saturating_sub(delay),
             deadline: now + Duration::from_millis(deadline_ms).saturating_sub(delay),
@@ -91,7 +91,7 @@
             "{} {} {} {} {}",
             class_word(self.class),
             self.rank,
-            self.patience.as_millis(),
+            self.max_wait.as_millis(),
             due_in.as_millis(),
             if self.idempotent { IDEMPOTENT } else { "once" }
         ))
@@ -103,18 +103,18 @@
     }
 
     /// The admission request of an equal request that arrived now, for load estimates.
-    pub(crate) fn fresh_admission_request(&self, started: Instant) -> SlotRequest {
+    pub(crate) fn fresh_slot_request(&self, started: Instant) -> SlotRequest {
         let now = Instant::now();
         Self {
             received_at: now,
             deadline: now + self.deadline.saturating_duration_since(self.received_at),
             ..self.clone()
         }
-        .admission_request(started)
+        .slot_request(started)
     }
 
     /// The admission request, with times in microseconds since `started`.
-    pub(crate) fn admission_request(&self, started: Instant) -> SlotRequest {
+    pub(crate) fn slot_request(&self, started: Instant) -> SlotRequest {
         let to_us =
             |duration: Duration| u64::try_from(duration.as_micros()).unwrap_or(u64::MAX / 2);
         SlotRequest {
@@ -126,7 +126,7 @@
             due_us: to_us(self.due().saturating_duration_since(started)),
             service_time_us: None,
             deadline_us: to_us(self.queue_deadline().saturating_duration_since(started)),
-            max_wait_us: to_us(self.patience),
+            max_wait_us: to_us(self.max_wait),
         }
     }
 
@@ -161,7 +161,7 @@
 struct ClassFields {
     class: Class,
     rank: u8,
-    patience: Duration,
+    max_wait: Duration,
     due_in: Duration,
     idempotent: bool,
 }
@@ -178,11 +178,11 @@
             let ms = words.next().and_then(|ms| ms.parse().ok());
             Duration::from_millis(ms.unwrap_or(DEADLINE_DEFAULT_MS))
         };
-        let (patience, due_in) = (next_duration(), next_duration());
+        let (max_wait, due_in) = (next_duration(), next_duration());
         Self {
             class,
             rank: rank.unwrap_or(PRIORITY_DEFAULT),
-            patience,
+            max_wait,
             due_in,
             idempotent: words.next() == Some(IDEMPOTENT),
         }
--- a/src/proxy/listener/peers.rs
+++ b/src/proxy/listener/peers.rs
@@ -43,15 +43,15 @@
     let control = ControlServer::new(control)
         .max_decoding_message_size(CONTROL_MESSAGE_MAX_BYTES)
         .max_encoding_message_size(CONTROL_MESSAGE_MAX_BYTES);
-    let builder = builder(node.link_share.window_bytes);
+    let builder = builder(node.upload_limits.window_bytes);
     let tasks = TaskTracker::new();
     while let Some((stream, _)) = accept(&listener, &graceful_stop, &hard_stop).await {
         let node = Arc::clone(&node);
         let control = control.clone();
-        let transit = Arc::new(Mutex::new(DelayEstimator::default()));
+        let delay_estimator = Arc::new(Mutex::new(DelayEstimator::default()));
         let handler = infallible(move |request| {
             let (node, control) = (Arc::clone(&node), control.clone());
-            serve_peer_request(node, control, Arc::clone(&transit), request)
+            serve_peer_request(node, control, Arc::clone(&delay_estimator), request)
         });
         let connection = builder.serve_connection(TokioIo::new(stream), service_fn(handler));
         let serving = run_connection(connection, graceful_stop.clone());
@@ -77,7 +77,7 @@
 async fn serve_peer_request<C: Control>(
     node: Arc<ProxyState>,
     mut control: ControlServer<C>,
-    transit: Arc<Mutex<DelayEstimator>>,
+    delay_estimator: Arc<Mutex<DelayEstimator>>,
     request: Request<Incoming>,
 ) -> Response<Body> {
     if !has_valid_token(&node, &request) {
@@ -92,8 +92,10 @@
     };
     let check_enabled = node.mechanisms().is_enabled(Mechanism::TransitDelayCheck);
     let delay = {
-        let mut transit = transit.lock().unwrap_or_else(PoisonError::into_inner);
-        let delay_us = transit.delay_us(clock::boot_us(), sent_us);
+        let mut delay_estimator = delay_estimator
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let delay_us = delay_estimator.delay_us(clock::boot_us(), sent_us);
         Duration::from_micros(if check_enabled { delay_us } else { 0 })
     };
     let token = node.gate_requests.token();
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -20,7 +20,7 @@
 use crate::util::clock;
 
 /// Sends the admission decision to a queued request.
-pub(crate) type DecisionSender = oneshot::Sender<WaitOutcome>;
+pub(crate) type WaitOutcomeSender = oneshot::Sender<WaitOutcome>;
 
 /// A slot of the backend server. It is released when dropped, after the response has been forwarded
 /// or the request was abandoned.
@@ -53,14 +53,14 @@
         let deadline = hop.queue_deadline();
         let mut receiver = None;
         let new_sender = || {
-            let (sender, decision) = oneshot::channel();
-            receiver = Some(decision);
+            let (sender, outcome) = oneshot::channel();
+            receiver = Some(outcome);
             sender
         };
         let now_us = clock::since_us(node.started);
         let admitted = {
             let mut admission = node.admission();
-            let request = admission_request(node, &admission, hop);
+            let request = slot_request(node, &admission, hop);
             admission.admit(now_us, &request, new_sender)
         };
         let ticket = match admitted {
@@ -74,10 +74,10 @@
             node,
             hop,
             ticket,
-            decision: receiver.expect("a queued request has a channel"),
+            outcome: receiver.expect("a queued request has a channel"),
         };
-        let decision = tokio::time::timeout_at(deadline.into(), &mut queued.decision).await;
-        match decision {
+        let outcome = tokio::time::timeout_at(deadline.into(), &mut queued.outcome).await;
+        match outcome {
             Ok(Ok(WaitOutcome::Slot)) => Ok(Self::new(node, hop)),
             Ok(Ok(WaitOutcome::Refused(refusal))) => Err(refusal_failure(refusal)),
             // Dropping `queued` removes the request from the queue, so it will not run.
@@ -109,7 +109,7 @@
     node: &'a Arc<ProxyState>,
     hop: &'a Hop,
     ticket: Ticket,
-    decision: oneshot::Receiver<WaitOutcome>,
+    outcome: oneshot::Receiver<WaitOutcome>,
 }
 
 impl Drop for QueuedRequest<'_> {
@@ -118,7 +118,7 @@
             return;
         }
         // The channel is empty if the decision was received. The slot then belongs to its receiver.
-        if let Ok(WaitOutcome::Slot) = self.decision.try_recv() {
+        if let Ok(WaitOutcome::Slot) = self.outcome.try_recv() {
             drop(Slot::new(self.node, self.hop));
         }
     }
@@ -129,21 +129,21 @@
 pub(crate) fn would_refuse(node: &ProxyState, hop: &Hop) -> Option<Failure> {
     let now_us = clock::since_us(node.started);
     let admission = node.admission();
-    let request = admission_request(node, &admission, hop);
+    let request = slot_request(node, &admission, hop);
     admission
         .would_refuse(now_us, &request)
         .map(refusal_failure)
 }
 
 /// The admission request for `hop`, with the hold time measured at this gate for its resource.
-fn admission_request(
+fn slot_request(
     node: &ProxyState,
-    admission: &Admission<DecisionSender>,
+    admission: &Admission<WaitOutcomeSender>,
     hop: &Hop,
 ) -> SlotRequest {
     SlotRequest {
         service_time_us: admission.known_service_time_us(&hop.resource),
-        ..hop.admission_request(node.started)
+        ..hop.slot_request(node.started)
     }
 }
 
@@ -151,9 +151,9 @@
 pub(crate) fn notify_queued(node: &ProxyState) {
     let now_us = clock::since_us(node.started);
     let mut admission = node.admission();
-    while let Some((sender, decision)) = admission.end_next_wait(now_us) {
+    while let Some((sender, outcome)) = admission.end_next_wait(now_us) {
         // Sending fails only if the request is being dropped; see `QueuedRequest`.
-        let _ = sender.send(decision);
+        let _ = sender.send(outcome);
     }
 }
 
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -19,7 +19,7 @@
 use super::log_limiter::LogLimiter;
 use super::peers::PeerConnections;
 use super::running_requests::RunningRequests;
-use super::slots::{self, DecisionSender};
+use super::slots::{self, WaitOutcomeSender};
 use super::uploads::permits::{self, ReservedPermits};
 use super::view::MembershipView;
 use crate::core::mechanism::MechanismSwitches;
@@ -51,10 +51,10 @@
     /// Load and failures of endpoints, as this node has observed them as an entry node.
     balancer: Mutex<Balancer>,
     retry_tokens: Mutex<ServiceTokens>,
-    admission: Mutex<Admission<DecisionSender>>,
+    admission: Mutex<Admission<WaitOutcomeSender>>,
     /// How much of this VM's link large uploads may use at a time.
-    pub(crate) link_share: UploadLimits,
-    intake: Mutex<UploadQueue>,
+    pub(crate) upload_limits: UploadLimits,
+    upload_queue: Mutex<UploadQueue>,
     /// One permit per large body that may be received concurrently.
     pub(crate) upload_permits: Arc<Semaphore>,
     /// Number of large bodies being received, from other nodes and from callers on this VM.
@@ -117,12 +117,12 @@
         let configured = settings.backend_server.as_ref();
         let configured = configured.filter(|_| !settings.backend_server_announces);
         let backend = configured.map(|configured| Arc::new(LocalBackend::from(configured)));
-        let link_share = UploadLimits::for_link(settings.link_kbit_per_s);
+        let upload_limits = UploadLimits::for_link(settings.link_kbit_per_s);
         let mechanisms = settings.disabled_mechanisms;
         Self {
-            link_share,
-            intake: Mutex::new(UploadQueue::new(link_share)),
-            upload_permits: permits::new_semaphore(link_share.concurrent_max),
+            upload_limits,
+            upload_queue: Mutex::new(UploadQueue::new(upload_limits)),
+            upload_permits: permits::new_semaphore(upload_limits.concurrent_max),
             incoming_uploads: AtomicU32::new(0),
             reserved_permits: ReservedPermits::default(),
             header_profile,
@@ -198,34 +198,34 @@
         lock_ignoring_poison(&self.retry_tokens)
     }
 
-    pub(crate) fn admission(&self) -> MutexGuard<'_, Admission<DecisionSender>> {
+    pub(crate) fn admission(&self) -> MutexGuard<'_, Admission<WaitOutcomeSender>> {
         lock_ignoring_poison(&self.admission)
     }
 
     /// The load that this node's gate reports with the response to `hop`.
     pub(crate) fn load(&self, hop: &Hop) -> LoadReport {
         let now_us = clock::since_us(self.started);
-        let request = hop.fresh_admission_request(self.started);
-        let intake_us = self.intake().estimated_completion_us();
+        let request = hop.fresh_slot_request(self.started);
+        let upload_time_us = self.upload_queue().estimated_completion_us();
         let load = self
             .admission()
             .load_report(now_us, &request, &hop.resource);
         LoadReport {
-            upload_time_us: intake_us,
+            upload_time_us,
             ..load
         }
     }
 
     /// How long requests for other resources hold a slot, as this node's gate reports it with the
     /// response to `hop`.
-    pub(crate) fn other_hold_times(&self, hop: &Hop) -> HeaderValue {
+    pub(crate) fn other_service_times(&self, hop: &Hop) -> HeaderValue {
         let admission = self.admission();
         let now_us = clock::since_us(self.started);
-        headers::format_hold_times(&admission.other_service_times(now_us, &hop.resource))
+        headers::format_service_times(&admission.other_service_times(now_us, &hop.resource))
     }
 
-    pub(crate) fn intake(&self) -> MutexGuard<'_, UploadQueue> {
-        lock_ignoring_poison(&self.intake)
+    pub(crate) fn upload_queue(&self) -> MutexGuard<'_, UploadQueue> {
+        lock_ignoring_poison(&self.upload_queue)
     }
 
     /// Stops admitting requests to the backend server. Queued requests are refused at once, so that
--- a/src/proxy/uploads/permits.rs
+++ b/src/proxy/uploads/permits.rs
@@ -45,16 +45,16 @@
     /// Waits for a permit, at most as long as the request may wait for a slot. Fails at once if the
     /// expected wait is longer than that.
     pub(super) async fn acquire(node: &Arc<ProxyState>, hop: &Hop) -> Result<Self, Failure> {
-        let wait_us = node.intake().estimated_wait_us();
+        let wait_us = node.upload_queue().estimated_wait_us();
         let expected_wait = Duration::from_micros(wait_us);
-        if expected_wait > hop.patience || Instant::now() + expected_wait > hop.deadline {
+        if expected_wait > hop.max_wait || Instant::now() + expected_wait > hop.deadline {
             return Err(Failure::not_run(Reason::Full).with_retry_after_ms(wait_us / 1_000));
         }
         let semaphore = Arc::clone(&node.upload_permits);
-        if hop.patience.is_zero() {
+        if hop.max_wait.is_zero() {
             let permit = semaphore.try_acquire_owned();
             let permit = permit.map_err(|_| Failure::not_run(Reason::Full))?;
-            node.intake().enqueue();
+            node.upload_queue().enqueue();
             return Ok(Self::start(node, permit));
         }
         let waiting = WaitingUpload::new(node);
@@ -69,7 +69,7 @@
 
     /// Starts the transfer of an upload that was counted as waiting.
     fn start(node: &Arc<ProxyState>, permit: OwnedSemaphorePermit) -> Self {
-        node.intake().start();
+        node.upload_queue().start();
         Self {
             node: Arc::clone(node),
             acquired_at: Instant::now(),
@@ -80,7 +80,9 @@
 
 impl Drop for UploadPermit {
     fn drop(&mut self) {
-        self.node.intake().finish(clock::since_us(self.acquired_at));
+        self.node
+            .upload_queue()
+            .finish(clock::since_us(self.acquired_at));
     }
 }
 
@@ -92,7 +94,7 @@
 
 impl<'a> WaitingUpload<'a> {
     fn new(node: &'a ProxyState) -> Self {
-        node.intake().enqueue();
+        node.upload_queue().enqueue();
         Self {
             node,
             finished: false,
@@ -107,7 +109,7 @@
 impl Drop for WaitingUpload<'_> {
     fn drop(&mut self) {
         if !self.finished {
-            self.node.intake().leave_queue();
+            self.node.upload_queue().leave_queue();
         }
     }
 }
