--- a/src/proxy/caller_connections.rs
+++ b/src/proxy/caller_connections.rs
@@ -8,8 +8,8 @@
 
 use crate::decide::connections::{ConnectionKey, ConnectionLimits, ConnectionTable};
 
-/// The open caller connections of a node, shared by its connection tasks. [`ConnectionTable`] holds the
-/// limits and chooses which idle connection to close.
+/// The open caller connections of a node, shared by its connection tasks. [`ConnectionTable`] holds
+/// the limits and chooses which idle connection to close.
 #[derive(Clone, Debug)]
 pub(crate) struct CallerConnections {
     state: Arc<Mutex<State>>,
--- a/src/proxy/hop.rs
+++ b/src/proxy/hop.rs
@@ -102,7 +102,7 @@
         self.received_at + self.due_in
     }
 
-    /// The admission request of an equal request that arrived now, for load estimates.
+    /// The slot request of an equal request that arrived now, for load estimates.
     pub(crate) fn fresh_slot_request(&self, started: Instant) -> SlotRequest {
         let now = Instant::now();
         Self {
@@ -113,7 +113,7 @@
         .slot_request(started)
     }
 
-    /// The admission request, with times in microseconds since `started`.
+    /// The slot request for admission, with times in microseconds since `started`.
     pub(crate) fn slot_request(&self, started: Instant) -> SlotRequest {
         let to_us =
             |duration: Duration| u64::try_from(duration.as_micros()).unwrap_or(u64::MAX / 2);
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -1,8 +1,8 @@
 //! Slots of the local backend server: requests acquire one, wait for one, and release it.
 //!
 //! A queued request waits on a channel. The admission state holds the sender. Every change of the
-//! admission state must be followed by [`notify_queued`], which sends the decisions that have
-//! become due.
+//! admission state must be followed by [`notify_queued`], which notifies the requests whose wait
+//! has ended, with a slot or a refusal.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -19,7 +19,7 @@
 use crate::proxy::state::ProxyState;
 use crate::util::clock;
 
-/// Sends the admission decision to a queued request.
+/// Sends the outcome of its wait to a queued request.
 pub(crate) type WaitOutcomeSender = oneshot::Sender<WaitOutcome>;
 
 /// A slot of the backend server. It is released when dropped, after the response has been forwarded
@@ -103,8 +103,8 @@
 /// A request in the admission queue.
 ///
 /// If the caller disconnects, this is dropped while it waits, possibly just after a slot was
-/// granted. Decisions are sent under the admission lock. If `cancel` finds that the request is no
-/// longer queued, its decision is therefore already in the channel, and a granted slot is released.
+/// granted. Outcomes are sent under the admission lock. If `cancel` finds that the request is no
+/// longer queued, its outcome is therefore already in the channel, and a granted slot is released.
 struct QueuedRequest<'a> {
     node: &'a Arc<ProxyState>,
     hop: &'a Hop,
@@ -117,7 +117,7 @@
         if self.node.admission().cancel(self.ticket) {
             return;
         }
-        // The channel is empty if the decision was received. The slot then belongs to its receiver.
+        // The channel is empty if the outcome was received. The slot then belongs to its receiver.
         if let Ok(WaitOutcome::Slot) = self.outcome.try_recv() {
             drop(Slot::new(self.node, self.hop));
         }
@@ -135,7 +135,7 @@
         .map(refusal_failure)
 }
 
-/// The admission request for `hop`, with the hold time measured at this gate for its resource.
+/// The slot request for `hop`, with the service time that this gate has measured for its resource.
 fn slot_request(
     node: &ProxyState,
     admission: &Admission<WaitOutcomeSender>,
@@ -147,7 +147,7 @@
     }
 }
 
-/// Sends the admission decisions that have become due to their queued requests.
+/// Notifies the queued requests whose wait has ended, with a slot or a refusal.
 pub(crate) fn notify_queued(node: &ProxyState) {
     let now_us = clock::since_us(node.started);
     let mut admission = node.admission();
