--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -92,11 +92,11 @@
             return;
         }
     };
-    let old_settings = node.proxy.tunable.load();
+    let old_settings = node.proxy.reloadable.load();
     let new_settings = reloaded.reloadable();
     let changed = **old_settings != new_settings;
     let pending_restart = needs_restart(&node.proxy.settings, &reloaded).join(", ");
-    node.proxy.tunable.store(Arc::new(new_settings));
+    node.proxy.reloadable.store(Arc::new(new_settings));
     node.proxy.update_retry_policy();
     log::info!(changed, needs_restart = pending_restart; "reloaded the settings file");
 }
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -73,7 +73,7 @@
     /// Time limits of each step from the acceptance of a version to its enforcement, derived from the
     /// `apply-within-ms` setting.
     pub(crate) fn budget(&self) -> ApplyBudget {
-        ApplyBudget::new(self.proxy.tunable.load().apply_within_ms)
+        ApplyBudget::new(self.proxy.reloadable.load().apply_within_ms)
     }
 
     /// Sets the membership actor that [`Self::send_to_membership`] and the request path send messages to.
--- a/src/proxy/uploads/permits.rs
+++ b/src/proxy/uploads/permits.rs
@@ -1,4 +1,5 @@
-//! Turns: the right to have one large body come in over the VM's link.
+//! Upload permits: each allows one large body to be sent over the VM's link. Headers and settings
+//! call a permit a *turn*.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -12,26 +13,27 @@
 use crate::util::clock;
 
 new_key_type! {
-    /// Names a turn that waits for its body.
+    /// Identifies a reserved permit whose body has not arrived yet.
     pub(crate) struct PermitKey;
 }
 
 impl PermitKey {
-    /// The number that travels to the entry and back.
+    /// The number that represents the key in [`TURN`](crate::proxy::headers::TURN).
     pub(crate) fn number(self) -> u64 {
         self.data().as_ffi()
     }
 
-    /// The key of a number that came back.
+    /// Converts the number from a request's header back to a key.
     pub(crate) fn from_number(number: u64) -> Self {
         KeyData::from_ffi(number).into()
     }
 }
 
-/// Longest time that a turn is kept for a body that does not come, as when its caller has left.
+/// Longest time that a permit stays reserved for a body that does not arrive, for example because
+/// its caller has disconnected.
 const RESERVATION_MAX: Duration = Duration::from_millis(300);
 
-/// The right to have one body come in.
+/// Permission to receive one large body. Released when dropped.
 #[derive(Debug)]
 pub(crate) struct UploadPermit {
     node: Arc<ProxyState>,
@@ -40,18 +42,19 @@
 }
 
 impl UploadPermit {
-    /// Waits for a turn as long as the request is willing to.
+    /// Waits for a permit, at most as long as the request may wait for a slot. Fails at once if the
+    /// expected wait is longer than that.
     pub(super) async fn acquire(node: &Arc<ProxyState>, hop: &Hop) -> Result<Self, Failure> {
-        let wait_us = node.intake().estimated_wait_us();
+        let wait_us = node.upload_queue().estimated_wait_us();
         let expected_wait = Duration::from_micros(wait_us);
-        if expected_wait > hop.patience || Instant::now() + expected_wait > hop.deadline {
+        if expected_wait > hop.max_wait || Instant::now() + expected_wait > hop.deadline {
             return Err(Failure::not_run(Reason::Full).with_retry_after_ms(wait_us / 1_000));
         }
         let semaphore = Arc::clone(&node.upload_permits);
-        if hop.patience.is_zero() {
+        if hop.max_wait.is_zero() {
             let permit = semaphore.try_acquire_owned();
             let permit = permit.map_err(|_| Failure::not_run(Reason::Full))?;
-            node.intake().enqueue();
+            node.upload_queue().enqueue();
             return Ok(Self::start(node, permit));
         }
         let waiting = WaitingUpload::new(node);
@@ -64,9 +67,9 @@
         Ok(Self::start(node, permit))
     }
 
-    /// One that was counted as waiting has its turn.
+    /// Starts the transfer of an upload that was counted as waiting.
     fn start(node: &Arc<ProxyState>, permit: OwnedSemaphorePermit) -> Self {
-        node.intake().start();
+        node.upload_queue().start();
         Self {
             node: Arc::clone(node),
             acquired_at: Instant::now(),
@@ -77,11 +80,13 @@
 
 impl Drop for UploadPermit {
     fn drop(&mut self) {
-        self.node.intake().finish(clock::since_us(self.acquired_at));
+        self.node
+            .upload_queue()
+            .finish(clock::since_us(self.acquired_at));
     }
 }
 
-/// Counted as waiting until it is dropped or its wait is over.
+/// An upload that is counted as waiting until it gets a permit or is dropped.
 struct WaitingUpload<'a> {
     node: &'a ProxyState,
     finished: bool,
@@ -89,7 +94,7 @@
 
 impl<'a> WaitingUpload<'a> {
     fn new(node: &'a ProxyState) -> Self {
-        node.intake().enqueue();
+        node.upload_queue().enqueue();
         Self {
             node,
             finished: false,
@@ -104,17 +109,17 @@
 impl Drop for WaitingUpload<'_> {
     fn drop(&mut self) {
         if !self.finished {
-            self.node.intake().leave_queue();
+            self.node.upload_queue().leave_queue();
         }
     }
 }
 
-/// As many turns as `intake` has at a time.
+/// Creates the semaphore that limits concurrent uploads to `at_a_time`.
 pub(crate) fn new_semaphore(at_a_time: u32) -> Arc<Semaphore> {
     Arc::new(Semaphore::new(at_a_time as usize))
 }
 
-/// Turns that were given and whose bodies have not come yet.
+/// Permits that were granted to entry nodes and whose bodies have not arrived yet.
 #[derive(Debug, Default)]
 pub(crate) struct ReservedPermits(Mutex<SlotMap<PermitKey, UploadPermit>>);
 
@@ -123,13 +128,13 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The turn whose body comes now, unless it came too late.
+    /// Takes the permit for a body that has arrived. `None` if the reservation has expired.
     pub(super) fn take(&self, key: PermitKey) -> Option<UploadPermit> {
         self.lock().remove(key)
     }
 }
 
-/// Keeps `permit` until its body comes, [`RESERVATION_MAX`] at most.
+/// Reserves `permit` for a body that is still to come, for at most [`RESERVATION_MAX`].
 pub(super) fn hold_for_body(node: &Arc<ProxyState>, permit: UploadPermit) -> PermitKey {
     let key = node.reserved_permits.lock().insert(permit);
     let node = Arc::clone(node);
