--- a/crates/model/src/checker.rs
+++ b/crates/model/src/checker.rs
@@ -1,10 +1,13 @@
 //! Explicit-state model checking by graph search.
 //!
-//! A [`Specification`] gives an initial state and the steps out of any state. [`check`] visits
-//! every reachable state breadth first and asks for violated properties, so the first violation
-//! found has a shortest counterexample. Then it ends the faults in every state and looks at the
-//! graph of what may still happen: each bottom strongly connected component must be settled.
-//! Steps are taken fairly, so whatever path is taken, it ends in such a component.
+//! A [`Specification`] defines an initial state and the transitions out of each state. [`check`]
+//! visits every reachable state breadth first and evaluates the safety properties in it, so the
+//! first violation has a shortest counterexample.
+//!
+//! If no safety property is violated, [`check`] tests the liveness property. It ends all faults in
+//! every reachable state and explores the states that follow. Transitions are assumed to be
+//! scheduled fairly, so every run ends in a bottom strongly connected component: one that no
+//! transition leaves. Every state of such a component must be settled.
 
 use std::fmt::Debug;
 use std::hash::Hash;
@@ -12,57 +15,59 @@
 
 use pathfinding::prelude::{bfs, bfs_reach, strongly_connected_components};
 
-/// A protocol as a graph of states: the checker's edge to what it checks.
+/// A protocol as a graph of states and transitions, for [`check`].
 pub trait Specification {
-    /// A state.
+    /// A state of the whole system: its processes, messages and the faults still allowed.
     type State: Clone + Debug + Eq + Hash;
-    /// The name of a step, for counterexamples.
+    /// The label of a transition, printed in counterexamples.
     type Action: Debug;
 
-    /// Where everything begins.
+    /// The state from which the search starts.
     fn initial(&self) -> Self::State;
-    /// All steps out of `state`.
+    /// All transitions out of `state`, each with its label and the state that it leads to.
     fn steps(&self, state: &Self::State) -> Vec<(Self::Action, Self::State)>;
-    /// The one state that stands for all those that differ only in how equal things are numbered.
+    /// The representative of all states that differ from `state` only in the numbering of
+    /// interchangeable processes. The checker visits representatives only (symmetry reduction).
     fn canonical(&self, state: Self::State) -> Self::State {
         state
     }
-    /// The first property that `state` violates.
+    /// The first safety property that `state` violates, or `None`.
     fn violated_property(&self, state: &Self::State) -> Option<&'static str>;
-    /// `state` with every fault ended, and none to come; `None` leaves it out of that check.
+    /// `state` with every present fault ended and no further faults allowed. `None` excludes the
+    /// state from the liveness check.
     fn without_faults(&self, state: &Self::State) -> Option<Self::State>;
-    /// Whether everything has come about that must in the end.
+    /// Whether `state` satisfies the goal of the liveness property.
     fn is_settled(&self, state: &Self::State) -> bool;
 }
 
-/// How a property fails, by the shortest way.
+/// A shortest path to a state that violates a property.
 #[derive(Clone, Debug)]
 pub struct Counterexample<S> {
-    /// The property.
+    /// The violated property.
     pub property: &'static str,
-    /// Steps from the initial state, in words.
+    /// Labels of the transitions from the initial state to `final_state`.
     pub steps: Vec<String>,
-    /// The state at the end.
+    /// The state in which the property is violated.
     pub final_state: S,
 }
 
-/// What [`check`] found.
+/// The result of [`check`].
 #[derive(Clone, Debug)]
 pub struct Report<S> {
-    /// Distinct states visited.
+    /// Number of distinct states visited, with faults.
     pub states: usize,
-    /// Distinct states of the graph without faults; 0 if a property failed before.
+    /// Number of distinct states visited after faults ended; 0 if a safety property was violated.
     pub states_without_faults: usize,
-    /// The failure, if any.
+    /// The violation, or `None` if all properties hold.
     pub counterexample: Option<Counterexample<S>>,
-    /// Time taken.
+    /// Duration of the check.
     pub elapsed: Duration,
 }
 
-/// Name of the property that [`Specification::is_settled`] stands for.
+/// Name of the liveness property, whose goal is [`Specification::is_settled`].
 pub const EVENTUALLY_SETTLED: &str = "eventually settled once faults end";
 
-/// Visits every state that `specification` can reach.
+/// Checks all properties of `specification` in every reachable state.
 pub fn check<T: Specification>(specification: &T) -> Report<T::State> {
     let started = Instant::now();
     let mut reachable_states = Vec::new();
@@ -115,8 +120,8 @@
     specification.canonical(specification.initial())
 }
 
-/// Size of the graph without faults, and the first calm state from which a bottom component that
-/// is not settled can be reached.
+/// Checks the liveness property. Returns the number of states visited without faults, and the first
+/// of the fault-free states from which a bottom component that is not settled can be reached.
 fn find_unsettled<T: Specification>(
     specification: &T,
     reachable_states: &[T::State],
@@ -163,8 +168,9 @@
         |state| successors(specification, state),
         |state| is_target(state),
     );
-    let path = path.expect("the state was reached before");
-    // The path's states are canonical; the steps are told with the numbers of one real run.
+    let path = path.expect("a matching state is reachable");
+    // The path consists of canonical states, in which a process may change its number from one state
+    // to the next. Repeat the path without renumbering, so that each process keeps one number.
     let mut steps = Vec::new();
     let mut state = specification.initial();
     for target in path.into_iter().skip(1) {
@@ -172,7 +178,7 @@
         let taken = possible_steps
             .into_iter()
             .find(|(_, next_state)| specification.canonical(next_state.clone()) == target);
-        let (action, next_state) = taken.expect("a step of the path");
+        let (action, next_state) = taken.expect("a transition leads to the next state of the path");
         steps.push(format!("{action:?}"));
         state = next_state;
     }
--- a/crates/model/src/configurations.rs
+++ b/crates/model/src/configurations.rs
@@ -1,7 +1,7 @@
-//! Small real configurations for the model, and the product's own apply run on them.
+//! Small valid configurations for the specifications, applied by the product's own code.
 //!
-//! Contents are numbered: 0 is the empty configuration, `v` is what was published as version `v`,
-//! higher numbers are what a mutation of the protocol has made of them.
+//! States refer to a configuration by its id: 0 is the empty configuration, `v` is the one published
+//! as version `v`, and higher ids are configurations that only a mutated protocol produces.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -13,35 +13,35 @@
 use dragonflywall::core::version::Version;
 use dragonflywall::distribution::{Content, Holder};
 
-/// Most versions that a model publishes.
+/// Highest version that a specification can publish.
 pub const VERSIONS_MAX: u8 = 3;
 
-/// How content reaches a node.
+/// Form in which a node receives the content of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ContentForm {
-    /// The difference from the version before.
+    /// The difference from the previous version.
     Delta,
-    /// The whole.
+    /// The whole configuration.
     Snapshot,
-    /// Announced as the version, but with another version's records in it.
+    /// A snapshot that carries the announced version number but other records.
     Damaged,
 }
 
-/// How a mutated node goes wrong when it applies.
+/// A check that a mutated node omits when it applies content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyMutation {
-    /// Any verified content is enforced, newer or not.
+    /// The node enforces any verified content, whether or not it is newer.
     WithoutVersionCheck,
-    /// Neither the digest nor the parent is verified.
+    /// The node verifies neither the digest nor the parent of a delta.
     WithoutDigestCheck,
-    /// References are not checked.
+    /// The node does not check that references resolve.
     WithoutReferenceCheck,
 }
 
-/// What a node holds, and what it is offered.
+/// Arguments of [`ConfigurationSet::apply`]: enforced id, floor, form and version.
 type ApplyKey = (u8, u8, ContentForm, u8);
 
-/// All contents that occur, and what applying them does.
+/// All configurations that occur during a check, and the cached results of applying content.
 #[derive(Debug)]
 pub struct ConfigurationSet {
     dangling_version: Option<u8>,
@@ -50,8 +50,8 @@
 }
 
 impl ConfigurationSet {
-    /// The versions, of which `dangling_version`, if any, was accepted by mistake with a reference that does
-    /// not close.
+    /// Creates the configurations of all versions. The version `dangling_version`, if given, contains
+    /// a reference that does not resolve, as if a faulty publisher had accepted it.
     pub fn new(dangling_version: Option<u8>) -> Self {
         let set = Self {
             dangling_version,
@@ -65,8 +65,9 @@
         set
     }
 
-    /// Number of the content that a node holds after the product's [`Holder`], which enforces
-    /// `enforced_id` above `floor`, was offered version `version` in `form`; `None` if it refused.
+    /// Offers `version` in `form` to the product's [`Holder`], which enforces `enforced_id` and has
+    /// its floor at `floor`. Returns the id of the configuration that it then enforces, or `None` if
+    /// it refuses the content.
     pub fn apply(&self, enforced_id: u8, floor: u8, form: ContentForm, version: u8) -> Option<u8> {
         let key = (enforced_id, floor, form, version);
         if let Some(result) = self.apply_results.borrow().get(&key) {
@@ -77,7 +78,7 @@
         result
     }
 
-    /// The same by a node with a mutation.
+    /// As [`Self::apply`], but by a node that omits the check that `mutation` names.
     pub fn apply_mutated(
         &self,
         mutation: ApplyMutation,
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Content `enforced_id` with only the first changed team of `version` put in.
+    /// Applies only the first changed team of `version` to `enforced_id`, as a node does partway
+    /// through applying a version team by team. Returns the id of the resulting configuration.
     pub fn apply_first_changed_team(&self, enforced_id: u8, version: u8) -> u8 {
         let mut mixed = self.configurations.borrow()[usize::from(enforced_id)].clone();
         let target = self.published_configuration(version);
@@ -115,20 +117,20 @@
         self.id_of(mixed)
     }
 
-    /// Version of a content.
+    /// The version number in the configuration, also if its records are not those of that version.
     pub fn version_of(&self, configuration_id: u8) -> u8 {
         let version = self.configurations.borrow()[usize::from(configuration_id)]
             .version
             .0;
-        u8::try_from(version).expect("versions of the model are small")
+        u8::try_from(version).expect("the versions of a specification fit in a u8")
     }
 
-    /// Whether a content is exactly what was published under its version.
+    /// Whether the configuration is exactly what was published under its version.
     pub fn is_published(&self, configuration_id: u8) -> bool {
         configuration_id <= VERSIONS_MAX
     }
 
-    /// Whether every reference of a content closes, by the product's own check.
+    /// Whether every reference in the configuration resolves, by the product's own check.
     pub fn references_resolve(&self, configuration_id: u8) -> bool {
         RouteTable::compile(&self.configurations.borrow()[usize::from(configuration_id)]).is_ok()
     }
@@ -145,7 +147,7 @@
             let configuration = self.configurations.borrow()[usize::from(enforced_id)].clone();
             let snapshot = Content::Snapshot(configuration.to_snapshot());
             let applied = holder.apply(configuration.stamp(), &snapshot);
-            applied.expect("what a node holds was applicable");
+            applied.expect("an enforced configuration is valid");
         }
         holder.raise_floor(Version(u64::from(floor)));
         let applied = holder.apply(
@@ -176,9 +178,9 @@
         }
     }
 
-    /// What version `version` holds. Version 2 adds two teams, one of which calls the other; version 3
-    /// takes the calling team away and renames the called resource, so that parts of different
-    /// versions put together do not close.
+    /// The configuration of `version`. Version 2 adds two teams, one of which calls the other.
+    /// Version 3 renames the called resource in both teams, so that a mix of teams from versions 2
+    /// and 3 contains a reference that does not resolve.
     fn published_configuration(&self, version: u8) -> Configuration {
         let teams: &[&str] = match version {
             0 => &[],
@@ -240,7 +242,7 @@
             configurations.push(configuration);
             configurations.len() - 1
         });
-        u8::try_from(index).expect("few contents")
+        u8::try_from(index).expect("a check produces fewer than 256 configurations")
     }
 }
 
@@ -251,9 +253,9 @@
     };
 }
 
-/// Reads a team file of the model.
+/// Parses a team file that is written in this crate, which has to be valid.
 pub fn parse_team_record(text: &str) -> TeamRecord {
-    team_file::parse(text).expect("the model's team files are right")
+    team_file::parse(text).expect("the team files in this crate are valid")
 }
 
 const PRICES_TEAM: &str = "team = \"prices\"\n\
--- a/crates/model/src/distribution.rs
+++ b/crates/model/src/distribution.rs
@@ -1,10 +1,12 @@
-//! Specification of spread, apply and restart.
+//! Specification of configuration distribution: nodes learn of versions, apply them, and restart.
 //!
-//! The accepted versions are 1, 2, ... in order; how `publish` makes them so is checked apart, in
-//! [`crate::publish`]. Nodes hear of versions by gossip and from the head, fetch content from the
-//! platform or a peer, and apply it through the product's own holder. Messages are kept for ever
-//! once sent and may arrive at any time, again, in any order, or never; content in flight may even
-//! reach the next process at its address. Nodes lose all memory when they crash.
+//! Versions 1, 2, ... are accepted in order; [`crate::publish`] checks that `publish` accepts them
+//! so. Nodes learn of versions by gossip and by reading the head, fetch content from the platform or
+//! a peer, and apply it through the product's own holder.
+//!
+//! A message that was sent may arrive at any time, in any order, several times or never. Content in
+//! flight may even reach a process that was started later at the same address. A node that crashes
+//! loses all its memory.
 
 mod node_steps;
 mod state;
@@ -14,7 +16,7 @@
 pub use state::{Action, Bounds, FloorRule, Mutation, NODES_MAX, Node, StartCondition, State};
 use state::{NODE_PERMUTATIONS, Phase, bit, renumber_nodes};
 
-/// The protocol at given bounds.
+/// The specification of distribution with given bounds and floor rule.
 #[derive(Debug)]
 pub struct DistributionSpec {
     bounds: Bounds,
@@ -24,7 +26,7 @@
 }
 
 impl DistributionSpec {
-    /// A protocol to check.
+    /// Creates the specification. A `mutation` breaks the protocol, to test that the checker finds it.
     pub fn new(bounds: Bounds, rule: FloorRule, mutation: Option<Mutation>) -> Self {
         Self {
             bounds,
@@ -57,7 +59,8 @@
         node.recorded_by = 0;
     }
 
-    /// Content as it arrives; `None` if it changes nothing.
+    /// The state after the content of `version` has arrived at a node. `None` if the node is not
+    /// running or refuses the content.
     fn deliver_content(
         &self,
         state: &State,
@@ -107,10 +110,13 @@
         let reachable_peers = self
             .peers(index)
             .filter(|peer| Self::can_reach(state, index, *peer));
-        let peer_count = u32::try_from(self.bounds.nodes - 1).expect("few nodes");
+        let peer_count =
+            u32::try_from(self.bounds.nodes - 1).expect("the number of nodes fits in a u32");
         let available = match self.rule.waits_for_witnesses {
             true => peer_count,
-            false => u32::try_from(reachable_peers.count()).expect("few nodes"),
+            false => {
+                u32::try_from(reachable_peers.count()).expect("the number of nodes fits in a u32")
+            }
         };
         let needed = self.rule.witnesses.min(available);
         state.nodes[index].recorded_by.count_ones() >= needed
@@ -121,11 +127,12 @@
         if node.head_read || self.rule.start_condition == StartCondition::Unconditional {
             return true;
         }
-        // The head comes first; peers are enough only if it cannot be had.
+        // Answers of peers are enough only while the head cannot be read.
         if !state.platform_down {
             return false;
         }
-        let peer_count = u32::try_from(self.bounds.nodes - 1).expect("few nodes");
+        let peer_count =
+            u32::try_from(self.bounds.nodes - 1).expect("the number of nodes fits in a u32");
         match self.rule.start_condition {
             StartCondition::Unconditional => true,
             StartCondition::HeadOnly => false,
@@ -140,8 +147,9 @@
         }
     }
 
-    /// Peers that tell a started node what they remember. One that is itself starting does not: it
-    /// has lost its memory, and its silence must not pass for "nothing known".
+    /// Peers that answer the floor query of a starting node. A peer that is itself starting does not
+    /// answer: it has lost its records, and an empty answer would mean that the starting node had
+    /// enforced nothing.
     fn answering_peers(&self, state: &State, index: usize) -> impl Iterator<Item = usize> {
         let may_answer = move |peer: &usize| {
             Self::can_reach(state, index, *peer) && state.nodes[*peer].phase == Phase::Running
@@ -169,8 +177,8 @@
                 let mut next = *state;
                 next.nodes[index].head_read = true;
                 next.nodes[index].floor = node.floor.max(state.head);
-                // No address can have enforced more than the head, so the head stands for all that
-                // this address had noted of its peers and has lost.
+                // No node can have enforced a version above the head. The head therefore replaces
+                // the versions that this node recorded for its peers and lost in the crash.
                 for subject in self.peers(index) {
                     let highest_reported = &mut next.nodes[index].highest_reported[subject];
                     *highest_reported = (*highest_reported).max(state.head);
@@ -202,9 +210,8 @@
         }
     }
 
-    /// Whether content can be on its way to a node: fetched from the platform or a peer, or still
-    /// in flight from what any process at its address has fetched before. Damaged content can come
-    /// from anywhere.
+    /// Whether content can arrive at a node: fetched from the platform or a peer, or still in flight
+    /// from an earlier fetch by any process at its address. Damaged content can always arrive.
     fn may_arrive(&self, state: &State, index: usize, form: ContentForm, version: u8) -> bool {
         let node = &state.nodes[index];
         if node.fetch_failed {
@@ -303,7 +310,7 @@
         steps
     }
 
-    /// Nodes are alike, so states that differ only in their numbers are one.
+    /// Nodes are interchangeable, so states that differ only in the numbering of nodes are the same.
     fn canonical(&self, state: State) -> State {
         let permutations = match self.bounds.nodes {
             NODES_MAX => &NODE_PERMUTATIONS[..],
@@ -313,20 +320,20 @@
         let renumbered = permutations
             .iter()
             .map(|permutation| renumber_nodes(&state, *permutation));
-        renumbered.min().expect("at least one order")
+        renumbered.min().expect("there is at least one permutation")
     }
 
     fn violated_property(&self, state: &State) -> Option<&'static str> {
         let nodes = &state.nodes[..self.bounds.nodes];
         for node in nodes.iter().filter(|node| node.enforced_id != 0) {
             if self.enforced_version(node) < node.highest_enforced {
-                return Some("a version never goes back at a node");
+                return Some("a node never goes back to an older version");
             }
             if !self.configurations.is_published(node.enforced_id) {
-                return Some("all of a version or none of it");
+                return Some("a node enforces all of a version or none of it");
             }
             if !self.configurations.references_resolve(node.enforced_id) {
-                return Some("references close");
+                return Some("every reference resolves");
             }
             if self.enforced_version(node) > state.head {
                 return Some("only accepted versions are enforced");
--- a/crates/model/src/distribution/node_steps.rs
+++ b/crates/model/src/distribution/node_steps.rs
@@ -1,4 +1,4 @@
-//! Steps of nodes among each other: statements, starts, and what goes wrong.
+//! Transitions of gossip, node starts and faults.
 
 use super::DistributionSpec;
 use super::state::{Action, Mutation, Phase, State, bit, crashed};
@@ -11,7 +11,7 @@
                 if receiver.phase == Phase::Down || receiver.cut_off {
                     continue;
                 }
-                // What any process at that address has said may arrive at any time.
+                // A report that any process at the sender's address has sent may arrive at any time.
                 for version in 1..=state.nodes[from].highest_enforced {
                     let mut next = *state;
                     let node = &mut next.nodes[to];
@@ -69,7 +69,8 @@
                         }
                         node.answered_peers |= bit(peer);
                         if self.mutation == Some(Mutation::RecordLatestReport) {
-                            // The greeting of the new process, which enforces nothing yet.
+                            // The query reports the version of the new process, which enforces
+                            // nothing yet.
                             next.nodes[peer].highest_reported[index] = 0;
                         }
                         if next != *state {
--- a/crates/model/src/distribution/state.rs
+++ b/crates/model/src/distribution/state.rs
@@ -1,87 +1,92 @@
-//! States, steps, bounds and rules of the specification.
+//! States, transitions, bounds and floor rules of the specification of distribution.
 
 use crate::configurations::ContentForm;
 
-/// Most nodes.
+/// Maximum number of nodes.
 pub const NODES_MAX: usize = 3;
 
-/// How far the search goes.
+/// Limits that keep the number of states finite.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Nodes, at most [`NODES_MAX`].
+    /// Number of nodes, at most [`NODES_MAX`].
     pub nodes: usize,
-    /// Versions, at most [`crate::configurations::VERSIONS_MAX`]; the first is in force everywhere at
-    /// the start.
+    /// Number of versions, at most [`crate::configurations::VERSIONS_MAX`]. All nodes enforce the
+    /// first one in the initial state.
     pub versions: u8,
-    /// Processes that die.
+    /// How many times a node's process crashes.
     pub crashes: u8,
-    /// Times that a node is cut off from its peers.
+    /// How many times a node is cut off from its peers.
     pub cuts: u8,
-    /// Times that the platform is away.
+    /// How many times the platform becomes unavailable.
     pub outages: u8,
-    /// A version that was accepted by mistake although a reference in it does not close.
+    /// A version that was accepted by mistake with a reference that does not resolve.
     pub dangling_version: Option<u8>,
 }
 
-/// How a node makes sure that its address never goes back.
+/// How a node ensures that it enforces no version older than one enforced before at its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FloorRule {
-    /// Peers that must have noted a version before the node enforces it.
+    /// Number of peers that must have recorded a version before the node enforces it. If the bounds
+    /// have fewer peers, all of them.
     pub witnesses: u32,
-    /// With too few peers in reach: wait for them, rather than enforce unwitnessed.
+    /// Whether a node that can reach fewer than `witnesses` peers waits for more. If not, the
+    /// reachable ones are enough, and without any the node enforces the version at once.
     pub waits_for_witnesses: bool,
-    /// What a started node that could not read the head must have heard before it enforces.
+    /// What a started node needs before it enforces a version if it cannot read the head.
     pub start_condition: StartCondition,
 }
 
-/// What a started node that could not read the head must have heard before it enforces anything.
+/// What a started node needs before it enforces a version if it cannot read the head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartCondition {
     /// Nothing: it starts without a floor.
     Unconditional,
-    /// Every peer in reach, at least one.
+    /// Answers of all reachable peers, and of at least one.
     AllReachablePeers,
-    /// All peers but so many.
+    /// Answers of all peers except the given number.
     AllPeersBut(u32),
-    /// It waits until it can read the head.
+    /// Nothing else will do: it waits until it can read the head.
     HeadOnly,
 }
 
 impl FloorRule {
-    /// Floor from the peers' memory, with enforced versions reported afterwards, by gossip.
+    /// The floor is the highest version that peers have recorded for the node. The node reports a
+    /// version by gossip only after it has enforced it.
     pub const PEERS_ONLY: Self = Self {
         witnesses: 0,
         waits_for_witnesses: false,
         start_condition: StartCondition::AllReachablePeers,
     };
-    /// No start without the head.
+    /// A node starts only after it has read the head.
     pub const HEAD_ONLY: Self = Self {
         witnesses: 0,
         waits_for_witnesses: false,
         start_condition: StartCondition::HeadOnly,
     };
-    /// One peer notes a version before it is enforced; a start hears every peer in reach.
+    /// One peer records a version before it is enforced. A start needs the answers of all reachable
+    /// peers.
     pub const ONE_WITNESS: Self = Self {
         witnesses: 1,
         waits_for_witnesses: true,
         start_condition: StartCondition::AllReachablePeers,
     };
-    /// As [`Self::ONE_WITNESS`], but a node without peers in reach enforces unwitnessed.
+    /// As [`Self::ONE_WITNESS`], but a node that can reach no peer enforces a version all the same.
     pub const ONE_WITNESS_IN_REACH: Self = Self {
         waits_for_witnesses: false,
         ..Self::ONE_WITNESS
     };
-    /// As [`Self::ONE_WITNESS`], but a start does with the answers of all peers but one.
+    /// As [`Self::ONE_WITNESS`], but a start needs the answers of all peers except one.
     pub const ONE_WITNESS_FEWER_ANSWERS: Self = Self {
         start_condition: StartCondition::AllPeersBut(1),
         ..Self::ONE_WITNESS
     };
-    /// As [`Self::TWO_WITNESSES`], but a start does with the answers of all peers but one.
+    /// As [`Self::TWO_WITNESSES`], but a start needs the answers of all peers except one.
     pub const TWO_WITNESSES_FEWER_ANSWERS: Self = Self {
         start_condition: StartCondition::AllPeersBut(1),
         ..Self::TWO_WITNESSES
     };
-    /// Two peers note a version before it is enforced; a start hears every peer in reach.
+    /// Two peers record a version before it is enforced. A start needs the answers of all reachable
+    /// peers.
     pub const TWO_WITNESSES: Self = Self {
         witnesses: 2,
         waits_for_witnesses: true,
@@ -89,20 +94,20 @@
     };
 }
 
-/// One line of the protocol changed, to see that the checker notices.
+/// A change that breaks the protocol, to test that the checker finds a counterexample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Apply without comparing versions.
+    /// A node applies content even if its version is not newer than the enforced one.
     ApplyWithoutVersionCheck,
-    /// Apply a delta or snapshot without verifying the digest.
+    /// A node applies a delta or snapshot without verifying its digest.
     ApplyWithoutDigestCheck,
-    /// Apply without checking that references close.
+    /// A node applies content without checking that references resolve.
     ApplyWithoutReferenceCheck,
-    /// Enforce team by team rather than all at once.
+    /// A node applies a version team by team instead of atomically.
     ApplyInParts,
-    /// Peers remember what an address last said, not the highest.
+    /// Peers record the version that an address reported last, instead of the highest one.
     RecordLatestReport,
-    /// A failed fetch is never repeated.
+    /// A node never retries a failed fetch.
     NeverRetryFetch,
 }
 
@@ -113,29 +118,30 @@
     Running,
 }
 
-/// One address and the process at it.
+/// The state of a node: its address and the process that runs there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Node {
     pub(crate) phase: Phase,
-    /// Number of the content enforced.
+    /// Id of the enforced configuration, see [`crate::configurations`].
     pub(crate) enforced_id: u8,
     pub(crate) floor: u8,
-    /// Version whose content is held, verified, but not yet enforced (0: none), and the peers that
-    /// have noted it.
+    /// Version whose content has been verified but is not yet enforced; 0 if there is none.
     pub(crate) staged_version: u8,
+    /// Bit mask of the peers that have recorded `staged_version`.
     pub(crate) recorded_by: u8,
-    /// Peers heard since the start.
+    /// Bit mask of the peers that have answered the node's floor query since it was started.
     pub(crate) answered_peers: u8,
     pub(crate) head_read: bool,
     pub(crate) fetch_failed: bool,
-    /// Highest version that each address has reported.
+    /// Highest version that each peer has reported to this node; the node's own entry stays 0.
     pub(crate) highest_reported: [u8; NODES_MAX],
     pub(crate) cut_off: bool,
-    /// Highest version ever enforced at this address. Only the property looks at it.
+    /// Highest version ever enforced at this address, by any process. It serves to check properties
+    /// and to determine which messages may be in flight. Nodes do not use it.
     pub(crate) highest_enforced: u8,
 }
 
-/// The state of all.
+/// The state of all nodes, the head and the platform, with the faults still allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct State {
     pub(crate) head: u8,
@@ -146,9 +152,9 @@
     pub(crate) outages: u8,
 }
 
-/// A step.
+/// Label of a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[allow(missing_docs, reason = "each is named for what happens")]
+#[allow(missing_docs, reason = "each variant is named after its transition")]
 pub enum Action {
     Commit,
     ReadHead(usize),
@@ -183,7 +189,8 @@
     1 << index
 }
 
-/// The orders in which three nodes can be numbered; the first two serve two nodes.
+/// All permutations of three nodes. The first one is the identity, and the first two are all
+/// permutations of two nodes.
 pub(crate) const NODE_PERMUTATIONS: [[usize; NODES_MAX]; 6] = [
     [0, 1, 2],
     [1, 0, 2],
@@ -216,8 +223,8 @@
     }
 }
 
-/// What is left of a node when its process dies: what others have sent it, and what the property
-/// has noted.
+/// The node after a crash. Its process loses all its memory; what belongs to the address stays:
+/// whether it is cut off, and the highest version ever enforced there.
 pub(crate) fn crashed(node: &Node) -> Node {
     Node {
         phase: Phase::Down,
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,10 +1,14 @@
 //! Model checking of dragonflywall's core protocols, exhaustive at small bounds.
 //!
-//! [`checker`] searches any [`checker::Specification`]. [`distribution`] specifies how a node comes by a
-//! version and never goes back; [`publish`] specifies how operators make versions;
-//! [`request`] specifies a request on its way. They run the product's own code where it can be run: [`configurations`]
-//! applies real configurations through the product's holder, [`operator`] runs the product's
-//! `publish`.
+//! [`checker`] checks any [`checker::Specification`] against all states that it can reach. There are
+//! three specifications:
+//!
+//! - [`publish`]: operators commit configuration versions.
+//! - [`distribution`]: nodes receive and enforce versions, and never go back to an older one.
+//! - [`request`]: a request is forwarded to a backend server, and its outcome is reported.
+//!
+//! They call the product's own code where possible: [`configurations`] applies real configurations
+//! through the product's holder, and [`operator`] runs the product's `publish`.
 
 pub mod checker;
 pub mod configurations;
--- a/crates/model/src/main.rs
+++ b/crates/model/src/main.rs
@@ -1,4 +1,5 @@
-//! `cargo run --release -p model -- distribution|publish|request [options]`
+//! Command line of the model checker. Run it with
+//! `cargo run --release -p model -- distribution|publish|request [options]`.
 
 use std::process::ExitCode;
 
@@ -106,7 +107,7 @@
     let is_selected = |name: &str| selected_rule.as_ref().is_none_or(|rule| rule == name);
     let mut all_hold = true;
     for (name, rule) in FLOOR_RULES.iter().filter(|(name, _)| is_selected(name)) {
-        println!("Checking spread, apply and restart, floor rule {name}, {bounds:?}");
+        println!("Checking configuration distribution, floor rule {name}, {bounds:?}");
         all_hold &= check_and_print(&DistributionSpec::new(bounds, *rule, None));
     }
     Ok(all_hold)
@@ -158,13 +159,13 @@
             attempts,
             faults,
         };
-        println!("Checking requests on their way, {bounds:?}");
+        println!("Checking request forwarding, {bounds:?}");
         all_hold &= check_and_print(&RequestSpec::new(bounds, None));
     }
     Ok(all_hold)
 }
 
-/// Checks and prints; whether all properties hold.
+/// Checks `specification` and prints the result. Returns whether all properties hold.
 fn check_and_print<T: Specification>(specification: &T) -> bool {
     let report: Report<T::State> = check(specification);
     println!(
--- a/crates/model/tests/distribution.rs
+++ b/crates/model/tests/distribution.rs
@@ -1,12 +1,12 @@
-//! Spread, apply and restart: the protocol holds at small bounds, and each mutation is caught.
+//! Distribution: the properties hold within small bounds, and the checker catches each mutation.
 
 use model::checker::{Counterexample, EVENTUALLY_SETTLED, check};
 use model::distribution::{Bounds, DistributionSpec, FloorRule, Mutation, StartCondition, State};
 
-const NO_VERSION_REGRESSION: &str = "a version never goes back at a node";
-const ALL_OR_NOTHING: &str = "all of a version or none of it";
+const NO_VERSION_REGRESSION: &str = "a node never goes back to an older version";
+const ALL_OR_NOTHING: &str = "a node enforces all of a version or none of it";
 
-/// Two nodes, every kind of fault once.
+/// Two nodes, two versions, and each kind of fault at most once.
 const SMALL_BOUNDS: Bounds = Bounds {
     nodes: 2,
     versions: 2,
@@ -32,7 +32,7 @@
 
 fn expect_caught(bounds: Bounds, rule: FloorRule, mutation: Mutation) -> Counterexample<State> {
     let found = counterexample(bounds, rule, Some(mutation));
-    found.expect("the checker catches the mutation")
+    found.expect("the checker finds a counterexample to the mutated protocol")
 }
 
 #[test]
@@ -67,9 +67,9 @@
     assert!(found.is_none(), "{found:?}");
 }
 
-/// An operator sees version 2 in force at a node, then version 1 again after its VM was replaced.
-/// The node enforced 2 and died before any peer heard of it; its successor could not reach the
-/// platform and took the floor from peers that knew only of 1.
+/// A node enforces version 2 and crashes before any peer has received its report. The process
+/// restarted at its address cannot reach the platform, takes its floor from peers that have recorded
+/// only version 1, and enforces version 1 again.
 #[test]
 fn floor_from_peers_alone_allows_an_older_version() {
     let found =
@@ -78,7 +78,8 @@
     assert_eq!(found.steps.len(), 8, "{found:?}");
 }
 
-/// As above, though one peer knew: that peer is the one that is cut off when the successor asks.
+/// One peer has recorded version 2 before the node enforces it, but that peer is cut off while the
+/// restarted node queries its floor. The node goes back to version 1.
 #[test]
 fn one_witness_is_not_enough_when_it_is_cut_off() {
     let bounds = Bounds {
@@ -90,8 +91,9 @@
     assert!(found.steps.iter().any(|step| step.starts_with("CutOff")));
 }
 
-/// As above, though a peer knew and nobody was cut off: the successor began on the answers of the
-/// others. As many peers may be left out as there are witnesses but one.
+/// One peer has recorded version 2 and no node is cut off, but the restarted node starts with the
+/// answers of the other peers only. With N witnesses, a start may omit the answers of N - 1 peers at
+/// most.
 #[test]
 fn answers_without_the_witness_are_not_enough() {
     let bounds = Bounds {
@@ -107,7 +109,8 @@
     assert!(found.is_none(), "{found:?}");
 }
 
-/// As above, though the node asked for a witness: nobody was in reach, and it enforced anyway.
+/// No peer is reachable to record version 2, and the node enforces it all the same. After a crash no
+/// peer can report version 2 as the node's floor.
 #[test]
 fn enforcing_without_a_reachable_witness_allows_an_older_version() {
     let rule = FloorRule::ONE_WITNESS_IN_REACH;
@@ -146,8 +149,8 @@
     assert_eq!(found.property, ALL_OR_NOTHING);
 }
 
-/// A publisher with a fault in it has accepted version 2 although a team in it calls a service that
-/// it does not hold. No node enforces it; all stay at version 1 and go on to version 3.
+/// A faulty publisher has accepted version 2 although a team in it calls a service that it does not
+/// contain. No node enforces version 2; all nodes go from version 1 to version 3.
 #[test]
 fn version_with_dangling_reference_is_skipped() {
     let found = counterexample(WITH_DANGLING_VERSION, FloorRule::HEAD_ONLY, None);
@@ -158,11 +161,11 @@
 fn apply_without_reference_check_is_caught() {
     let mutation = Mutation::ApplyWithoutReferenceCheck;
     let found = expect_caught(WITH_DANGLING_VERSION, FloorRule::HEAD_ONLY, mutation);
-    assert_eq!(found.property, "references close");
+    assert_eq!(found.property, "every reference resolves");
 }
 
-/// The first statement of a restarted process, which enforces nothing yet, replaces what a peer
-/// remembered of its address; asking for the floor then erases the floor.
+/// A peer replaces the highest version recorded for an address by the first report of a restarted
+/// process, which enforces nothing yet. The floor query itself then erases the floor.
 #[test]
 fn recording_only_the_latest_report_is_caught() {
     let found = expect_caught(
@@ -173,7 +176,7 @@
     assert_eq!(found.property, NO_VERSION_REGRESSION);
 }
 
-/// One lost fetch, and a node stays at its version for ever although everything is back.
+/// After one failed fetch a node never fetches again, and stays at its version after all faults end.
 #[test]
 fn never_retrying_a_fetch_is_caught() {
     let found = expect_caught(
