--- a/crates/model/src/operator.rs
+++ b/crates/model/src/operator.rs
@@ -1,12 +1,12 @@
-//! Runs the product's own `publish` one platform call at a time.
+//! Runs the product's own `publish` command one platform call at a time.
 //!
-//! An operator's command is a function of the answers that it has had. [`Operator::progress_after`] runs it
-//! anew on those answers up to its next call and says which that is, so a model can choose every
-//! answer, let other operators run in between, and keep the answers as the command's whole state.
-//! Runs are remembered by their answers, so each is made once.
+//! What a command does is determined by the answers to its calls. [`Operator::progress_after`] runs
+//! the command from its start with given answers and returns the call that follows them. A
+//! specification can therefore choose every answer, interleave several operators, and store the
+//! answers as the whole state of a command. Results are cached, so each list of answers is run once.
 //!
-//! Objects are addressed by their content and versions' rows never change, so reading or writing
-//! them at another moment makes no difference; those calls are answered at once.
+//! Objects are addressed by content and version rows never change, so the time at which they are read
+//! or written makes no difference. These calls are answered at once.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -20,67 +20,69 @@
 use dragonflywall::store::rows::{VERSION_PREFIX, VersionRow};
 use dragonflywall::store::{self, ObjectStore, Outcome, Row, Table, Transaction};
 
-/// A call of the platform's table.
+/// A call to the platform's table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TableCall {
-    /// Read a row.
+    /// Reads the row with the given key.
     Row(String),
-    /// Run a transaction.
+    /// Runs a conditional transaction.
     Transact(Transaction),
 }
 
-/// What a call brought.
+/// The answer to a [`TableCall`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Answer {
-    /// A row's revision and value.
+    /// The row's revision and value, or `None` if the row does not exist.
     Row(Option<(u64, String)>),
     /// The transaction took effect.
     Committed,
-    /// A condition did not hold.
+    /// A condition of the transaction did not hold, so nothing was written.
     ConditionFailed,
-    /// The platform is away; nothing was written.
+    /// The platform is unavailable, and nothing was written.
     Unavailable,
-    /// The answer was lost.
+    /// No answer arrived: the transaction may have taken effect, or may still do so.
     Lost,
 }
 
-/// How a command ended.
+/// The outcome that a command reports to its operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CommandOutcome {
-    /// Done, as this version.
+    /// The change was published as the given version.
     Published(u64),
-    /// Refused: the operator is told that nothing was changed.
+    /// The change was refused, and nothing was changed.
     Refused,
-    /// Not known; the version that the operator is told to resume with.
+    /// The outcome is unknown. The version, if any, is the one that the operator has to expect when
+    /// resuming the publication.
     Unknown(Option<u64>),
 }
 
-/// What a command does next.
+/// What a command does after it has received its answers so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Progress {
-    /// It calls the platform.
+    /// It calls the platform's table and waits for the answer.
     Call(TableCall),
-    /// It has ended.
+    /// It has ended with an outcome.
     Ended(CommandOutcome),
 }
 
-/// Which command is run.
+/// A command that an operator runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Command {
     /// `publish`, or `publish --resume ID --expect N FILE...`.
     Publish {
-        /// The version that the operator has seen.
+        /// The version on which the operator bases the change (`--expect`).
         expected: Option<u64>,
-        /// Whether it goes on with an earlier run.
+        /// Whether the command resumes an earlier run (`--resume`).
         resumed: bool,
-        /// Another id than the first run's, by a mutation.
+        /// Whether the id differs from that of the first run, which only a mutation causes.
         new_id: bool,
     },
-    /// `publish --resume ID` alone.
+    /// `publish --resume ID` without files: finds out whether the publication was committed, and if
+    /// not, makes sure that it never is.
     Settle,
 }
 
-/// One operator: who, under which id, which change.
+/// An operator, with the id and the records of the change to publish.
 #[derive(Debug)]
 pub struct Operator {
     id: String,
@@ -89,21 +91,23 @@
     cached_runs: RefCell<HashMap<(Command, Vec<Answer>), Progress>>,
 }
 
-/// The object store of a model: everything that anybody has stored.
+/// The object store that all operators of a specification share.
 #[derive(Debug, Default)]
 pub struct Objects(Mutex<BTreeMap<Digest, Vec<u8>>>);
 
 impl Objects {
-    /// The configuration that a version's row names.
+    /// The configuration of the version in `row`, read from its snapshot.
     pub fn configuration(&self, row: &VersionRow) -> Configuration {
         let objects = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let bytes = objects.get(&row.snapshot_object).expect("stored before");
-        Configuration::from_snapshot(bytes, row.stamp).expect("stored whole")
+        let bytes = objects
+            .get(&row.snapshot_object)
+            .expect("a snapshot is stored before its version is committed");
+        Configuration::from_snapshot(bytes, row.stamp).expect("a stored snapshot is intact")
     }
 }
 
 impl Operator {
-    /// An operator who publishes `records` under `id`.
+    /// Creates an operator that publishes `records` under `id` and stores objects in `objects`.
     pub fn new(id: &str, records: Vec<TeamRecord>, objects: &Arc<Objects>) -> Self {
         Self {
             id: id.to_owned(),
@@ -113,17 +117,17 @@
         }
     }
 
-    /// The publication's id.
+    /// Id of the publication, without the suffix that a mutation adds.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// The records that it publishes.
+    /// The team records that the operator publishes.
     pub fn records(&self) -> &[TeamRecord] {
         &self.records
     }
 
-    /// What `command` does after `answers`.
+    /// Returns what `command` does after it has received `answers`.
     pub fn progress_after(&self, command: Command, answers: &[Answer]) -> Progress {
         let key = (command, answers.to_vec());
         if let Some(progress) = self.cached_runs.borrow().get(&key) {
@@ -168,7 +172,7 @@
             Poll::Pending => {
                 let call = platform.pending_call.into_inner();
                 let call = call.unwrap_or_else(PoisonError::into_inner);
-                Progress::Call(call.expect("it waits for nothing but the platform"))
+                Progress::Call(call.expect("a pending command waits for a platform call"))
             }
         }
     }
@@ -182,8 +186,8 @@
             .records(self.records.clone())
             .maybe_expected(expected.map(Version))
             .resumed(resumed)
-            // Looking into a lost answer within the same run waits for time to pass; the model
-            // does it by running the command again.
+            // No time passes in the specification, so a command must not wait to find out what became of a
+            // transaction without an answer. The specification runs the command again instead.
             .settle_limit_ms(0)
             .build()
     }
@@ -198,7 +202,8 @@
     }
 }
 
-/// The platform of one run: gives the answers in turn, and then none.
+/// A platform for one run of a command. It gives the prepared answers in order. The call after the
+/// last answer is stored in `pending_call` and never returns.
 struct ReplayPlatform {
     answers: Mutex<VecDeque<Answer>>,
     pending_call: Mutex<Option<TableCall>>,
@@ -225,7 +230,7 @@
 
 fn unavailable() -> store::Error {
     store::Error::Unavailable {
-        reason: "away".to_owned(),
+        reason: "the platform is unavailable".to_owned(),
     }
 }
 
@@ -235,7 +240,7 @@
             Answer::Committed => Ok(Outcome::Committed),
             Answer::ConditionFailed => Ok(Outcome::ConditionFailed),
             Answer::Lost => Err(store::Error::OutcomeUnknown {
-                reason: "lost".to_owned(),
+                reason: "the answer was lost".to_owned(),
             }),
             Answer::Unavailable | Answer::Row(_) => Err(unavailable()),
         }
@@ -271,12 +276,12 @@
     }
 }
 
-/// Whether a row never changes once it is there.
+/// Whether the row with this key never changes after it is written, as version rows do not.
 pub fn is_immutable_row(key: &str) -> bool {
     key.starts_with(VERSION_PREFIX)
 }
 
-/// Number of a version, for messages and comparisons.
+/// The version number in a stamp.
 pub fn version_number(stamp: Stamp) -> u64 {
     stamp.version.0
 }
--- a/crates/model/src/publish.rs
+++ b/crates/model/src/publish.rs
@@ -1,7 +1,8 @@
-//! Specification of publication: operators at once, answers lost, commands run again.
+//! Specification of publication: concurrent operators, lost answers, and commands that are run again.
 //!
-//! The operators' side is the product's own code, see [`crate::operator`]. The table is a map with
-//! conditional transactions. A lost write may arrive at any later time, also more than once.
+//! The operators run the product's own code, see [`crate::operator`]. The platform's table is a map
+//! with conditional transactions. A transaction whose request was lost may still reach the table at
+//! any later time, and more than once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,7 +21,7 @@
 use state::TableWrite;
 pub use state::{Action, Bounds, Mutation, OperatorState, Scenario, State};
 
-/// The protocol at given bounds.
+/// The specification of publication with given bounds.
 #[derive(Debug)]
 pub struct PublishSpec {
     bounds: Bounds,
@@ -31,7 +32,7 @@
 }
 
 impl PublishSpec {
-    /// A protocol to check.
+    /// Creates the specification. A `mutation` breaks the protocol, to test the checker.
     pub fn new(bounds: Bounds, mutation: Option<Mutation>) -> Self {
         let objects = Arc::new(Objects::default());
         let operators = published_teams(bounds.scenario)
@@ -75,7 +76,7 @@
         spec
     }
 
-    /// Publishes version 1 undisturbed.
+    /// Publishes version 1 without faults or concurrent operators. Returns the state afterwards.
     fn publish_first_version(&self) -> State {
         let texts = [
             team_file("scales", "weigh", ""),
@@ -123,7 +124,8 @@
         Answer::Committed
     }
 
-    /// Gives an operator an answer, and then all that can be answered at any time alike.
+    /// Passes `answer` to an operator's command, then answers the reads of version rows that follow.
+    /// A version row never changes, so the time at which it is read makes no difference.
     fn deliver_answer(&self, state: &mut State, index: usize, answer: Answer) {
         let operator_state = &mut state.operators[index];
         operator_state.answers.push(answer);
@@ -245,7 +247,7 @@
             new_id: self.mutation == Some(Mutation::NewIdOnResume),
         };
         let mut commands = vec![Command::Settle];
-        // Without the version that was seen, the product refuses to go on with the files.
+        // The product refuses to resume a publication with files but without the version to expect.
         if reported_head.is_some() {
             commands.push(resume);
         }
@@ -321,7 +323,7 @@
         self.first_violation(state)
     }
 
-    /// Every command may then be run again once more, which has to settle it.
+    /// Each command may be run once more, and that run has to determine its outcome.
     fn without_faults(&self, state: &State) -> Option<State> {
         let mut fault_free = state.clone();
         fault_free.outages = 0;
--- a/crates/model/src/publish/properties.rs
+++ b/crates/model/src/publish/properties.rs
@@ -1,4 +1,4 @@
-//! What must hold in every state.
+//! Safety properties of publication, which must hold in every reachable state.
 
 use dragonflywall::core::configuration::Configuration;
 use dragonflywall::core::routing::RouteTable;
@@ -23,7 +23,7 @@
                 && stored.is_some_and(|(_, value)| *value == state.accepted_rows[index])
         });
         if !in_order || head_version(state) != rows.len() as u64 {
-            return Some("accepted is never lost or reverted");
+            return Some("an accepted version is never lost or reverted");
         }
         for (index, operator) in self.operators.iter().enumerate() {
             let has_own_id = |row: &&VersionRow| row.publish_id.starts_with(operator.id());
@@ -37,17 +37,18 @@
                 Some(CommandOutcome::Unknown(_)) | None => true,
             };
             if !outcome_is_correct {
-                return Some("the operator is told what became of the publication");
+                return Some("a command reports the true outcome of its publication");
             }
             if state.rows.contains_key(&publish_key(operator.id())) && published_version.is_none() {
-                // Settling occupies the id, and so does a resumed run before it refuses.
+                // `Command::Settle` writes the publication's row to abandon the publication, and so does
+                // a resumed run before it refuses. A first run must not.
                 let first_run = Command::Publish {
                     expected: None,
                     resumed: false,
                     new_id: false,
                 };
                 if state.operators[index].command == first_run {
-                    return Some("a first run occupies the id by its commit only");
+                    return Some("a first run writes the row of its id only when it commits");
                 }
             }
         }
@@ -55,7 +56,9 @@
     }
 
     fn version_rows(&self, state: &State) -> Vec<VersionRow> {
-        let parse_row = |text: &String| serde_json::from_str(text).expect("the product's own row");
+        let parse_row = |text: &String| {
+            serde_json::from_str(text).expect("rows written by the product are valid")
+        };
         state.accepted_rows.iter().map(parse_row).collect()
     }
 
@@ -67,7 +70,7 @@
         for (row, pair) in rows[1..].iter().zip(configurations.windows(2)) {
             let (parent, child) = (&pair[0], &pair[1]);
             if RouteTable::compile(child).is_err() {
-                return Some("references close");
+                return Some("every reference resolves");
             }
             let index = self.operators.iter().position(|operator| {
                 row.publish_id
@@ -75,7 +78,7 @@
                     .unwrap_or(&row.publish_id)
                     == operator.id()
             });
-            let index = index.expect("published by one of the operators");
+            let index = index.expect("one of the operators published each version after the first");
             let own_team = &self.operators[index].records()[0].team;
             let other_teams = |configuration: &Configuration| {
                 let mut teams = configuration.teams.clone();
@@ -83,25 +86,28 @@
                 teams
             };
             if other_teams(parent) != other_teams(child) {
-                return Some("accepted is never lost or reverted");
+                return Some("an accepted version is never lost or reverted");
             }
             let head_seen = state.operators[index]
                 .head_seen
-                .expect("it has read the head");
-            let head_seen = usize::try_from(head_seen).expect("few versions");
+                .expect("an operator reads the head before it commits");
+            let head_seen = usize::try_from(head_seen).expect("a version number fits in a usize");
             if configurations[head_seen - 1].teams.get(own_team) != parent.teams.get(own_team) {
-                return Some("what others published to the same team is not overwritten unseen");
+                return Some(
+                    "a publication overwrites no change to its team that its operator has not seen",
+                );
             }
         }
         None
     }
 }
 
-/// Number of the accepted version.
+/// Version number in the head row; 0 before the first version is committed.
 pub(super) fn head_version(state: &State) -> u64 {
     let row = state.rows.get(HEAD_KEY);
     row.map_or(0, |(_, value)| {
-        let head: HeadRow = serde_json::from_str(value).expect("the product's own row");
+        let head: HeadRow =
+            serde_json::from_str(value).expect("rows written by the product are valid");
         version_number(head.stamp)
     })
 }
--- a/crates/model/src/publish/state.rs
+++ b/crates/model/src/publish/state.rs
@@ -1,4 +1,4 @@
-//! States, steps and bounds of the specification.
+//! States, transitions, bounds and mutations of the specification of publication.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,77 +6,80 @@
 
 use crate::operator::{Answer, Command, CommandOutcome};
 
-/// What the operators publish at once.
+/// Changes that the operators publish concurrently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Both change the same team.
+    /// Both operators change the same team.
     SameTeam,
-    /// Each changes a team of its own.
+    /// Each operator changes a different team.
     DifferentTeams,
-    /// One takes away the resource that the other begins to call: each alone is valid.
+    /// One operator removes a resource, and the other adds a call to it. Either change alone is valid,
+    /// but not both.
     CrossReference,
 }
 
-/// How far the search goes.
+/// Limits that keep the number of states finite.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// What is published.
+    /// The changes that are published.
     pub scenario: Scenario,
-    /// Times that the platform is away for one call.
+    /// How many calls fail because the platform is unavailable.
     pub outages: u8,
-    /// Answers lost, before or after the transaction took effect.
+    /// How many transactions get no answer, whether their request or the answer to it is lost.
     pub losses: u8,
-    /// Commands that may be run again after an unknown outcome, each operator.
+    /// How many times each operator may run a command, the first time included. A command is run again
+    /// only after an unknown outcome.
     pub runs: u8,
 }
 
-/// One line of the protocol changed, to see that the checker notices.
+/// A change that breaks the protocol, to test that the checker finds a counterexample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Commit without the condition on the head.
+    /// A commit does not check that the head row is unchanged.
     WithoutHeadCondition,
-    /// Commit without the condition on the publication's id.
+    /// A commit does not check that the publication's id has no row yet.
     WithoutIdCondition,
-    /// Put the rows whatever is there.
+    /// A commit checks no condition.
     CommitUnconditionally,
-    /// Write the head, the version's row and the id one after the other.
+    /// A commit is not atomic: it writes its rows one after the other and stops after the first.
     CommitInParts,
-    /// Run a lost publication again under a new id.
+    /// A publication with an unknown outcome is run again under a new id.
     NewIdOnResume,
-    /// Resume on the head of the moment, not on the version that the operator has seen.
+    /// A resumed run expects the current head instead of the version that the operator has seen.
     ResumeOnCurrentHead,
-    /// Resume as if no earlier run were unsettled: any failure is a refusal.
+    /// A resumed run is started as a first run. It then reports a failure as a refusal, although an
+    /// earlier run may have committed.
     ResumeAsFirstRun,
-    /// Take a lost answer for a refusal.
+    /// An unknown outcome is reported as a refusal.
     LostAnswerMeansRefused,
 }
 
-/// One operator's command.
+/// An operator's latest command and its progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct OperatorState {
     pub(super) command: Command,
     pub(super) answers: Vec<Answer>,
     pub(super) runs: u8,
-    /// The version that the operator saw when the first run read the head. Only a property looks
-    /// at it.
+    /// The version that the operator saw when the first run read the head. Used only by a property.
     pub(super) head_seen: Option<u64>,
     pub(super) outcome: Option<CommandOutcome>,
 }
 
-/// The state of table, network and operators.
+/// The state of the table, the network and the operators, with the faults still allowed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     pub(super) rows: BTreeMap<String, (u64, String)>,
-    /// Writes on their way, as (conditions, puts).
+    /// Transactions whose request was lost. They stay here, so each may reach the table repeatedly.
     pub(super) delayed_writes: BTreeSet<TableWrite>,
     pub(super) operators: Vec<OperatorState>,
-    /// Versions' rows in the order in which they were accepted. Only properties look at it.
+    /// All version rows ever written, in order. Used only by properties.
     pub(super) accepted_rows: Vec<String>,
     pub(super) outages: u8,
     pub(super) losses: u8,
 }
 
-/// A transaction in a form that can be ordered and hashed.
+/// A [`Transaction`] in a form that can be ordered and hashed. A condition with
+/// revision 0 requires that the row does not exist.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct TableWrite {
     pub(super) conditions: Vec<(String, u64)>,
@@ -96,9 +99,9 @@
     }
 }
 
-/// A step.
+/// Label of a transition.
 #[derive(Clone, Debug, PartialEq, Eq)]
-#[allow(missing_docs, reason = "each is named for what happens")]
+#[allow(missing_docs, reason = "each variant is named after its transition")]
 pub enum Action {
     Reads {
         operator: usize,
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -1,13 +1,15 @@
-//! Specification of requests on their way: entry node, gate node, backend server.
+//! Specification of request forwarding: entry node, gate node and backend server.
 //!
-//! A caller's request goes to an entry, from there to the gate of one backend server, and through
-//! it to the backend server. Every leg is a connection that can be lost at any moment; any of the
-//! three processes can die; answers come late. An outcome carries a verdict, as in the product:
-//! "not run" is said only of what was refused before the backend server saw a byte. Whether to try
-//! again is asked of the product's own [`Attempts::again`].
+//! A caller sends a request to an entry. The entry forwards it to the gate in front of one backend
+//! server, and the gate hands it to that backend server. Any of these connections can be lost at any
+//! time, any of the three processes can crash, and answers can be late. The caller receives an answer
+//! or a verdict, as in the product: "not run" is reported only if the gate refused the request before
+//! the backend server received a byte of it. The product's own [`Attempts::again`] decides on
+//! retries.
 //!
-//! Abstracted: time (any timeout may strike at any moment at which one is running), load (the gate
-//! may refuse at any moment), bodies, and placement (the gates are tried in any order).
+//! The specification leaves out time (a timeout may expire at any moment while it is pending), load
+//! (the gate may refuse a request at any moment), request bodies, and endpoint selection (any gate may
+//! be tried next).
 
 use dragonflywall::core::configuration::{Class, PRIORITY_DEFAULT, Spill, Treatment};
 use dragonflywall::core::verdict::Verdict;
@@ -15,55 +17,56 @@
 
 use crate::checker::Specification;
 
-/// Requests at most.
+/// Maximum number of requests.
 pub const REQUESTS_MAX: usize = 2;
-/// Gates, each with its backend server.
+/// Number of gates. Each gate has one backend server.
 pub const GATE_COUNT: usize = 2;
 
-/// How far the search goes.
+/// Limits that keep the number of states finite.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Callers' requests, at most [`REQUESTS_MAX`].
+    /// Number of concurrent requests, at most [`REQUESTS_MAX`].
     pub requests: usize,
-    /// Whether running a request twice does no harm.
+    /// Whether the requests are idempotent, so that running one twice does no harm.
     pub idempotent: bool,
-    /// Attempts of one request, the first included.
+    /// Maximum number of attempts of one request, the first included.
     pub attempts: u32,
-    /// Connections lost, timeouts, processes that die.
+    /// Number of faults: lost connections, expired deadlines, crashes, and callers that disconnect.
     pub faults: u8,
 }
 
-/// One line of the protocol changed, to see that the checker notices.
+/// A change that breaks the protocol, to test that the checker finds a counterexample.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Try a non-idempotent request again whatever became of it.
+    /// A non-idempotent request is retried even if it may have run.
     RetryAlways,
-    /// Say "not run" when a connection is lost after forwarding began.
+    /// A connection lost after forwarding began is reported as "not run".
     LostConnectionMeansNotRun,
-    /// Say "not run" when the deadline passes after forwarding began.
+    /// A deadline that passes after forwarding began is reported as "not run".
     TimeoutMeansNotRun,
-    /// Forward a request that has been taken out of the queue as refused.
+    /// The gate hands a request that it has refused to the backend server.
     RunRefusedRequest,
-    /// Use a connection for another request while an answer is outstanding on it.
+    /// The gate sends a request on a backend connection on which the answer to an earlier request is
+    /// outstanding.
     ReuseConnectionWithAnswerOutstanding,
-    /// Tell the verdict of the last attempt alone.
+    /// The verdict reported to the caller depends only on the last attempt.
     IgnoreEarlierAttempts,
-    /// Never answer a request whose attempt was lost.
+    /// A request gets neither a retry nor an answer after a failed attempt.
     NeverAnswerAfterFailure,
 }
 
-/// Where an attempt is.
+/// Progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Stage {
-    /// On its way to the gate, or queued there.
+    /// In flight to the gate, or queued there.
     AtGate,
-    /// Handed to the backend server; it has not begun.
+    /// Handed to the backend server, which has not run it yet.
     Sent,
-    /// Ran; the answer is on its way back to the entry.
+    /// Run by the backend server; the answer is in flight to the entry.
     Ran,
-    /// Refused by the gate; the refusal is on its way back.
+    /// Refused by the gate; the refusal is in flight to the entry.
     Refused,
-    /// Nothing of it is left.
+    /// No process handles the attempt any more.
     Finished,
 }
 
@@ -79,18 +82,18 @@
     gate_waits: bool,
 }
 
-/// What a caller has been told.
+/// What the caller of a request has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CallerOutcome {
-    /// Nothing yet.
+    /// Nothing so far.
     Pending,
-    /// The answer to this request.
+    /// The answer to the request with this index, which must be the caller's own.
     Answered(usize),
-    /// It did not run.
+    /// The verdict that the request did not run.
     NotRun,
-    /// It may have run.
+    /// The verdict that the request may have run.
     MayHaveRun,
-    /// The connection broke: the caller knows nothing.
+    /// Nothing: its connection to the entry was closed, so it does not know whether the request ran.
     ConnectionLost,
 }
 
@@ -98,25 +101,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Request {
     outcome: CallerOutcome,
-    /// The attempts that failed, and whether each was proved not to have run.
+    /// For each failed attempt, whether it is proved that it did not run.
     proved_not_run: Vec<bool>,
-    /// Times that a backend server ran it.
+    /// How many times backend servers have run the request.
     run_count: u8,
 }
 
-/// The state of all.
+/// The state of all requests, attempts and backend connections, with the faults still allowed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     requests: Vec<Request>,
     attempts: Vec<Attempt>,
-    /// Request whose answer is still outstanding on a gate's idle connection to its backend server.
+    /// For each gate, the request whose answer is outstanding on its idle connection to the backend
+    /// server, because the gate stopped waiting for that answer.
     outstanding_answers: [Option<usize>; GATE_COUNT],
     faults: u8,
 }
 
-/// A step.
+/// Label of a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-#[allow(missing_docs, reason = "each is named for what happens")]
+#[allow(missing_docs, reason = "each variant is named after its transition")]
 pub enum Action {
     Forward { request: usize, gate: usize },
     Refuse { attempt: usize },
@@ -134,7 +138,7 @@
     CallerDisconnects { request: usize },
 }
 
-/// The protocol at given bounds.
+/// The specification of request forwarding with given bounds.
 #[derive(Debug)]
 pub struct RequestSpec {
     bounds: Bounds,
@@ -142,7 +146,7 @@
 }
 
 impl RequestSpec {
-    /// A protocol to check.
+    /// Creates the specification. A `mutation` breaks the protocol, to test the checker.
     pub fn new(bounds: Bounds, mutation: Option<Mutation>) -> Self {
         Self { bounds, mutation }
     }
@@ -151,7 +155,7 @@
         self.mutation == Some(mutation)
     }
 
-    /// Whether the product tries again after these failures.
+    /// Whether the product's retry rule allows another attempt after the given failures.
     fn retries_after(&self, proved_not_run: &[bool]) -> bool {
         let treatment = Treatment {
             class: Class::Interactive,
@@ -172,7 +176,8 @@
         retries.last().unwrap_or(true)
     }
 
-    /// The entry learns that an attempt failed: tries again, or tells the caller at once.
+    /// Records at the entry that an attempt failed. If no retry is allowed, the caller receives a
+    /// verdict at once.
     fn record_failure(&self, state: &mut State, attempt: usize, verdict: Verdict) {
         state.attempts[attempt].entry_waits = false;
         let request = &mut state.requests[state.attempts[attempt].request];
@@ -183,7 +188,7 @@
         if self.retries_after(&request.proved_not_run) {
             return;
         }
-        // One attempt that may have run taints all that follow.
+        // If any attempt may have run, the request may have run, whatever the last verdict is.
         let all_not_run = request.proved_not_run.iter().all(|proved| *proved);
         let report_not_run = all_not_run || self.has_mutation(Mutation::IgnoreEarlierAttempts);
         request.outcome = match verdict {
@@ -270,7 +275,7 @@
                 next.requests[attempt.request].run_count += 1;
                 next.attempts[index].stage = Stage::Ran;
                 if !attempt.gate_waits {
-                    // The gate has given up on it, and so on the connection.
+                    // The gate no longer waits for the answer, which stays outstanding.
                     next.outstanding_answers[attempt.gate] = Some(attempt.request);
                 }
             }),
@@ -314,7 +319,7 @@
         };
         for (index, attempt) in state.attempts.iter().enumerate() {
             if attempt.entry_waits {
-                // What is at the gate goes on there: the entry only does not hear of it.
+                // The gate still handles the attempt; only the entry no longer gets its result.
                 step(Action::PeerConnectionLost { attempt: index }, &|next| {
                     self.record_failure(next, index, self.lost_connection_verdict());
                 });
@@ -328,7 +333,7 @@
                 });
             }
             if matches!(attempt.stage, Stage::Sent | Stage::Ran) && attempt.gate_waits {
-                // What was sent may still run.
+                // The backend server may still run a request that it has been sent.
                 step(Action::BackendConnectionLost { attempt: index }, &|next| {
                     next.attempts[index].gate_waits = false;
                     self.record_failure(next, index, self.lost_connection_verdict());
@@ -366,8 +371,9 @@
         }
     }
 
-    /// A process behind the entry dies: what it held in stages `is_lost` is gone, and whoever waited
-    /// for any of its attempts sees the connection break.
+    /// Crashes a gate or its backend server. Attempts in a stage for which `is_lost` returns true are
+    /// lost. The entry detects a lost connection if it waits for such an attempt, or for one whose
+    /// answer the gate waited for.
     fn crash(&self, state: &mut State, gate: usize, is_lost: impl Fn(Stage) -> bool) {
         state.outstanding_answers[gate] = None;
         for index in 0..state.attempts.len() {
@@ -422,7 +428,7 @@
                 return Some("a non-idempotent request runs at most once");
             }
             if request.outcome == CallerOutcome::NotRun && request.run_count > 0 {
-                return Some("a request that is called not run did not run");
+                return Some("a request reported as not run did not run");
             }
             if matches!(request.outcome, CallerOutcome::Answered(answered) if answered != index) {
                 return Some("every caller gets the answer to its own request");
--- a/crates/model/tests/distribution.rs
+++ b/crates/model/tests/distribution.rs
@@ -72,8 +72,8 @@
 /// only version 1, and enforces version 1 again.
 #[test]
 fn floor_from_peers_alone_allows_an_older_version() {
-    let found =
-        counterexample(SMALL_BOUNDS, FloorRule::PEERS_ONLY, None).expect("a counterexample");
+    let found = counterexample(SMALL_BOUNDS, FloorRule::PEERS_ONLY, None)
+        .expect("the checker finds a counterexample");
     assert_eq!(found.property, NO_VERSION_REGRESSION);
     assert_eq!(found.steps.len(), 8, "{found:?}");
 }
@@ -86,7 +86,8 @@
         nodes: 3,
         ..SMALL_BOUNDS
     };
-    let found = counterexample(bounds, FloorRule::ONE_WITNESS, None).expect("a counterexample");
+    let found = counterexample(bounds, FloorRule::ONE_WITNESS, None)
+        .expect("the checker finds a counterexample");
     assert_eq!(found.property, NO_VERSION_REGRESSION);
     assert!(found.steps.iter().any(|step| step.starts_with("CutOff")));
 }
@@ -102,7 +103,7 @@
         ..SMALL_BOUNDS
     };
     let rule = FloorRule::ONE_WITNESS_FEWER_ANSWERS;
-    let found = counterexample(bounds, rule, None).expect("a counterexample");
+    let found = counterexample(bounds, rule, None).expect("the checker finds a counterexample");
     assert_eq!(found.property, NO_VERSION_REGRESSION);
     let rule = FloorRule::TWO_WITNESSES_FEWER_ANSWERS;
     let found = counterexample(bounds, rule, None);
@@ -114,7 +115,8 @@
 #[test]
 fn enforcing_without_a_reachable_witness_allows_an_older_version() {
     let rule = FloorRule::ONE_WITNESS_IN_REACH;
-    let found = counterexample(SMALL_BOUNDS, rule, None).expect("a counterexample");
+    let found =
+        counterexample(SMALL_BOUNDS, rule, None).expect("the checker finds a counterexample");
     assert_eq!(found.property, NO_VERSION_REGRESSION);
 }
 
@@ -124,7 +126,8 @@
         start_condition: StartCondition::Unconditional,
         ..FloorRule::TWO_WITNESSES
     };
-    let found = counterexample(SMALL_BOUNDS, rule, None).expect("a counterexample");
+    let found =
+        counterexample(SMALL_BOUNDS, rule, None).expect("the checker finds a counterexample");
     assert_eq!(found.property, NO_VERSION_REGRESSION);
 }
 
--- a/crates/model/tests/publish.rs
+++ b/crates/model/tests/publish.rs
@@ -1,15 +1,16 @@
-//! Publication by two operators: the product's `publish` holds, and each mutation is caught.
+//! Publication by two operators: the properties of the product's `publish` hold, and the checker catches
+//! each mutation.
 
 use model::checker::check;
 use model::publish::{Bounds, Mutation, PublishSpec, Scenario};
 
 const AT_MOST_ONCE: &str = "a publication is committed at most once";
-const NO_VERSION_LOST: &str = "accepted is never lost or reverted";
-const OUTCOME_REPORTED: &str = "the operator is told what became of the publication";
+const NO_VERSION_LOST: &str = "an accepted version is never lost or reverted";
+const OUTCOME_REPORTED: &str = "a command reports the true outcome of its publication";
 const NO_UNSEEN_OVERWRITE: &str =
-    "what others published to the same team is not overwritten unseen";
+    "a publication overwrites no change to its team that its operator has not seen";
 
-/// One answer lost, one call that finds the platform away, one resumed run.
+/// At most one lost answer, one call while the platform is unavailable, and one resumed run.
 fn small_bounds(scenario: Scenario) -> Bounds {
     Bounds {
         scenario,
@@ -28,7 +29,9 @@
 #[track_caller]
 fn assert_caught(scenario: Scenario, mutation: Mutation, property: &str) {
     let report = check(&PublishSpec::new(small_bounds(scenario), Some(mutation)));
-    let found = report.counterexample.expect("a counterexample");
+    let found = report
+        .counterexample
+        .expect("the checker finds a counterexample to the mutated protocol");
     assert_eq!(found.property, property, "{:?}", found.steps);
 }
 
@@ -47,16 +50,16 @@
     assert_holds(Scenario::CrossReference);
 }
 
-/// Two operators publish at once; the later commit replaces the earlier one's head and row, and the
-/// earlier operator's accepted change is gone.
+/// Two operators publish concurrently. The later commit replaces the head row and the version row of
+/// the earlier one, and the change accepted first is lost.
 #[test]
 fn commit_without_the_head_condition_is_caught() {
     let mutation = Mutation::WithoutHeadCondition;
     assert_caught(Scenario::DifferentTeams, mutation, NO_VERSION_LOST);
 }
 
-/// An operator's commit is delayed on its way; she settles it as "not published", publishes nothing,
-/// and then the delayed commit arrives.
+/// A commit request is delayed. The operator settles the publication, which is reported as not
+/// published, and then the delayed commit takes effect.
 #[test]
 fn commit_without_the_id_condition_is_caught() {
     assert_caught(
@@ -66,13 +69,13 @@
     );
 }
 
-/// The platform stops between two writes: the head names a version that has no row.
+/// The platform stops between two writes of a commit, and the head names a version without a row.
 #[test]
 fn commit_in_parts_is_caught() {
     assert_caught(Scenario::SameTeam, Mutation::CommitInParts, NO_VERSION_LOST);
 }
 
-/// A commit is delayed, the operator resumes and commits, and the delayed commit arrives as well.
+/// A commit request is delayed, a resumed run commits, and then the delayed commit takes effect too.
 #[test]
 fn unconditional_commit_is_caught() {
     assert_caught(
@@ -82,8 +85,8 @@
     );
 }
 
-/// The answer is lost after the commit; the operator publishes again under a new id and is told that
-/// it was refused, though it is in force.
+/// The answer to a commit is lost. The operator publishes again under a new id, and the command
+/// reports a refusal although the change was published.
 #[test]
 fn new_id_for_a_lost_publication_is_caught() {
     assert_caught(
@@ -93,8 +96,8 @@
     );
 }
 
-/// The commit is lost, another operator publishes the same team, and the resumed publication
-/// overwrites her records without either of them being told.
+/// A commit request is lost, a second operator publishes the same team, and the resumed publication
+/// overwrites the second operator's records without a message to either operator.
 #[test]
 fn resume_on_a_head_that_was_not_seen_is_caught() {
     assert_caught(
@@ -104,9 +107,9 @@
     );
 }
 
-/// The answer is lost after the commit, the operator resumes, and the platform is away for one
-/// call: the command said "refused, nothing was changed" (exit code 1) of a version in force. The
-/// product did so until the model found it.
+/// The answer to a commit is lost, and the platform is unavailable for one call of the resumed run.
+/// The command reports "refused, nothing was changed" (exit code 1) although the version was
+/// published. This check found that fault in the product.
 #[test]
 fn resume_that_ignores_the_earlier_run_is_caught() {
     assert_caught(
--- a/crates/model/tests/request.rs
+++ b/crates/model/tests/request.rs
@@ -1,13 +1,13 @@
-//! Requests on their way: the promises to callers hold, and each mutation is caught.
+//! Request forwarding: the guarantees for callers hold, and the checker catches each mutation.
 
 use model::checker::{EVENTUALLY_SETTLED, check};
 use model::request::{Bounds, Mutation, RequestSpec};
 
 const AT_MOST_ONCE: &str = "a non-idempotent request runs at most once";
-const NOT_RUN: &str = "a request that is called not run did not run";
+const NOT_RUN: &str = "a request reported as not run did not run";
 const OWN_ANSWER: &str = "every caller gets the answer to its own request";
 
-/// Payments: must not run twice.
+/// A payment, which is not idempotent: it must not run twice.
 const PAYMENTS: Bounds = Bounds {
     requests: 1,
     idempotent: false,
@@ -15,13 +15,14 @@
     faults: 2,
 };
 
-/// Reads of prices.
+/// A read, which is idempotent.
 const READS: Bounds = Bounds {
     idempotent: true,
     ..PAYMENTS
 };
 
-/// Without a retry, a wrong "not run" shows before a second run does.
+/// Without retries, a wrong "not run" verdict is the first violation. With retries, the checker would
+/// find the second run of the payment first.
 const SINGLE_ATTEMPT: Bounds = Bounds {
     attempts: 1,
     ..PAYMENTS
@@ -42,7 +43,9 @@
 #[track_caller]
 fn assert_caught(bounds: Bounds, mutation: Mutation, property: &str) {
     let report = check(&RequestSpec::new(bounds, Some(mutation)));
-    let found = report.counterexample.expect("a counterexample");
+    let found = report
+        .counterexample
+        .expect("the checker finds a counterexample to the mutated protocol");
     assert_eq!(found.property, property, "{:?}", found.steps);
 }
 
@@ -61,14 +64,14 @@
     assert_holds(TWO_PAYMENTS);
 }
 
-/// A payment runs, its answer is lost, and the entry sends it to another backend server.
+/// A payment runs, its answer is lost, and the entry retries it on another backend server.
 #[test]
 fn retrying_always_is_caught() {
     assert_caught(PAYMENTS, Mutation::RetryAlways, AT_MOST_ONCE);
 }
 
-/// The connection to the gate breaks while the payment is on its way, and the entry calls it not
-/// run; the payment is tried again, or the caller does so.
+/// The connection to the gate is lost after the payment was forwarded, and the entry reports "not
+/// run". With that verdict the entry or the caller retries a payment that may have run.
 #[test]
 fn reporting_a_lost_attempt_as_not_run_is_caught() {
     assert_caught(SINGLE_ATTEMPT, Mutation::LostConnectionMeansNotRun, NOT_RUN);
@@ -79,20 +82,22 @@
     assert_caught(SINGLE_ATTEMPT, Mutation::TimeoutMeansNotRun, NOT_RUN);
 }
 
-/// The gate refuses a payment whose wait in the queue is over, and a slot takes it all the same.
+/// The gate refuses a payment that has waited too long in its queue, but hands it to the backend server
+/// all the same.
 #[test]
 fn running_a_refused_request_is_caught() {
     assert_caught(SINGLE_ATTEMPT, Mutation::RunRefusedRequest, NOT_RUN);
 }
 
-/// A read is lost at the first endpoint and refused by the second; the caller hears "not run".
+/// The connection is lost during the first attempt of a read, and the gate refuses the second attempt.
+/// The caller receives "not run" although the first attempt may have run.
 #[test]
 fn ignoring_earlier_attempts_is_caught() {
     assert_caught(READS, Mutation::IgnoreEarlierAttempts, NOT_RUN);
 }
 
-/// A caller gives up, her answer comes late on a connection that already carries another's request,
-/// and he gets her answer.
+/// A deadline passes, and the answer arrives late on a backend connection that already carries another
+/// caller's request. The other caller receives that answer.
 #[test]
 fn reusing_a_connection_with_an_answer_outstanding_is_caught() {
     let mutation = Mutation::ReuseConnectionWithAnswerOutstanding;
