--- a/crates/model/src/distribution/state.rs
+++ b/crates/model/src/distribution/state.rs
@@ -39,13 +39,13 @@
 /// What a started node needs before it enforces a version if it cannot read the head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartCondition {
-    /// Nothing: it starts without a floor.
+    /// Nothing: the node starts without a floor.
     Unconditional,
     /// Answers of all reachable peers, and of at least one.
     AllReachablePeers,
     /// Answers of all peers except the given number.
     AllPeersBut(u32),
-    /// Nothing else will do: it waits until it can read the head.
+    /// Answers of peers never suffice: the node waits until it can read the head.
     HeadOnly,
 }
 
--- a/crates/model/src/operator.rs
+++ b/crates/model/src/operator.rs
@@ -40,7 +40,7 @@
     ConditionFailed,
     /// The platform is unavailable, and nothing was written.
     Unavailable,
-    /// No answer arrived: the transaction may have taken effect, or may still do so.
+    /// No answer arrived. The transaction may have taken effect, may still do so, or may be lost.
     Lost,
 }
 
--- a/crates/model/src/publish/state.rs
+++ b/crates/model/src/publish/state.rs
@@ -78,8 +78,8 @@
     pub(super) losses: u8,
 }
 
-/// A [`Transaction`] in a form that can be ordered and hashed. A condition with
-/// revision 0 requires that the row does not exist.
+/// A [`Transaction`] in a form that can be ordered and hashed. A condition with revision 0 requires
+/// that the row does not exist.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct TableWrite {
     pub(super) conditions: Vec<(String, u64)>,
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -76,7 +76,7 @@
     request: usize,
     gate: usize,
     stage: Stage,
-    /// Whether the entry still waits for it.
+    /// Whether the entry still waits for the result.
     entry_waits: bool,
     /// Whether the gate still waits for the backend server's answer.
     gate_waits: bool,
