--- a/crates/model/src/distribution/state.rs
+++ b/crates/model/src/distribution/state.rs
@@ -127,7 +127,7 @@
     pub(crate) floor: u8,
     /// Version whose content has been verified but is not yet enforced; 0 if there is none.
     pub(crate) staged_version: u8,
-    /// Bit mask of the peers that have recorded `staged_version`.
+    /// Bit mask of the peers that have confirmed that they recorded `staged_version`.
     pub(crate) recorded_by: u8,
     /// Bit mask of the peers that have answered the node's floor query since it was started.
     pub(crate) answered_peers: u8,
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -4,8 +4,8 @@
 //! server, and the gate hands it to that backend server. Any of these connections can be lost at any
 //! time, any of the three processes can crash, and answers can be late. The caller receives an answer
 //! or a verdict, as in the product: "not run" is reported only if the gate refused the request before
-//! the backend server received a byte of it. The product's own [`Attempts::again`] decides on
-//! retries.
+//! the backend server received a byte of it. The product's own [`Attempts::take_retry`] decides
+//! on retries.
 //!
 //! The specification leaves out time (a timeout may expire at any moment while it is pending), load
 //! (the gate may refuse a request at any moment), request bodies, and endpoint selection (any gate may
@@ -13,7 +13,7 @@
 
 use dragonflywall::core::configuration::{Class, PRIORITY_DEFAULT, Spill, Treatment};
 use dragonflywall::core::verdict::Verdict;
-use dragonflywall::decide::retry::{Attempts, Failed, RETRIES_PER_TREE, RetryTokens};
+use dragonflywall::decide::retry::{AttemptFailure, Attempts, RETRIES_PER_TREE, RetryTokens};
 
 use crate::checker::Specification;
 
@@ -169,10 +169,10 @@
         let mut attempts = Attempts::new(&treatment, RETRIES_PER_TREE);
         let mut tokens = RetryTokens::default();
         let failures = proved_not_run.iter().map(|proved| match proved {
-            true => Failed::NotRun,
-            false => Failed::MayHaveRun,
+            true => AttemptFailure::NotRun,
+            false => AttemptFailure::MayHaveRun,
         });
-        let retries = failures.map(|failed| attempts.again(failed, &mut tokens));
+        let retries = failures.map(|failed| attempts.take_retry(failed, &mut tokens));
         retries.last().unwrap_or(true)
     }
 
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,13 +1,15 @@
-//! Decisions under load: plain functions and structs, time an argument, no sockets.
+//! Decisions of the request path: admission, load balancing, retries, backoff.
+//!
+//! They are plain functions and structs without I/O; the current time is an argument.
 
 pub mod admission;
 pub mod announcements;
+pub mod backoff;
 pub mod connections;
-pub mod held;
-pub mod intake;
-pub mod pacing;
-pub mod patience;
-pub mod placement;
+pub mod load_balancing;
+pub mod max_wait;
 pub mod retry;
+pub mod service_times;
 pub mod split;
 pub mod transit;
+pub mod uploads;
--- a/src/decide/announcements.rs
+++ b/src/decide/announcements.rs
@@ -1,8 +1,8 @@
-//! Which announcement of a backend server holds at its own node.
+//! Orders the announcements that a node receives from its own backend server.
 //!
-//! Announcements may come late: delayed on the way, or from a backend server that has crashed since
-//! and whose address another one has. Those that carry a name are ordered here; the newest start
-//! holds, and of one start the highest sequence.
+//! An announcement may arrive late: it was delayed in the network, or its sender has crashed and
+//! another backend server has its address now. Announcements with an instance name are ordered by
+//! the start time of the instance, and then by sequence number; the newest one is in effect.
 
 use std::collections::VecDeque;
 
@@ -10,190 +10,202 @@
 use crate::core::names::InstanceName;
 use crate::core::status::Announcement;
 
-/// Instances that have left and are remembered: a few that follow each other at one address, for as
-/// long as their late announcements may be under way.
-const LEFT_REMEMBERED: usize = 16;
+/// Number of departed instances that are retained: enough for several that follow each other at one
+/// address, as long as their delayed announcements may still arrive.
+const DEPARTED_STARTS_MAX: usize = 16;
 
-/// What becomes of an announcement.
+/// What the node does with an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// It holds from now on.
-    Taken,
-    /// It may be from before this process: the backend server is to be asked before it holds.
+pub enum AnnouncementOutcome {
+    /// The announcement is now in effect.
+    Accepted,
+    /// The announcement may date from before this process started. The backend server must confirm
+    /// it first.
     Unconfirmed,
-    /// It says nothing new of the backend server that holds.
-    Repeated,
-    /// A later announcement, or a later start, is known.
+    /// The announcement repeats the one in effect.
+    Duplicate,
+    /// A later announcement or a later instance is known.
     Outdated,
 }
 
-/// Announcements of one start, each later than the one before, after which it is believed that it takes
-/// work although it says otherwise when it is asked. One that leaves says so, or nothing any more, and of
-/// what was held up on its way hardly ever so many come.
-const LATER_ENOUGH: u32 = 3;
+/// Number of ready announcements of one start, each with a higher sequence than the one before, that
+/// replace the confirmation by the backend server. A backend server that leaves announces that or
+/// stops announcing, and this many delayed announcements of it hardly ever arrive.
+const CONFIRMING_ANNOUNCEMENTS: u32 = 3;
 
-/// One start of a backend server.
+/// Identifies one start of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Start {
+struct BackendStart {
     instance: InstanceName,
     started_ms: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Current {
-    start: Start,
+    start: BackendStart,
     sequence: u64,
     announcement: Announcement,
 }
 
-/// The announcements that a node has heard of its own backend server.
+/// Announcements that a node has received from its own backend server.
 #[derive(Clone, Debug, Default)]
 pub struct Announcements {
     current: Option<Current>,
-    left: VecDeque<Start>,
-    /// The first "ready" of this process needs an answer of the backend server itself.
-    doubtful: bool,
-    /// Announcements since, each later than the one before.
-    later: u32,
+    departed: VecDeque<BackendStart>,
+    /// Whether a ready announcement still has to be confirmed by the backend server.
+    unconfirmed: bool,
+    /// Unconfirmed ready announcements of the current start, each with a higher sequence.
+    later_announcements: u32,
 }
 
 impl Announcements {
-    /// None yet, of backend servers that can be asked themselves whether they take work.
+    /// Returns an empty state in which the first ready announcement needs confirmation. It is for
+    /// backend servers that can be asked whether they accept requests.
     ///
-    /// A "ready" from before, held up on its way, may reach a process whose predecessor has acknowledged that the
-    /// backend server left. So the first one is believed only once the backend server confirms it.
-    pub fn doubtful() -> Self {
+    /// A delayed ready announcement may reach this process after the process before it has
+    /// acknowledged that the backend server left.
+    pub fn requiring_confirmation() -> Self {
         Self {
-            doubtful: true,
+            unconfirmed: true,
             ..Self::default()
         }
     }
 
-    /// The backend server said itself that it takes work; what it has announced, if that was said by
-    /// the same one.
+    /// Records that `instance` has confirmed that it accepts requests. Returns its announcement if
+    /// the latest one is of that instance and announces that it is ready.
     pub fn confirm(&mut self, instance: &InstanceName) -> Option<&Announcement> {
         let current = self.current.as_ref()?;
         if current.start.instance != *instance {
             return None;
         }
-        self.doubtful = false;
+        self.unconfirmed = false;
         self.serving()
     }
 
-    /// Takes in an announcement.
+    /// Applies an announcement, unless a newer one is known.
     ///
-    /// One that is older than what is known is refused: it may be of a backend server that has left since, or of
-    /// one that had the address before. Those that have left are remembered longer than an announcement is
-    /// under way.
-    pub fn hear(&mut self, announcement: &Announcement) -> Heard {
+    /// An older announcement may be of a backend server that has left, or of one that had the address
+    /// before. Departed instances are retained for longer than an announcement can be delayed.
+    pub fn apply(&mut self, announcement: &Announcement) -> AnnouncementOutcome {
         let Some(instance) = &announcement.instance else {
-            // Without a name there is nothing to order by: the last word holds.
+            // Announcements without an instance name cannot be ordered: the last one is in effect.
             self.current = None;
-            return Heard::Taken;
+            return AnnouncementOutcome::Accepted;
         };
-        let start = Start {
+        let start = BackendStart {
             instance: instance.clone(),
             started_ms: announcement.started_ms.unwrap_or(0),
         };
         let sequence = announcement.sequence.unwrap_or(0);
         if announcement.state == BackendState::Gone {
-            return self.leave(start);
+            return self.apply_departure(start);
         }
-        if self.left.contains(&start) {
-            return Heard::Outdated;
+        if self.departed.contains(&start) {
+            return AnnouncementOutcome::Outdated;
         }
-        let heard = match &self.current {
-            None => Heard::Taken,
-            Some(current) => current.compare(&start, sequence, announcement),
+        let outcome = match &self.current {
+            None => AnnouncementOutcome::Accepted,
+            Some(current) => current.classify(&start, sequence, announcement),
         };
-        if heard == Heard::Outdated {
-            return heard;
+        if outcome == AnnouncementOutcome::Outdated {
+            return outcome;
         }
-        let before = self.current.replace(Current {
+        let previous = self.current.replace(Current {
             start,
             sequence,
             announcement: announcement.clone(),
         });
-        match self.doubtful && announcement.state == BackendState::Serving {
-            true => self.doubt(before.as_ref(), sequence),
-            false => heard,
+        match self.unconfirmed && announcement.state == BackendState::Serving {
+            true => self.apply_unconfirmed(previous.as_ref(), sequence),
+            false => outcome,
         }
     }
 
-    /// What becomes of a "ready" that nobody has confirmed yet, and that came after `before`.
-    fn doubt(&mut self, before: Option<&Current>, sequence: u64) -> Heard {
+    /// Decides on an unconfirmed ready announcement that replaced `previous`.
+    fn apply_unconfirmed(
+        &mut self,
+        previous: Option<&Current>,
+        sequence: u64,
+    ) -> AnnouncementOutcome {
         let current = self.current.as_ref();
-        let same = before.filter(|before| current.is_some_and(|now| now.start == before.start));
-        self.later = match same {
-            Some(before) => self.later + u32::from(sequence > before.sequence),
+        let same_start =
+            previous.filter(|previous| current.is_some_and(|now| now.start == previous.start));
+        self.later_announcements = match same_start {
+            Some(previous) => self.later_announcements + u32::from(sequence > previous.sequence),
             None => 1,
         };
-        self.doubtful = self.later < LATER_ENOUGH;
-        match self.doubtful {
-            true => Heard::Unconfirmed,
-            false => Heard::Taken,
+        self.unconfirmed = self.later_announcements < CONFIRMING_ANNOUNCEMENTS;
+        match self.unconfirmed {
+            true => AnnouncementOutcome::Unconfirmed,
+            false => AnnouncementOutcome::Accepted,
         }
     }
 
-    /// Whether nothing has been heard yet.
-    pub fn is_silent(&self) -> bool {
-        self.current.is_none() && self.left.is_empty()
+    /// Whether no instance is known, neither current nor departed.
+    pub fn is_empty(&self) -> bool {
+        self.current.is_none() && self.departed.is_empty()
     }
 
-    /// What the backend server said last, if it takes work.
+    /// Returns the announcement in effect if the backend server accepts requests.
     pub fn serving(&self) -> Option<&Announcement> {
-        let current = self.current.as_ref().filter(|_| !self.doubtful);
+        let current = self.current.as_ref().filter(|_| !self.unconfirmed);
         let announcement = current.map(|current| &current.announcement);
         announcement.filter(|announcement| announcement.state == BackendState::Serving)
     }
 
-    fn leave(&mut self, start: Start) -> Heard {
+    fn apply_departure(&mut self, start: BackendStart) -> AnnouncementOutcome {
         let current = self.current.as_ref();
-        // One that leaves need not say when it started.
-        let holds = current.filter(|current| current.start.instance == start.instance);
-        let left = holds.map_or(start, |current| current.start.clone());
-        let heard = match (holds, current) {
-            (Some(_), _) | (None, None) => Heard::Taken,
-            (None, Some(_)) => Heard::Outdated,
+        // A departure announcement may lack the start time.
+        let matching = current.filter(|current| current.start.instance == start.instance);
+        let departed_start = matching.map_or(start, |current| current.start.clone());
+        let outcome = match (matching, current) {
+            (Some(_), _) | (None, None) => AnnouncementOutcome::Accepted,
+            (None, Some(_)) => AnnouncementOutcome::Outdated,
         };
-        let unknown = left.started_ms == 0;
-        let is_same = |known: &Start| {
-            known.instance == left.instance && (unknown || known.started_ms == left.started_ms)
+        let start_unknown = departed_start.started_ms == 0;
+        let is_same = |known: &BackendStart| {
+            known.instance == departed_start.instance
+                && (start_unknown || known.started_ms == departed_start.started_ms)
         };
-        if holds.is_none() && self.left.iter().any(is_same) {
-            return Heard::Repeated;
+        if matching.is_none() && self.departed.iter().any(is_same) {
+            return AnnouncementOutcome::Duplicate;
         }
-        if heard == Heard::Taken {
+        if outcome == AnnouncementOutcome::Accepted {
             self.current = None;
         }
-        self.left.push_back(left);
-        if self.left.len() > LEFT_REMEMBERED {
-            self.left.pop_front();
+        self.departed.push_back(departed_start);
+        if self.departed.len() > DEPARTED_STARTS_MAX {
+            self.departed.pop_front();
         }
-        heard
+        outcome
     }
 }
 
 impl Current {
-    fn compare(&self, start: &Start, sequence: u64, announcement: &Announcement) -> Heard {
+    fn classify(
+        &self,
+        start: &BackendStart,
+        sequence: u64,
+        announcement: &Announcement,
+    ) -> AnnouncementOutcome {
         if start.started_ms < self.start.started_ms {
-            return Heard::Outdated;
+            return AnnouncementOutcome::Outdated;
         }
         if *start != self.start {
-            return Heard::Taken;
+            return AnnouncementOutcome::Accepted;
         }
         if sequence < self.sequence {
-            return Heard::Outdated;
+            return AnnouncementOutcome::Outdated;
         }
-        let same = Announcement {
+        let without_sequence_change = Announcement {
             sequence: self.announcement.sequence,
             cold_ms: self.announcement.cold_ms,
             ..announcement.clone()
         };
-        if same == self.announcement {
-            Heard::Repeated
+        if without_sequence_change == self.announcement {
+            AnnouncementOutcome::Duplicate
         } else {
-            Heard::Taken
+            AnnouncementOutcome::Accepted
         }
     }
 }
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -176,14 +176,14 @@
     match outcome.await {
         None => Err(Failure::may_have_run(Reason::GivenUp)),
         Some(Err(failure)) => {
-            context.budget.retries = attempts.after_failure();
+            context.budget.retries = attempts.budget_after_failure();
             Err(failure)
         }
         Some(Ok(response)) => {
             let unspent_retries =
                 headers::get_u64(response.headers(), &headers::RETRIES).unwrap_or(0);
             context.budget.retries =
-                attempts.after_answer(u32::try_from(unspent_retries).unwrap_or(0));
+                attempts.budget_after_response(u32::try_from(unspent_retries).unwrap_or(0));
             Ok(response)
         }
     }
@@ -207,7 +207,7 @@
 
 fn choose_branch(route: &Route) -> &ResolvedTarget {
     let weights = route.targets.iter().map(|branch| branch.weight);
-    &route.targets[split::branch(weights, route.next_request_number())]
+    &route.targets[split::choose_branch(weights, route.next_request_number())]
 }
 
 /// Refuses a body that says from the start that it is too long; see [`ReplayableBody`] for the others.
--- a/src/proxy/entry/routed_request.rs
+++ b/src/proxy/entry/routed_request.rs
@@ -14,10 +14,13 @@
 use crate::core::names::ServiceName;
 use crate::core::routing::ResolvedTarget;
 use crate::core::verdict::Verdict;
-use crate::decide::intake::SMALL_BYTES;
-use crate::decide::patience;
-use crate::decide::placement::{Believed, Endpoint, Limits, LoadReport, Need, Observed, Search};
+use crate::decide::load_balancing::{
+    AttemptOutcome, Endpoint, EndpointEstimate, FreeSlotSearch, LoadReport, Requirements,
+    TimeLimits,
+};
+use crate::decide::max_wait;
 use crate::decide::retry::Attempts;
+use crate::decide::uploads::SMALL_BODY_MAX_BYTES;
 use crate::proxy::body::{self, Body, GuardedBody};
 use crate::proxy::failure::{Failure, Reason};
 use crate::proxy::hop::Hop;
@@ -51,9 +54,9 @@
         body: &ReplayableBody,
         attempts: &mut Attempts,
     ) -> Result<Response<Body>, Failure> {
-        self.node.retry_tokens().entry_for(self.service()).earn();
+        self.node.retry_tokens().for_service(self.service()).earn();
         let mut tried: Vec<NodeId> = Vec::new();
-        let mut search = Search::new(self.node.without());
+        let mut search = FreeSlotSearch::new(self.node.without());
         let mut verdict = Verdict::NotRun;
         let mut last_failure = None;
         loop {
@@ -61,14 +64,14 @@
                 let no_endpoint = Failure::not_run(Reason::NoEndpoint);
                 return Err(last_failure.unwrap_or(no_endpoint).after_attempt(verdict));
             };
-            let waits = self.is_nested() || search.waits_at(endpoint.node);
-            let hop = self.hop(attempts.passed_down(), waits);
+            let waits = self.is_nested() || search.queues_at(endpoint.node);
+            let hop = self.hop(attempts.downstream_budget(), waits);
             let failure = match self.send_attempt(endpoint, body, hop).await {
                 Ok(response) => return Ok(response),
                 Err(failure) => failure,
             };
             if !waits && failure.is_overload() {
-                search.busy(endpoint.node);
+                search.record_busy(endpoint.node);
                 continue;
             }
             // One attempt that may have run taints all that follow: a later refusal proves
@@ -79,7 +82,7 @@
             let retry_kind = failure.retry_kind();
             let retry = {
                 let mut tokens = self.node.retry_tokens();
-                attempts.again(retry_kind, tokens.entry_for(self.service()))
+                attempts.take_retry(retry_kind, tokens.for_service(self.service()))
             };
             let retry = retry && body.can_replay() && Instant::now() < self.deadline;
             self.log_attempt_failed(&endpoint, &failure, retry);
@@ -105,13 +108,13 @@
     }
 
     /// Until when an answer is of use, from now.
-    fn time_limits(&self) -> Limits {
+    fn time_limits(&self) -> TimeLimits {
         let remaining_us = |until: Instant| {
             let remaining = until.saturating_duration_since(Instant::now());
             u64::try_from(remaining.as_micros()).unwrap_or(u64::MAX)
         };
         let deadline_us = remaining_us(self.deadline);
-        Limits {
+        TimeLimits {
             target_us: remaining_us(self.due()).min(deadline_us),
             deadline_us,
         }
@@ -123,9 +126,9 @@
             self.log_not_placed(0, tried.len());
             return None;
         };
-        let need = Need {
+        let need = Requirements {
             spill: self.branch.treatment.spill,
-            slots: self.slots,
+            default_slots: self.slots,
             resource: &self.branch.resource,
             limits: self.time_limits(),
             body_bytes: self.body_bytes,
@@ -139,10 +142,10 @@
         };
         self.log_placed(
             &endpoint,
-            &balancer.believed(now_us, &endpoint, &need),
+            &balancer.estimate(now_us, &endpoint, &need),
             tried.len(),
         );
-        balancer.begun(now_us, &endpoint);
+        balancer.record_start(now_us, &endpoint);
         Some(endpoint)
     }
 
@@ -156,7 +159,7 @@
         u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn log_placed(&self, endpoint: &Endpoint, believed: &Believed, tried_endpoints: usize) {
+    fn log_placed(&self, endpoint: &Endpoint, believed: &EndpointEstimate, tried_endpoints: usize) {
         if !self.node.log_limiter.may_log(LogClass::Routine) {
             return;
         }
@@ -166,10 +169,10 @@
             resource:% = self.branch.resource,
             node:% = endpoint.node,
             tried_endpoints,
-            in_hand = believed.in_hand,
+            in_hand = believed.in_flight,
             slots = believed.slots,
-            held_us:? = believed.held_us,
-            failing = believed.failing,
+            held_us:? = believed.service_time_us,
+            failing = believed.failure_rate,
             report_age_us:? = believed.report_age_us,
             remaining_ms = self.remaining_ms();
             "placed the request"
@@ -212,8 +215,8 @@
     fn hop(&self, retries: u32, waits: bool) -> Hop {
         let treatment = &self.branch.treatment;
         let patience = match waits {
-            true if self.is_nested() => patience::of_call(treatment),
-            true => patience::of_caller(treatment, self.node.without()),
+            true if self.is_nested() => max_wait::for_nested_call(treatment),
+            true => max_wait::for_caller_request(treatment, self.node.without()),
             false => Duration::ZERO,
         };
         let now = Instant::now();
@@ -256,14 +259,17 @@
         self.record_outcome(&endpoint, &result);
         if let Ok(response) = &result {
             let bytes = response.body().size_hint().lower();
-            self.node.balancer().answered(&self.branch.resource, bytes);
+            self.node
+                .balancer()
+                .record_response_size(&self.branch.resource, bytes);
         }
         result
             .map(|response| response.map(|inner| body::boxed(GuardedBody::new(inner, outstanding))))
     }
 
     fn is_large(&self) -> bool {
-        self.body_bytes > SMALL_BYTES && self.node.without().is_enabled(Mechanism::UploadScheduling)
+        self.body_bytes > SMALL_BODY_MAX_BYTES
+            && self.node.without().is_enabled(Mechanism::UploadScheduling)
     }
 
     /// Asks for a turn, and sends the request once it has been given.
@@ -320,35 +326,35 @@
         let now_us = clock::since_us(self.node.started);
         let resource = &self.branch.resource;
         let mut balancer = self.node.balancer();
-        balancer.reported(now_us, endpoint.node, resource, load);
+        balancer.record_load(now_us, endpoint.node, resource, load);
     }
 
     fn record_hold_times(&self, endpoint: &Endpoint, headers: &HeaderMap) {
         let now_us = clock::since_us(self.node.started);
         let mut balancer = self.node.balancer();
         for (resource, held_us) in headers::parse_hold_times(headers) {
-            balancer.learnt_held(now_us, endpoint.node, &resource, held_us);
+            balancer.record_service_time(now_us, endpoint.node, &resource, held_us);
         }
     }
 
     /// Tells the balancer what this attempt has shown of its endpoint.
     fn record_outcome(&self, endpoint: &Endpoint, result: &Result<Response<Body>, Failure>) {
         let observed = match result {
-            Ok(response) => Observed::Answered {
+            Ok(response) => AttemptOutcome::Answered {
                 server_error: response.status().is_server_error(),
             },
             Err(failure) => match failure.reason {
-                Reason::Draining | Reason::NoEndpoint => Observed::Draining,
-                Reason::Unreachable => Observed::Unreachable,
-                Reason::Rejected => Observed::Rejected,
-                Reason::Lost | Reason::Deadline => Observed::Lost,
-                _ => Observed::Refused,
+                Reason::Draining | Reason::NoEndpoint => AttemptOutcome::Draining,
+                Reason::Unreachable => AttemptOutcome::Unreachable,
+                Reason::Rejected => AttemptOutcome::Rejected,
+                Reason::Lost | Reason::Deadline => AttemptOutcome::Lost,
+                _ => AttemptOutcome::Refused,
             },
         };
         let now_us = clock::since_us(self.node.started);
         self.node
             .balancer()
-            .observed(now_us, endpoint.node, observed);
+            .record_outcome(now_us, endpoint.node, observed);
     }
 
     fn build_request(&self, body: Body) -> Request<Body> {
@@ -393,6 +399,6 @@
 
 impl Drop for OutstandingRequest {
     fn drop(&mut self) {
-        self.node.balancer().ended(self.endpoint);
+        self.node.balancer().record_end(self.endpoint);
     }
 }
--- a/tests/testsuite/mechanisms.rs
+++ b/tests/testsuite/mechanisms.rs
@@ -1,78 +1,91 @@
-//! Mechanisms that an operator switches off: their names, and that each decision goes without.
+//! Mechanisms that an operator can switch off: their names, and their effect on decisions.
 
 use dragonflywall::core::configuration::Class;
 use dragonflywall::core::mechanism::{Mechanism, MechanismSwitches};
 use dragonflywall::core::names::ServiceName;
-use dragonflywall::decide::admission::{Admission, Admitted, Ask, Limits, Urgency};
-use dragonflywall::decide::placement::Search;
-use dragonflywall::decide::retry::{Attempts, Failed, RetryPolicy, ServiceTokens};
+use dragonflywall::decide::admission::{Admission, AdmitOutcome, Limits, Priority, SlotRequest};
+use dragonflywall::decide::load_balancing::FreeSlotSearch;
+use dragonflywall::decide::retry::{AttemptFailure, Attempts, RetryPolicy, ServiceTokens};
 use dragonflywall::node;
 
-use crate::decide_placement::node;
+use crate::decide_load_balancing::node;
 use crate::decide_retry::treatment;
 use crate::documentation::page;
 
-const LATE_US: u64 = u64::MAX / 4;
+const FAR_DEADLINE_US: u64 = u64::MAX / 4;
 
-/// The order in which four requests that wait for one slot get it: (rank, due) of each, in order of arrival.
-fn order(without: MechanismSwitches, waiting: [(Urgency, u64); 4]) -> Vec<usize> {
-    let mut admission: Admission<usize> = Admission::new(without);
+/// Returns the order in which four waiting requests get a slot. `waiting` has the priority and the due time
+/// of each in order of arrival.
+fn grant_order(switches: MechanismSwitches, waiting: [(Priority, u64); 4]) -> Vec<usize> {
+    let mut admission: Admission<usize> = Admission::new(switches);
     admission.set_limits(Limits {
         slots: 1,
         queue_len: 10,
     });
-    let ask = |urgency, due_us| Ask {
-        urgency,
+    let request = |priority, due_us| SlotRequest {
+        priority,
         due_us,
-        ..Ask::new(Class::Interactive, LATE_US)
+        ..SlotRequest::new(Class::Interactive, FAR_DEADLINE_US)
     };
-    let first = ask(Urgency::Caller { rank: 0 }, 0);
-    assert_eq!(admission.admit(0, &first, || 9), Admitted::Slot);
-    for (number, (urgency, due_us)) in waiting.into_iter().enumerate() {
-        admission.admit(1, &ask(urgency, due_us), || number);
+    let first = request(Priority::CallerRequest { rank: 0 }, 0);
+    assert_eq!(admission.admit(0, &first, || 9), AdmitOutcome::Slot);
+    for (number, (priority, due_us)) in waiting.into_iter().enumerate() {
+        admission.admit(1, &request(priority, due_us), || number);
     }
     let mut order = Vec::new();
     for _ in waiting {
         crate::decide_admission::release(&mut admission, Class::Interactive, 10);
-        order.extend(admission.next(10).map(|(number, _)| number));
+        order.extend(admission.end_next_wait(10).map(|(number, _)| number));
     }
     order
 }
 
 #[test]
-fn a_gate_orders_without_calls_first_ranks_or_due_times() {
-    let rank = |rank| Urgency::Caller { rank };
+fn queue_order_follows_the_enabled_mechanisms() {
+    let rank = |rank| Priority::CallerRequest { rank };
     let waiting = [
         (rank(2), 30),
         (rank(1), 20),
         (rank(1), 10),
-        (Urgency::Call, 40),
+        (Priority::NestedCall, 40),
     ];
-    assert_eq!(order(MechanismSwitches::default(), waiting), [3, 2, 1, 0]);
-    let without = |names: &str| names.parse().expect("they are known");
-    assert_eq!(order(without("due-order"), waiting), [3, 1, 2, 0]);
-    assert_eq!(order(without("calls-first"), waiting), [2, 1, 3, 0]);
-    assert_eq!(order(without("ranks,calls-first"), waiting), [2, 1, 0, 3]);
     assert_eq!(
-        order(without("ranks,calls-first,due-order"), waiting),
+        grant_order(MechanismSwitches::default(), waiting),
+        [3, 2, 1, 0]
+    );
+    let switches_without = |names: &str| names.parse().expect("the names are known");
+    assert_eq!(
+        grant_order(switches_without("due-order"), waiting),
+        [3, 1, 2, 0]
+    );
+    assert_eq!(
+        grant_order(switches_without("calls-first"), waiting),
+        [2, 1, 3, 0]
+    );
+    assert_eq!(
+        grant_order(switches_without("ranks,calls-first"), waiting),
+        [2, 1, 0, 3]
+    );
+    assert_eq!(
+        grant_order(switches_without("ranks,calls-first,due-order"), waiting),
         [0, 1, 2, 3]
     );
 }
 
 #[test]
 fn bulk_work_takes_every_slot_without_the_reserve() {
-    let bulk_slots = |without| {
-        let mut admission: Admission<()> = Admission::new(without);
+    let bulk_slots = |switches| {
+        let mut admission: Admission<()> = Admission::new(switches);
         admission.set_limits(Limits {
             slots: 8,
             queue_len: 8,
         });
-        let interactive = Ask::new(Class::Interactive, LATE_US);
+        let interactive = SlotRequest::new(Class::Interactive, FAR_DEADLINE_US);
         admission.admit(0, &interactive, || ());
         crate::decide_admission::release(&mut admission, Class::Interactive, 1);
-        let bulk = Ask::new(Class::Bulk, LATE_US);
+        let bulk = SlotRequest::new(Class::Bulk, FAR_DEADLINE_US);
         (0..8)
-            .filter(|_| admission.admit(2, &bulk, || ()) == Admitted::Slot)
+            .filter(|_| admission.admit(2, &bulk, || ()) == AdmitOutcome::Slot)
             .count()
     };
     assert_eq!(bulk_slots(MechanismSwitches::default()), 6);
@@ -83,22 +96,24 @@
 }
 
 #[test]
-fn a_request_waits_at_its_first_endpoint_without_looks() {
-    let waits = |without| Search::new(without).waits_at(node(1));
-    assert!(!waits(MechanismSwitches::default()));
-    assert!(waits(MechanismSwitches::disabling(
+fn request_queues_at_its_first_endpoint_without_probes() {
+    let queues = |switches| FreeSlotSearch::new(switches).queues_at(node(1));
+    assert!(!queues(MechanismSwitches::default()));
+    assert!(queues(MechanismSwitches::disabling(
         Mechanism::FreeSlotProbes
     )));
 }
 
 #[test]
 fn retries_are_limited_by_tokens_and_their_reserve() {
-    let retries = |without| {
+    let retries = |switches| {
         let mut tokens = ServiceTokens::default();
-        tokens.set_policy(RetryPolicy::default().without(without));
-        let of_service = tokens.entry_for(&ServiceName::new("tablon"));
-        let again = |_: &i32| Attempts::new(&treatment(true), 8).again(Failed::NotRun, of_service);
-        (0..100).filter(again).count()
+        tokens.set_policy(RetryPolicy::default().with_switches(switches));
+        let service_tokens = tokens.for_service(&ServiceName::new("tablon"));
+        let is_retried = |_: &i32| {
+            Attempts::new(&treatment(true), 8).take_retry(AttemptFailure::NotRun, service_tokens)
+        };
+        (0..100).filter(is_retried).count()
     };
     assert_eq!(retries(MechanismSwitches::default()), 10);
     assert_eq!(
@@ -112,14 +127,14 @@
 }
 
 #[test]
-fn an_unknown_mechanism_is_refused_with_the_known_ones() {
+fn unknown_mechanism_error_lists_the_known_ones() {
     let arguments = ["--without", "ranks,haste"].map(Into::into);
-    let error = node::settings::parse(arguments, |_| None).expect_err("it is unknown");
+    let error = node::settings::parse(arguments, |_| None).expect_err("the name is unknown");
     let problem = error
         .problems
         .iter()
         .find(|problem| problem.contains("haste"));
-    let problem = problem.expect("it is named");
+    let problem = problem.expect("the error names the unknown mechanism");
     assert!(
         Mechanism::names().iter().all(|name| problem.contains(name)),
         "{problem}"
@@ -127,12 +142,12 @@
 }
 
 #[test]
-fn the_page_of_mechanisms_has_every_name() {
+fn mechanisms_page_lists_every_name() {
     let page = page("docs/reference/mechanisms.md");
     for name in Mechanism::names() {
         assert!(
             page.contains(&format!("| `{name}` |")),
-            "{name} is not in the page"
+            "{name} is not on the page"
         );
     }
 }
--- a/tests/testsuite/spread_deployment.rs
+++ b/tests/testsuite/spread_deployment.rs
@@ -1,7 +1,7 @@
-//! A deployment in virtual time: who follows whom, and what gossip brings.
+//! A simulated deployment in virtual time, for measuring how long versions take to reach its nodes.
 //!
-//! Nodes take the product's decisions ([`LeadChoice`], [`Fetcher`]); the store and the processes fail as they
-//! are told to.
+//! Nodes use the product's decisions ([`LeadChoice`], [`Fetcher`]). The store, the network between
+//! nodes and gossip are simulated, and faults are injected into the store and the processes.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -22,26 +22,26 @@
 
 const BUDGET: ApplyBudget = ApplyBudget::new(2_500);
 const LEADS: usize = 3;
-/// Answers of the store, without the way there.
+/// Time that the store takes to answer, without network latency.
 const STORE_LATENCY_MS: u64 = 4;
 
-/// What the store does to one node.
+/// How the store treats one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum StoreFault {
     #[default]
     None,
-    /// Every call is refused.
+    /// Every read is refused.
     Refused,
-    /// No call is answered.
+    /// No read is answered.
     Unanswered,
-    /// The connections of now are never answered, new ones are.
+    /// Reads on the existing connections are never answered, reads on new ones are.
     OldConnectionsUnanswered,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
     Store(StoreFault),
-    /// The process is gone, and stays so.
+    /// The process dies and does not restart.
     Killed,
 }
 
@@ -64,7 +64,7 @@
     },
     LeadAsked {
         lead: usize,
-        by: usize,
+        follower: usize,
         request_id: u64,
         have: u64,
         until_ms: u64,
@@ -101,22 +101,22 @@
 }
 
 struct Waiter {
-    by: usize,
+    follower: usize,
     request_id: u64,
     have: u64,
 }
 
 struct Process {
-    up: bool,
+    is_up: bool,
     store_fault: StoreFault,
     lead_choice: LeadChoice,
     fetcher: Fetcher,
     fetching: Option<(u64, Fetch)>,
     held: u64,
     head: u64,
-    /// Numbers what it asks of a lead or the store; answers to earlier questions are void.
+    /// Numbers the requests to leads and the store; answers to earlier requests are ignored.
     request_id: u64,
-    /// A read of the store is under way since then.
+    /// Start of the read of the store that is in flight.
     reading_since_ms: Option<u64>,
     store_read_ms: u64,
     waiters: Vec<Waiter>,
@@ -127,7 +127,7 @@
     per_data_centre: usize,
     now_ms: u64,
     accepted: u64,
-    /// Least and most time between two versions.
+    /// Shortest and longest time between two versions.
     pub(crate) gap_ms: (u64, u64),
     until_ms: u64,
     processes: Vec<Process>,
@@ -138,11 +138,12 @@
 }
 
 fn node(index: usize) -> NodeId {
-    let port = u16::try_from(index + 1).expect("few nodes");
+    let port = u16::try_from(index + 1).expect("fewer than 65535 nodes");
     NodeId(SocketAddr::from((Ipv4Addr::new(10, 0, 0, 1), port)))
 }
 
-/// Place among the gateways of a region, for the node at a place of the region's first data centre.
+/// Gateway rank of the node with this number in the first data centre of its region: 0 and 1 for
+/// numbers 1 and 2.
 fn gateway_rank(number: usize) -> Option<usize> {
     number.checked_sub(1).filter(|rank| *rank < 2)
 }
@@ -168,15 +169,15 @@
         };
         for index in 0..data_centres * per_data_centre {
             deployment.processes.push(deployment.process(index));
-            deployment.after(0, Event::Step(index));
+            deployment.schedule(0, Event::Step(index));
         }
-        deployment.after(1_000, Event::Accept);
+        deployment.schedule(1_000, Event::Accept);
         deployment
     }
 
     fn process(&self, index: usize) -> Process {
         let mut process = Process {
-            up: true,
+            is_up: true,
             store_fault: StoreFault::None,
             lead_choice: LeadChoice::default(),
             fetcher: Fetcher::for_follower(node(index), BUDGET.peer_fetch_delay_ms()),
@@ -204,7 +205,7 @@
         self.data_centre_of(index).is_multiple_of(2)
     }
 
-    /// Two data centres form a region.
+    /// Distance between two nodes. Two data centres form a region.
     fn distance(&self, one: usize, other: usize) -> Distance {
         let (one, other) = (self.data_centre_of(one), self.data_centre_of(other));
         match (one == other, one / 2 == other / 2) {
@@ -221,7 +222,7 @@
         }
     }
 
-    /// The store stands in the first region.
+    /// Time for a read of the store, which is in the first region.
     fn store_latency_ms(&self, index: usize) -> u64 {
         STORE_LATENCY_MS + 2 * self.latency_ms(0, index)
     }
@@ -234,7 +235,8 @@
         }
     }
 
-    /// All of the data centre, two bridges to the other one of the region, and two pairs between regions.
+    /// All nodes of the data centre, two bridges to the region's other data centre, and two gateway
+    /// pairs between regions.
     fn neighbours(&self, index: usize) -> Vec<usize> {
         let is_neighbour = |other: &usize| {
             let rank = (index % self.per_data_centre, other % self.per_data_centre);
@@ -254,7 +256,8 @@
 
     fn leads(&self, index: usize) -> Leads {
         let first = self.data_centre_of(index) * self.per_data_centre;
-        let alive = (first..first + self.per_data_centre).filter(|other| self.processes[*other].up);
+        let alive =
+            (first..first + self.per_data_centre).filter(|other| self.processes[*other].is_up);
         let ranked: Vec<usize> = alive.take(LEADS).collect();
         let own = ranked.iter().position(|lead| *lead == index);
         let before = &ranked[..own.unwrap_or(ranked.len())];
@@ -265,21 +268,22 @@
         }
     }
 
-    fn after(&mut self, pause_ms: u64, event: Event) {
+    fn schedule(&mut self, pause_ms: u64, event: Event) {
         self.sequence += 1;
         let at_ms = self.now_ms + pause_ms;
         self.events.push(Reverse((at_ms, self.sequence, event)));
     }
 
-    /// Lets `fault` strike `at` after a time, for a time.
+    /// Injects `fault` into the node `index` after `after_ms`. A store fault ends `for_ms` later.
     pub(crate) fn inject(&mut self, after_ms: u64, for_ms: u64, index: usize, fault: Fault) {
         let number = self.faults.len();
         self.faults.push((index, fault));
-        self.after(after_ms, Event::Fault(number));
-        self.after(after_ms + for_ms, Event::FaultEnds(number));
+        self.schedule(after_ms, Event::Fault(number));
+        self.schedule(after_ms + for_ms, Event::FaultEnds(number));
     }
 
-    /// Runs to the end; the versions that were late, with the node.
+    /// Runs the simulation to its end. Returns each version that a node did not hold in time, with
+    /// the node's index.
     pub(crate) fn run(mut self) -> Vec<(u64, usize)> {
         let mut late = Vec::new();
         while let Some(Reverse((now_ms, _, event))) = self.events.pop() {
@@ -290,7 +294,7 @@
             match event {
                 Event::Deadline(version) => {
                     let behind = self.processes.iter().enumerate();
-                    let behind = behind.filter(|(_, node)| node.up && node.held < version);
+                    let behind = behind.filter(|(_, node)| node.is_up && node.held < version);
                     late.extend(behind.map(|(index, _)| (version, index)));
                 }
                 event => self.handle(event),
@@ -318,7 +322,7 @@
             } => self.store_fails(index, request_id, timed_out),
             Event::LeadAsked {
                 lead,
-                by,
+                follower,
                 request_id,
                 have,
                 until_ms,
@@ -326,7 +330,7 @@
                 self.lead_asked(
                     lead,
                     Waiter {
-                        by,
+                        follower,
                         request_id,
                         have,
                     },
@@ -381,11 +385,11 @@
     }
 
     fn is_current(&self, index: usize, request_id: u64) -> bool {
-        self.processes[index].up && self.processes[index].request_id == request_id
+        self.processes[index].is_up && self.processes[index].request_id == request_id
     }
 
     fn step(&mut self, index: usize) {
-        if !self.processes[index].up {
+        if !self.processes[index].is_up {
             return;
         }
         let leads = self.leads(index);
@@ -406,17 +410,17 @@
                 let lead = position(lead.node);
                 let latency_ms = self.latency_ms(index, lead);
                 let until_ms = now_ms + wait_ms;
-                self.after(
+                self.schedule(
                     latency_ms,
                     Event::LeadAsked {
                         lead,
-                        by: index,
+                        follower: index,
                         request_id,
                         have,
                         until_ms,
                     },
                 );
-                self.after(
+                self.schedule(
                     wait_ms + answer_ms,
                     Event::LeadFailed {
                         index,
@@ -433,7 +437,7 @@
         self.processes[index].reading_since_ms = Some(self.now_ms);
         match self.processes[index].store_fault {
             StoreFault::Refused => {
-                self.after(
+                self.schedule(
                     latency_ms,
                     Event::StoreFails {
                         index,
@@ -452,7 +456,7 @@
                         .store_wait_ms(self.now_ms, BUDGET),
                 };
                 let version = newer.then_some(self.accepted);
-                self.after(
+                self.schedule(
                     wait_ms + latency_ms,
                     Event::StoreAnswers {
                         index,
@@ -468,7 +472,7 @@
         let lead_choice = &self.processes[index].lead_choice;
         let wait_ms = lead_choice.store_wait_ms(self.now_ms, BUDGET)
             + lead_choice.store_answer_timeout_ms(BUDGET);
-        self.after(
+        self.schedule(
             wait_ms,
             Event::StoreFails {
                 index,
@@ -481,14 +485,14 @@
     fn accept(&mut self) {
         self.accepted += 1;
         let version = self.accepted;
-        self.after(BUDGET.apply_ms(), Event::Deadline(version));
+        self.schedule(BUDGET.apply_ms(), Event::Deadline(version));
         for index in 0..self.processes.len() {
             let process = &self.processes[index];
-            // A read that a silent connection hides is told nothing.
+            // A read that a store fault leaves unanswered does not receive the version.
             if process.reading_since_ms.is_some() && process.store_fault == StoreFault::None {
                 let request_id = process.request_id;
                 let version = Some(version);
-                self.after(
+                self.schedule(
                     self.store_latency_ms(index) / 2,
                     Event::StoreAnswers {
                         index,
@@ -500,24 +504,24 @@
         }
         if self.now_ms < self.until_ms {
             let gap_ms = self.rng.random_range(self.gap_ms.0..=self.gap_ms.1);
-            self.after(gap_ms, Event::Accept);
+            self.schedule(gap_ms, Event::Accept);
         }
     }
 
     fn fault(&mut self, number: usize) {
         let (index, fault) = self.faults[number];
         let request_id = self.processes[index].request_id;
-        let reads = self.processes[index].reading_since_ms.is_some();
+        let is_reading = self.processes[index].reading_since_ms.is_some();
         match fault {
             Fault::Killed => self.kill(index),
             Fault::Store(store_fault) => {
                 self.processes[index].store_fault = store_fault;
-                if reads {
-                    // Answers of before are void; the read ends as the trouble has it.
+                if is_reading {
+                    // The pending answer is ignored, and the read ends as the fault determines.
                     self.processes[index].request_id += 1;
                     match store_fault {
                         StoreFault::Refused => {
-                            self.after(
+                            self.schedule(
                                 1,
                                 Event::StoreFails {
                                     index,
@@ -534,11 +538,11 @@
     }
 
     fn kill(&mut self, index: usize) {
-        self.processes[index].up = false;
-        // A connection that is closed shows at once.
+        self.processes[index].is_up = false;
+        // The followers notice the closed connections at once.
         for waiter in std::mem::take(&mut self.processes[index].waiters) {
-            let (index, request_id, lead) = (waiter.by, waiter.request_id, index);
-            self.after(
+            let (index, request_id, lead) = (waiter.follower, waiter.request_id, index);
+            self.schedule(
                 1,
                 Event::LeadFailed {
                     index,
@@ -582,7 +586,7 @@
         let process = &mut self.processes[index];
         process.request_id += 1;
         process.reading_since_ms = None;
-        // New connections are answered.
+        // Reads on new connections are answered.
         if process.store_fault == StoreFault::OldConnectionsUnanswered {
             process.store_fault = StoreFault::None;
         }
@@ -590,13 +594,13 @@
         if process.lead_choice.is_store_failing() {
             self.answer_waiters(index, |_| true);
         }
-        self.after(pause_ms, Event::Step(index));
+        self.schedule(pause_ms, Event::Step(index));
     }
 
     fn lead_asked(&mut self, lead: usize, waiter: Waiter, until_ms: u64) {
-        if !self.processes[lead].up {
-            let (index, request_id) = (waiter.by, waiter.request_id);
-            return self.after(
+        if !self.processes[lead].is_up {
+            let (index, request_id) = (waiter.follower, waiter.request_id);
+            return self.schedule(
                 1,
                 Event::LeadFailed {
                     index,
@@ -612,7 +616,7 @@
         {
             return self.answer_waiters(lead, |waiter| waiter.request_id == request_id);
         }
-        self.after(until_ms - self.now_ms, Event::WaitEnds { lead, request_id });
+        self.schedule(until_ms - self.now_ms, Event::WaitEnds { lead, request_id });
     }
 
     fn answer_waiters(&mut self, lead: usize, is_due: impl Fn(&Waiter) -> bool) {
@@ -625,9 +629,9 @@
         let age_ms = self.now_ms - process.store_read_ms;
         let due: Vec<Waiter> = due;
         for waiter in due {
-            let (index, request_id) = (waiter.by, waiter.request_id);
+            let (index, request_id) = (waiter.follower, waiter.request_id);
             let latency_ms = self.latency_ms(lead, index);
-            self.after(
+            self.schedule(
                 latency_ms,
                 Event::LeadAnswers {
                     index,
@@ -672,7 +676,7 @@
         for to in self.neighbours(from) {
             let pause_ms =
                 self.rng.random_range(0..=MIN_UPDATE_INTERVAL_MS) + self.latency_ms(from, to);
-            self.after(
+            self.schedule(
                 pause_ms,
                 Event::Gossip {
                     to,
@@ -685,7 +689,7 @@
     }
 
     fn gossip(&mut self, to: usize, from: usize, head: u64, held: u64) {
-        if !self.processes[to].up || !self.processes[from].up {
+        if !self.processes[to].is_up || !self.processes[from].is_up {
             return;
         }
         let holder = self.peer(to, from);
@@ -706,7 +710,7 @@
         let now_ms = self.now_ms;
         let process = &mut self.processes[index];
         let held = Version(process.held);
-        if !process.up || process.fetching.is_some() {
+        if !process.is_up || process.fetching.is_some() {
             return;
         }
         if let Some(fetch) = process.fetcher.next_fetch(now_ms, held) {
@@ -716,7 +720,7 @@
             return self.ask_holder(index, number, &fetch);
         }
         if let Some(wake_ms) = process.fetcher.next_fetch_at_ms(held) {
-            self.after(
+            self.schedule(
                 wake_ms.saturating_sub(now_ms).max(1),
                 Event::FetchDue(index),
             );
@@ -725,14 +729,14 @@
 
     fn ask_holder(&mut self, index: usize, number: u64, fetch: &Fetch) {
         let Source::Peer { node, .. } = fetch.source else {
-            panic!("a follower fetches from peers alone");
+            panic!("a follower never fetches from the store");
         };
         let holder = position(node);
         let held = self.processes[holder]
-            .up
+            .is_up
             .then_some(self.processes[holder].held);
         let pause_ms = 2 * self.latency_ms(index, holder);
-        self.after(
+        self.schedule(
             pause_ms,
             Event::Fetched {
                 index,
--- a/tests/testsuite/users_settings.rs
+++ b/tests/testsuite/users_settings.rs
@@ -3,10 +3,10 @@
 use dragonflywall::node::{self, Settings};
 use testkit::http::wait_until;
 use testkit::process::{LogLine, Signal};
-use testkit::users::mesh::{Asked, Mesh, Plan};
+use testkit::users::mesh::{CallerRequest, Mesh, Plan};
 use tokio::sync::mpsc;
 
-use crate::support::{LIMIT, SERVICES, command, start_users_serving};
+use crate::support::{SERVICES, WAIT_TIMEOUT, run_program, start_serving_users_mesh};
 
 fn single_data_centre_plan() -> Plan {
     let mut plan = Plan::new(&SERVICES);
@@ -18,7 +18,7 @@
 /// with code 2. Unknown keys are ignored. Flags for settings that the file contains are refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_settings_file_is_refused_with_all_problems() {
-    let mesh = start_users_serving(single_data_centre_plan()).await;
+    let mesh = start_serving_users_mesh(single_data_centre_plan()).await;
     let text = mesh.settings_text(0);
     let invalid_text = text
         .replace("zone = ", "zon = ")
@@ -27,7 +27,7 @@
     let directory = tempfile::TempDir::new().expect("a temporary directory can be created");
     let path = directory.path().join("settings.toml");
     std::fs::write(&path, invalid_text).expect("the file is written");
-    let output = command(&[
+    let output = run_program(&[
         "node",
         "--config",
         path.to_str().expect("the path is UTF-8"),
@@ -41,7 +41,7 @@
         !error.contains("address2"),
         "unknown keys are ignored: {error}"
     );
-    let output = command(&[
+    let output = run_program(&[
         "node",
         "--config",
         path.to_str().expect("the path is UTF-8"),
@@ -58,7 +58,7 @@
 /// Guards against a settings file that overrides the values of flags and environment variables.
 #[tokio::test(flavor = "multi_thread")]
 async fn flags_and_variables_override_the_file() {
-    let mesh = start_users_serving(single_data_centre_plan()).await;
+    let mesh = start_serving_users_mesh(single_data_centre_plan()).await;
     let path = mesh.settings_path(0).to_str().expect("the path is UTF-8");
     let arguments = ["--config", path, "--retry-percent=5", "--memory-mb=64"];
     let arguments = arguments.iter().map(|flag| (*flag).into());
@@ -76,7 +76,7 @@
 /// Guards against defaults that differ between settings from flags and settings from the platform's file.
 #[tokio::test(flavor = "multi_thread")]
 async fn file_and_flags_have_the_same_defaults() {
-    let mesh = start_users_serving(single_data_centre_plan()).await;
+    let mesh = start_serving_users_mesh(single_data_centre_plan()).await;
     let settings = |flags: &[&str]| {
         let arguments = flags.iter().map(|flag| (*flag).into());
         node::settings::parse(arguments, |_| None).expect("the settings are valid")
@@ -109,13 +109,15 @@
         }
         None
     };
-    let found = tokio::time::timeout(LIMIT, found).await;
+    let found = tokio::time::timeout(WAIT_TIMEOUT, found).await;
     let found = found.ok().flatten();
     found.unwrap_or_else(|| panic!("no log line contains {text}"))
 }
 
 async fn serves(mesh: &Mesh) -> bool {
-    let reply = mesh.ask(0, &Asked::get("/stock/1", "after")).await;
+    let reply = mesh
+        .send_request(0, &CallerRequest::get("/stock/1", "after"))
+        .await;
     reply.is_ok_and(|reply| reply.status == 200)
 }
 
@@ -126,7 +128,7 @@
     let (sender, mut lines) = mpsc::unbounded_channel();
     let mut plan = single_data_centre_plan();
     plan.log_lines = Some(sender);
-    let mesh = start_users_serving(plan).await;
+    let mesh = start_serving_users_mesh(plan).await;
     let text = mesh.settings_text(0);
     let path = mesh.settings_path(0);
     std::fs::write(path, text.replace("grace=6s", "grace=7s")).expect("the file is written");
@@ -140,5 +142,8 @@
     std::fs::write(path, &text).expect("the file is written");
     mesh.vms[0].node().signal(Signal::Hangup);
     wait_for_line(&mut lines, "reloaded the settings file").await;
-    wait_until("the node still serves requests", LIMIT, || serves(&mesh)).await;
+    wait_until("the node still serves requests", WAIT_TIMEOUT, || {
+        serves(&mesh)
+    })
+    .await;
 }
--- a/tests/testsuite/users_stops.rs
+++ b/tests/testsuite/users_stops.rs
@@ -6,11 +6,11 @@
 
 use testkit::http::wait_until;
 use testkit::process::Signal;
-use testkit::users::backend::Announced;
-use testkit::users::mesh::{Asked, Mesh, Plan};
-use testkit::users::store::Trouble;
+use testkit::users::backend::AnnouncedState;
+use testkit::users::mesh::{CallerRequest, Mesh, Plan};
+use testkit::users::store::CallFault;
 
-use crate::support::{LIMIT, SERVICES, start_users_serving, users_runs};
+use crate::support::{SERVICES, WAIT_TIMEOUT, start_serving_users_mesh, users_mesh_runs};
 
 /// Sends requests one after the other, through all nodes in turn except `excluded`, until `stop` is set. Returns the ids
 /// of the requests that were not answered with 200.
@@ -25,7 +25,7 @@
         }
         let id = format!("steady-{number}");
         let reply = mesh
-            .ask(position, &Asked::post("/book/1?work_ms=5", &id))
+            .send_request(position, &CallerRequest::post("/book/1?work_ms=5", &id))
             .await;
         if !reply.is_ok_and(|reply| reply.status == 200) {
             failed.push(id);
@@ -38,7 +38,7 @@
 /// sends it requests after the acknowledgement, and against requests that fail because of the draining.
 #[tokio::test(flavor = "multi_thread")]
 async fn draining_backend_server_gets_no_requests_after_acknowledgement() {
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
     let stop = AtomicBool::new(false);
     let (failed, acknowledged_at) =
@@ -46,24 +46,24 @@
             let vm = &mesh.vms[leaving];
             wait_until(
                 "the backend server has received a request",
-                LIMIT,
-                || async { vm.backend().record().last_reached.is_some() },
+                WAIT_TIMEOUT,
+                || async { vm.backend().record().last_arrival.is_some() },
             )
             .await;
-            vm.set_announced(Announced::Draining);
+            vm.set_announced_state(AnnouncedState::Draining);
             let acknowledged = vm
                 .backend()
-                .announce(vm.control(), Announced::Draining)
+                .announce(vm.announce_address(), AnnouncedState::Draining)
                 .await;
             assert!(acknowledged);
             let acknowledged_at = Instant::now();
             wait_until(
                 "the other backend servers have received later requests",
-                LIMIT,
+                WAIT_TIMEOUT,
                 || async {
                     let others = mesh.vms_of(SERVICES[1]).into_iter().skip(1);
                     let mut reached =
-                        others.map(|other| mesh.vms[other].backend().record().last_reached);
+                        others.map(|other| mesh.vms[other].backend().record().last_arrival);
                     let after = |at: Option<Instant>| at.is_some_and(|at| at > acknowledged_at);
                     reached.all(after)
                 },
@@ -73,7 +73,7 @@
             acknowledged_at
         });
     assert_eq!(failed, Vec::<String>::new());
-    let last = mesh.vms[leaving].backend().record().last_reached;
+    let last = mesh.vms[leaving].backend().record().last_arrival;
     // A request that was admitted before the acknowledgement may still be on its way over the loopback interface.
     let loopback_delay = Duration::from_millis(100);
     assert!(last.is_some_and(|last| last < acknowledged_at + loopback_delay));
@@ -83,24 +83,26 @@
 /// requests. Guards against new requests that are sent to it, and against requests in flight that are cut off.
 #[tokio::test(flavor = "multi_thread")]
 async fn backend_server_that_leaves_without_draining_finishes_its_requests() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
-    mesh.mute_backend(leaving);
+    mesh.stop_announcements(leaving);
     let mesh = mesh;
-    let booking = Asked::post("/book/1?work_ms=500", "before");
-    let pending_booking = mesh.ask(leaving, &booking);
+    let booking = CallerRequest::post("/book/1?work_ms=500", "before");
+    let pending_booking = mesh.send_request(leaving, &booking);
     let leaves = async {
-        wait_until("the booking runs", LIMIT, || async {
-            !users_runs(&mesh, "before").is_empty()
+        wait_until("the booking runs", WAIT_TIMEOUT, || async {
+            !users_mesh_runs(&mesh, "before").is_empty()
         })
         .await;
-        let at = users_runs(&mesh, "before")[0];
+        let at = users_mesh_runs(&mesh, "before")[0];
         let vm = &mesh.vms[at];
-        assert!(vm.backend().leave(vm.control()).await);
+        assert!(vm.backend().leave(vm.announce_address()).await);
         let id = "after";
-        let reply = mesh.ask(leaving, &Asked::post("/book/1", id)).await;
+        let reply = mesh
+            .send_request(leaving, &CallerRequest::post("/book/1", id))
+            .await;
         assert_eq!(reply.expect("the request gets a response").status, 200);
-        assert_ne!(users_runs(&mesh, id)[0], at);
+        assert_ne!(users_mesh_runs(&mesh, id)[0], at);
     };
     let (reply, ()) = tokio::join!(pending_booking, leaves);
     assert_eq!(reply.expect("the request gets a response").status, 200);
@@ -110,17 +112,20 @@
 /// node that admits requests for it again.
 #[tokio::test(flavor = "multi_thread")]
 async fn delayed_ready_announcement_does_not_reopen_admission() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
-    mesh.mute_backend(leaving);
+    mesh.stop_announcements(leaving);
     let vm = &mesh.vms[leaving];
-    let delayed = vm.backend().next_announcement(Announced::Ready);
+    let delayed = vm.backend().next_announcement(AnnouncedState::Ready);
     assert!(
         vm.backend()
-            .announce(vm.control(), Announced::Draining)
+            .announce(vm.announce_address(), AnnouncedState::Draining)
             .await
     );
-    let late_reply = vm.backend().send_announcement(vm.control(), delayed).await;
+    let late_reply = vm
+        .backend()
+        .send_announcement(vm.announce_address(), delayed)
+        .await;
     assert!(
         late_reply
             .expect("the request gets a response")
@@ -129,9 +134,11 @@
     );
     for number in 0..20 {
         let id = format!("after-{number}");
-        let reply = mesh.ask(leaving, &Asked::post("/book/1", &id)).await;
+        let reply = mesh
+            .send_request(leaving, &CallerRequest::post("/book/1", &id))
+            .await;
         assert_eq!(reply.expect("the request gets a response").status, 200);
-        assert_ne!(users_runs(&mesh, &id), [leaving]);
+        assert_ne!(users_mesh_runs(&mesh, &id), [leaving]);
     }
 }
 
@@ -139,9 +146,9 @@
 /// backend server announced before.
 #[tokio::test(flavor = "multi_thread")]
 async fn invalid_announcement_is_rejected() {
-    let mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let vm = &mesh.vms[0];
-    let valid = vm.backend().next_announcement(Announced::Ready);
+    let valid = vm.backend().next_announcement(AnnouncedState::Ready);
     let invalid = [
         "\u{0}\u{1}".to_owned(),
         valid.replace("\"ready\"", "\"asleep\""),
@@ -150,7 +157,10 @@
         "[]".to_owned(),
     ];
     for text in invalid {
-        let reply = vm.backend().send_announcement(vm.control(), text).await;
+        let reply = vm
+            .backend()
+            .send_announcement(vm.announce_address(), text)
+            .await;
         assert!(
             !reply
                 .expect("the request gets a response")
@@ -158,7 +168,9 @@
                 .is_success()
         );
     }
-    let reply = mesh.ask(0, &Asked::get("/stock/1", "still")).await;
+    let reply = mesh
+        .send_request(0, &CallerRequest::get("/stock/1", "still"))
+        .await;
     assert_eq!(reply.expect("the request gets a response").status, 200);
 }
 
@@ -167,7 +179,7 @@
 /// nodes.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_stop_answers_all_requests() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let stopped = mesh.vms_of(SERVICES[1])[0];
     let mut node = mesh.vms[stopped].node.take().expect("the node runs");
     let caller = node.addresses.caller;
@@ -184,19 +196,19 @@
                     ("x-dfw-deadline-ms", "5000"),
                 ];
                 let path = "/book/1?work_ms=400";
-                let host = testkit::users::configuration::HOST;
+                let host = testkit::users::configuration::DEFAULT_HOST;
                 let method = http::Method::POST;
                 let reply = testkit::http::request(caller, method, host, path, &headers, "").await;
                 reply.map(|reply| reply.status.as_u16())
             });
         }
-        wait_until("the bookings of its callers run", LIMIT, || async {
-            (0..6).all(|number| !users_runs(&mesh, &format!("own-{number}")).is_empty())
+        wait_until("the bookings of its callers run", WAIT_TIMEOUT, || async {
+            (0..6).all(|number| !users_mesh_runs(&mesh, &format!("own-{number}")).is_empty())
         })
         .await;
         node.signal(Signal::Terminate);
         let local_bookings = local_bookings.join_all().await;
-        node.ended().await.expect("the node exits");
+        node.wait_exit().await.expect("the node exits");
         stop.store(true, Ordering::Release);
         local_bookings
     });
@@ -208,7 +220,7 @@
 /// does not serve requests again, or not under the newest version.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_nodes_serve_again_after_a_simultaneous_kill() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     for position in 0..mesh.vms.len() {
         mesh.kill_node(position).await.expect("the node exits");
     }
@@ -220,9 +232,11 @@
     mesh.wait_serving().await;
     for position in 0..mesh.vms.len() {
         let id = format!("again-{position}");
-        let reply = mesh.ask(position, &Asked::post("/book/1", &id)).await;
+        let reply = mesh
+            .send_request(position, &CallerRequest::post("/book/1", &id))
+            .await;
         assert_eq!(reply.expect("the request gets a response").status, 200);
-        assert_eq!(users_runs(&mesh, &id).len(), 1);
+        assert_eq!(users_mesh_runs(&mesh, &id).len(), 1);
     }
 }
 
@@ -240,26 +254,33 @@
 /// would be refused there and would then avoid the endpoint for seconds, although it could serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_node_reports_serving_only_after_an_announcement() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let position = mesh.vms_of(SERVICES[0])[0];
     let other = mesh.vms_of(SERVICES[0])[1];
     let before = member(&mesh, other, position).await["incarnation_us"].clone();
-    mesh.mute_backend(position);
-    mesh.store.set_trouble(Trouble::Busy);
+    mesh.stop_announcements(position);
+    mesh.store.set_call_fault(CallFault::Unavailable);
     mesh.kill_node(position).await.expect("the node exits");
     mesh.start_node(position).await.expect("the node starts");
-    wait_until("another node has detected the restart", LIMIT, || async {
-        let member = member(&mesh, other, position).await;
-        member["liveness"] == "alive" && member["incarnation_us"] != before
-    })
+    wait_until(
+        "another node has detected the restart",
+        WAIT_TIMEOUT,
+        || async {
+            let member = member(&mesh, other, position).await;
+            member["liveness"] == "alive" && member["incarnation_us"] != before
+        },
+    )
     .await;
     assert_eq!(member(&mesh, other, position).await["backend"], "gone");
     let vm = &mesh.vms[position];
-    let acknowledged = vm.backend().announce(vm.control(), Announced::Ready).await;
+    let acknowledged = vm
+        .backend()
+        .announce(vm.announce_address(), AnnouncedState::Ready)
+        .await;
     assert!(acknowledged);
     wait_until(
         "the backend server is reported as serving",
-        LIMIT,
+        WAIT_TIMEOUT,
         || async { member(&mesh, other, position).await["backend"] == "serving" },
     )
     .await;
@@ -277,15 +298,15 @@
 /// backend server from their stored row, so that callers are not served for the seconds until the next announcement.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_nodes_serve_from_stored_rows_before_announcements() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let all = 0..mesh.vms.len();
-    wait_until("every row names a backend server", LIMIT, || async {
+    wait_until("every row names a backend server", WAIT_TIMEOUT, || async {
         all.clone()
             .all(|position| row_names_backend(&mesh, position))
     })
     .await;
     for position in all.clone() {
-        mesh.mute_backend(position);
+        mesh.stop_announcements(position);
         mesh.kill_node(position).await.expect("the node exits");
     }
     for position in all {
@@ -293,7 +314,7 @@
     }
     mesh.wait_enforced(1).await;
     for (path, id) in [("/book/1", "booking"), ("/stock/1", "look-up")] {
-        wait_until("both services are served", LIMIT, || {
+        wait_until("both services are served", WAIT_TIMEOUT, || {
             is_served(&mesh, path, id)
         })
         .await;
@@ -301,7 +322,7 @@
 }
 
 async fn is_served(mesh: &Mesh, path: &str, id: &str) -> bool {
-    let reply = mesh.ask(0, &Asked::get(path, id)).await;
+    let reply = mesh.send_request(0, &CallerRequest::get(path, id)).await;
     reply.is_ok_and(|reply| reply.status == 200)
 }
 
@@ -309,22 +330,24 @@
 /// against a new process that restores it from the stored row: after an acknowledgement it must get no requests.
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_node_does_not_restore_a_draining_backend_server() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
-    wait_until("the stored row names the backend server", LIMIT, || async {
-        row_names_backend(&mesh, leaving)
-    })
+    wait_until(
+        "the stored row names the backend server",
+        WAIT_TIMEOUT,
+        || async { row_names_backend(&mesh, leaving) },
+    )
     .await;
-    mesh.mute_backend(leaving);
+    mesh.stop_announcements(leaving);
     let vm = &mesh.vms[leaving];
     let acknowledged = vm
         .backend()
-        .announce(vm.control(), Announced::Draining)
+        .announce(vm.announce_address(), AnnouncedState::Draining)
         .await;
     assert!(acknowledged);
     wait_until(
         "the stored row no longer names the backend server",
-        LIMIT,
+        WAIT_TIMEOUT,
         || async { !row_names_backend(&mesh, leaving) },
     )
     .await;
@@ -333,19 +356,23 @@
     mesh.wait_enforced(1).await;
     wait_until(
         "the node reaches the other backend servers",
-        LIMIT,
+        WAIT_TIMEOUT,
         || async {
-            let reply = mesh.ask(leaving, &Asked::get("/book/1", "first")).await;
+            let reply = mesh
+                .send_request(leaving, &CallerRequest::get("/book/1", "first"))
+                .await;
             reply.is_ok_and(|reply| reply.status == 200)
         },
     )
     .await;
     for number in 0..8 {
         let id = format!("elsewhere-{number}");
-        let reply = mesh.ask(leaving, &Asked::post("/book/1", &id)).await;
+        let reply = mesh
+            .send_request(leaving, &CallerRequest::post("/book/1", &id))
+            .await;
         assert_eq!(reply.expect("the node responds").status, 200);
     }
-    assert_eq!(mesh.vms[leaving].backend().record().last_reached, None);
+    assert_eq!(mesh.vms[leaving].backend().record().last_arrival, None);
 }
 
 /// A backend server leaves, and its node acknowledges that. The node is then killed and restarted while the store is
@@ -353,27 +380,35 @@
 /// makes the new process send requests to this backend server.
 #[tokio::test(flavor = "multi_thread")]
 async fn delayed_ready_announcement_does_not_open_admission_after_restart() {
-    let mut mesh = start_users_serving(Plan::new(&SERVICES)).await;
+    let mut mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
     let leaving = mesh.vms_of(SERVICES[1])[0];
-    mesh.mute_backend(leaving);
+    mesh.stop_announcements(leaving);
     let vm = &mesh.vms[leaving];
-    vm.backend().set_leaving();
-    assert!(vm.backend().leave(vm.control()).await);
-    mesh.store.set_trouble(Trouble::Busy);
+    vm.backend().set_draining();
+    assert!(vm.backend().leave(vm.announce_address()).await);
+    mesh.store.set_call_fault(CallFault::Unavailable);
     mesh.kill_node(leaving).await.expect("the node exits");
     mesh.start_node(leaving).await.expect("the node starts");
-    wait_until("the node serves its callers", LIMIT, || async {
-        let reply = mesh.ask(leaving, &Asked::get("/book/1", "first")).await;
+    wait_until("the node serves its callers", WAIT_TIMEOUT, || async {
+        let reply = mesh
+            .send_request(leaving, &CallerRequest::get("/book/1", "first"))
+            .await;
         reply.is_ok_and(|reply| reply.status == 200)
     })
     .await;
     let vm = &mesh.vms[leaving];
-    let before = vm.backend().record().last_reached;
-    assert!(vm.backend().announce(vm.control(), Announced::Ready).await);
+    let before = vm.backend().record().last_arrival;
+    assert!(
+        vm.backend()
+            .announce(vm.announce_address(), AnnouncedState::Ready)
+            .await
+    );
     for number in 0..8 {
         let id = format!("elsewhere-{number}");
-        let reply = mesh.ask(leaving, &Asked::post("/book/1", &id)).await;
+        let reply = mesh
+            .send_request(leaving, &CallerRequest::post("/book/1", &id))
+            .await;
         assert_eq!(reply.expect("the node responds").status, 200);
     }
-    assert_eq!(mesh.vms[leaving].backend().record().last_reached, before);
+    assert_eq!(mesh.vms[leaving].backend().record().last_arrival, before);
 }
