--- a/src/core/mechanism.rs
+++ b/src/core/mechanism.rs
@@ -28,7 +28,7 @@
     FreeSlotProbes,
     /// Queued requests of equal priority are admitted in the order of their deadlines; if disabled,
     /// in the order of their arrival.
-    DeadlineOrder,
+    DueTimeOrder,
     /// Admission control admits queued requests of a higher priority first.
     PriorityOrder,
     /// Admission control admits calls that a running request makes before requests of callers.
@@ -53,7 +53,7 @@
     /// to it.
     CostOutstanding,
     /// The cost of an endpoint includes the bytes that would leave the data centre.
-    CostCrossZone,
+    CostCrossDataCentre,
     /// Admission control refuses requests that were delayed too long between two nodes.
     TransitDelayCheck,
     /// A pipelined request is started before the requests ahead of it are answered.
@@ -65,7 +65,7 @@
     /// Unused retries accumulate, so that a burst of failures can be retried.
     RetryBurst,
     /// A connection to a backend server is not reused after it has been idle for some time.
-    IdleConnectionLimit,
+    IdleConnectionTimeout,
     /// One node of each data centre reads the store on behalf of the others.
     StoreReader,
 }
@@ -74,7 +74,7 @@
     /// All mechanisms, in the order in which messages list them.
     pub const ALL: [Self; 20] = [
         Self::FreeSlotProbes,
-        Self::DeadlineOrder,
+        Self::DueTimeOrder,
         Self::PriorityOrder,
         Self::NestedCallsFirst,
         Self::QueueWaitLimit,
@@ -85,13 +85,13 @@
         Self::CostSlotsInUse,
         Self::CostFailures,
         Self::CostOutstanding,
-        Self::CostCrossZone,
+        Self::CostCrossDataCentre,
         Self::TransitDelayCheck,
         Self::PipelinedStart,
         Self::UploadScheduling,
         Self::RetryBudget,
         Self::RetryBurst,
-        Self::IdleConnectionLimit,
+        Self::IdleConnectionTimeout,
         Self::StoreReader,
     ];
 
@@ -99,7 +99,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::FreeSlotProbes => "free-slot-looks",
-            Self::DeadlineOrder => "due-order",
+            Self::DueTimeOrder => "due-order",
             Self::PriorityOrder => "ranks",
             Self::NestedCallsFirst => "calls-first",
             Self::QueueWaitLimit => "patience-cut",
@@ -110,13 +110,13 @@
             Self::CostSlotsInUse => "cost-busy",
             Self::CostFailures => "cost-failing",
             Self::CostOutstanding => "cost-asked",
-            Self::CostCrossZone => "cost-crossing",
+            Self::CostCrossDataCentre => "cost-crossing",
             Self::TransitDelayCheck => "transit-check",
             Self::PipelinedStart => "early-start",
             Self::UploadScheduling => "upload-turns",
             Self::RetryBudget => "retry-tokens",
             Self::RetryBurst => "retry-reserve",
-            Self::IdleConnectionLimit => "short-rests",
+            Self::IdleConnectionTimeout => "short-rests",
             Self::StoreReader => "leads",
         }
     }
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -96,7 +96,7 @@
                 rank: PRIORITY_DEFAULT,
             },
         };
-        let due_us = match switches.is_enabled(Mechanism::DeadlineOrder) {
+        let due_us = match switches.is_enabled(Mechanism::DueTimeOrder) {
             true => self.due_us,
             false => 0,
         };
--- a/src/decide/load_balancing/cost.rs
+++ b/src/decide/load_balancing/cost.rs
@@ -108,7 +108,7 @@
             Mechanism::CostOutstanding,
             UNMEASURED_COST * candidate.unmeasured_outstanding,
         ),
-        (Mechanism::CostCrossZone, transfer),
+        (Mechanism::CostCrossDataCentre, transfer),
     ];
     let enabled = terms
         .into_iter()
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -147,14 +147,14 @@
 /// Share of the mesh-wide retry limits that the entry nodes use together. The rest covers retries that
 /// no entry node counts: nested calls that a retried request repeats, and entry nodes that have
 /// restarted with a full reserve.
-const ENTRIES_SHARE_NUMERATOR: u32 = 3;
-const ENTRIES_SHARE_DENOMINATOR: u32 = 4;
+const ENTRY_NODES_SHARE_NUMERATOR: u32 = 3;
+const ENTRY_NODES_SHARE_DENOMINATOR: u32 = 4;
 
 impl RetryPolicy {
     /// Returns the policy of one entry node: `percent` of first attempts, and its part of the
-    /// `reserve` that all `entries` of the mesh share, if one is set. Entry nodes do not coordinate
+    /// `reserve` that all `entry_nodes` of the mesh share, if one is set. Entry nodes do not coordinate
     /// their retries, so each uses only its own part.
-    pub fn for_entry(percent: u32, reserve: Option<u32>, entries: usize) -> Self {
+    pub fn for_entry_node(percent: u32, reserve: Option<u32>, entry_nodes: usize) -> Self {
         let Some(reserve) = reserve else {
             return Self {
                 percent,
@@ -162,11 +162,12 @@
                 unlimited: false,
             };
         };
-        let entries = u32::try_from(entries).unwrap_or(u32::MAX).max(1);
-        let entries_share = |all: u32| all * ENTRIES_SHARE_NUMERATOR / ENTRIES_SHARE_DENOMINATOR;
+        let entry_nodes = u32::try_from(entry_nodes).unwrap_or(u32::MAX).max(1);
+        let entry_nodes_share =
+            |all: u32| all * ENTRY_NODES_SHARE_NUMERATOR / ENTRY_NODES_SHARE_DENOMINATOR;
         Self {
-            percent: entries_share(percent),
-            reserve: (entries_share(reserve) / entries).max(RESERVE_MIN),
+            percent: entry_nodes_share(percent),
+            reserve: (entry_nodes_share(reserve) / entry_nodes).max(RESERVE_MIN),
             unlimited: false,
         }
     }
@@ -231,8 +232,8 @@
 
     /// Adds what one first attempt earns.
     pub fn earn(&mut self) {
-        let most = self.policy.reserve * TOKEN_HUNDREDTHS;
-        self.hundredths = most.min(self.hundredths + self.policy.percent);
+        let max_hundredths = self.policy.reserve * TOKEN_HUNDREDTHS;
+        self.hundredths = max_hundredths.min(self.hundredths + self.policy.percent);
     }
 
     fn take(&mut self) -> bool {
--- a/src/decide/split.rs
+++ b/src/decide/split.rs
@@ -8,7 +8,10 @@
 ///
 /// Consecutive request numbers deviate from the weights by a few requests; random choices would
 /// deviate by about a tenth over a few hundred requests.
-pub fn choose_branch(weights: impl Iterator<Item = u32> + Clone, request_number: u32) -> usize {
+pub fn choose_target_index(
+    weights: impl Iterator<Item = u32> + Clone,
+    request_number: u32,
+) -> usize {
     let total: u64 = weights.clone().map(u64::from).sum();
     let point = (u64::from(request_number.wrapping_mul(GOLDEN_RATIO_STEP)) * total) >> 32;
     let mut cumulative_weight = 0;
--- a/src/proxy/backend.rs
+++ b/src/proxy/backend.rs
@@ -199,7 +199,7 @@
     /// Takes the most recently used idle connection, if it has been idle for less than `idle_max`.
     fn take_idle(&self, address: SocketAddr, idle_max: Duration) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        let reuse_any_idle = !self.mechanisms.is_enabled(Mechanism::IdleConnectionLimit);
+        let reuse_any_idle = !self.mechanisms.is_enabled(Mechanism::IdleConnectionTimeout);
         idle.retain(|connection| {
             let is_kept = connection.address == address && !connection.sender.is_closed();
             is_kept
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -213,7 +213,7 @@
 
 fn choose_target(route: &Route) -> &ResolvedTarget {
     let weights = route.targets.iter().map(|target| target.weight);
-    &route.targets[split::choose_branch(weights, route.next_request_number())]
+    &route.targets[split::choose_target_index(weights, route.next_request_number())]
 }
 
 /// Rejects a body whose declared length exceeds the limit. A body of unknown length is not checked
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -189,7 +189,7 @@
     pub(crate) fn update_retry_policy(&self) {
         let reloadable = self.reloadable.load();
         let (percent, reserve) = (reloadable.retry_percent, reloadable.retry_reserve);
-        let policy = RetryPolicy::for_entry(percent, reserve, self.view.load().alive_count());
+        let policy = RetryPolicy::for_entry_node(percent, reserve, self.view.load().alive_count());
         self.retry_tokens()
             .set_policy(policy.with_switches(self.mechanisms()));
     }
--- a/tests/testsuite/decide_admission.rs
+++ b/tests/testsuite/decide_admission.rs
@@ -105,12 +105,12 @@
 #[test]
 fn interactive_request_gets_a_reserved_slot_during_uploads() {
     let mut admission = admission(20, 40);
-    let read = admission.admit(
+    let interactive = admission.admit(
         0,
         &SlotRequest::new(Class::Interactive, FAR_DEADLINE_US),
         || 0,
     );
-    assert_eq!(read, AdmitOutcome::Slot);
+    assert_eq!(interactive, AdmitOutcome::Slot);
     release(&mut admission, Class::Interactive, 1_000);
     let uploads = (0..30)
         .map(|id| admission.admit(1, &SlotRequest::new(Class::Bulk, FAR_DEADLINE_US), || id));
@@ -186,7 +186,7 @@
 /// Guards against bulk requests that fill the queue and keep interactive ones out: an interactive
 /// request evicts the newest bulk request, which is refused at once.
 #[test]
-fn full_queue_evicts_a_borrowed_place_for_the_other_class() {
+fn full_queue_evicts_a_request_of_the_class_above_its_half() {
     let mut admission = admission(1, 4);
     for id in 0..5 {
         admission.admit(0, &SlotRequest::new(Class::Bulk, FAR_DEADLINE_US), || id);
@@ -195,12 +195,15 @@
         refusal_cause(admission.admit(0, &SlotRequest::new(Class::Bulk, FAR_DEADLINE_US), || 5)),
         Some(RefusalCause::QueueFull)
     );
-    let read = admission.admit(
+    let interactive = admission.admit(
         0,
         &SlotRequest::new(Class::Interactive, FAR_DEADLINE_US),
         || 6,
     );
-    assert!(matches!(read, AdmitOutcome::Queued(_)), "{read:?}");
+    assert!(
+        matches!(interactive, AdmitOutcome::Queued(_)),
+        "{interactive:?}"
+    );
     let (evicted, outcome) = admission
         .end_next_wait(0)
         .expect("a bulk request was evicted");
@@ -515,11 +518,11 @@
         let id = self.next_id;
         self.next_id += 1;
         let deadline_us = oracle.now_us + timeout_us;
-        let ask = SlotRequest {
+        let request = SlotRequest {
             priority: Priority::CallerRequest { rank },
             ..SlotRequest::new(class, deadline_us)
         };
-        match self.admission.admit(oracle.now_us, &ask, || id) {
+        match self.admission.admit(oracle.now_us, &request, || id) {
             AdmitOutcome::Slot => self.holding.push((id, class)),
             AdmitOutcome::Queued(ticket) => self.waiting.push_back((id, class, ticket)),
             AdmitOutcome::Refused(_) => self.finished.push(id),
--- a/tests/testsuite/decide_load_balancing.rs
+++ b/tests/testsuite/decide_load_balancing.rs
@@ -40,10 +40,10 @@
     }
 }
 
-fn ranked(entry: u16, members: &[Member]) -> RankedEndpoints {
+fn ranked(entry_node: u16, members: &[Member]) -> RankedEndpoints {
     let mut ranked = RankedEndpoints::default();
     for member in members {
-        ranked.add(node(entry), &place("cantabrico", "gijon"), member);
+        ranked.add(node(entry_node), &place("cantabrico", "gijon"), member);
     }
     ranked
 }
@@ -178,7 +178,7 @@
 /// Guards against entry nodes with few requests that send most of them to unmeasured endpoints, which may
 /// be slow.
 #[test]
-fn an_entry_with_few_requests_keeps_to_fast_endpoints() {
+fn entry_node_with_few_requests_keeps_to_fast_endpoints() {
     const REQUESTS: u64 = 120;
     let here = place("cantabrico", "gijon");
     let members: Vec<Member> = (1..=8).map(|number| member(number, &here)).collect();
@@ -361,8 +361,8 @@
 fn subsets_are_small_and_stable() {
     let here = place("cantabrico", "gijon");
     let members: Vec<Member> = (1..=37).map(|number| member(number, &here)).collect();
-    let subset = |me: u16, members: &[Member]| -> Vec<NodeId> {
-        let ranked = ranked(me, members);
+    let subset = |entry_node: u16, members: &[Member]| -> Vec<NodeId> {
+        let ranked = ranked(entry_node, members);
         ranked
             .iter()
             .take(8)
@@ -371,9 +371,9 @@
     };
     let mut changed = 0;
     let mut used = std::collections::BTreeMap::new();
-    for me in 1_000..1_520 {
-        let before = subset(me, &members);
-        let after = subset(me, &members[1..]);
+    for entry_node in 1_000..1_520 {
+        let before = subset(entry_node, &members);
+        let after = subset(entry_node, &members[1..]);
         let kept = after.iter().filter(|node| before.contains(node)).count();
         assert!(
             kept >= 7,
--- a/tests/testsuite/decide_retry.rs
+++ b/tests/testsuite/decide_retry.rs
@@ -98,8 +98,8 @@
 /// Guards against a reserve that each entry node uses in full: with a reserve of 56 for the whole mesh,
 /// 16 entry nodes would make 896 retries at once.
 #[test]
-fn entries_share_the_reserve_of_the_mesh() {
-    let policy = RetryPolicy::for_entry(20, Some(56), 16);
+fn entry_nodes_share_the_reserve_of_the_mesh() {
+    let policy = RetryPolicy::for_entry_node(20, Some(56), 16);
     let mut made = 0;
     for _ in 0..16 {
         let mut tokens = ServiceTokens::default();
@@ -114,5 +114,5 @@
     assert!((16..=56).contains(&made), "{made} retries");
     assert!(policy.percent < 20, "{policy:?}");
     // With very many entry nodes each still has a reserve of one retry.
-    assert_eq!(RetryPolicy::for_entry(20, Some(56), 520).reserve, 1);
+    assert_eq!(RetryPolicy::for_entry_node(20, Some(56), 520).reserve, 1);
 }
--- a/tests/testsuite/decide_simulation.rs
+++ b/tests/testsuite/decide_simulation.rs
@@ -94,13 +94,19 @@
         let capacity = capacity_per_s(slots, 4);
         let mut product_at = BTreeMap::new();
         let mut baseline_at = BTreeMap::new();
-        for halves in [1, 2, 4, 10] {
-            let stream = reads(capacity * halves / 2, 0, 4 * SECOND);
+        for half_capacities in [1, 2, 4, 10] {
+            let stream = reads(capacity * half_capacities / 2, 0, 4 * SECOND);
             let scenario = scenario(slots, queue_len, 4, vec![stream]);
-            let name = format!("{name} x{}", halves as f64 / 2.0);
+            let name = format!("{name} x{}", half_capacities as f64 / 2.0);
             let (mut product, mut baseline) = compare(&name, &scenario);
-            product_at.insert(halves, interactive_outcomes(&mut product).succeeded);
-            baseline_at.insert(halves, interactive_outcomes(&mut baseline).succeeded);
+            product_at.insert(
+                half_capacities,
+                interactive_outcomes(&mut product).succeeded,
+            );
+            baseline_at.insert(
+                half_capacities,
+                interactive_outcomes(&mut baseline).succeeded,
+            );
         }
         assert!(product_at[&10] * 10 >= product_at[&2] * 9, "{product_at:?}");
         assert!(
--- a/tests/testsuite/decide_split.rs
+++ b/tests/testsuite/decide_split.rs
@@ -1,6 +1,6 @@
 //! Division of requests among the branches of a route by their weights.
 
-use dragonflywall::decide::split::choose_branch;
+use dragonflywall::decide::split::choose_target_index;
 
 /// Guards against uneven splits: random choices would occasionally give 5 % or 15 % of 300 requests to a
 /// branch with a weight of 10 %. No window of 100 requests may deviate by more than two.
@@ -10,7 +10,7 @@
     for first in [0, 7, u32::MAX - 150, 123_456_789] {
         let request_numbers = (0..100).map(|n| first.wrapping_add(n));
         let new_service = request_numbers
-            .filter(|request_number| choose_branch(weights.into_iter(), *request_number) == 1)
+            .filter(|request_number| choose_target_index(weights.into_iter(), *request_number) == 1)
             .count();
         assert!(
             (8..=12).contains(&new_service),
@@ -21,13 +21,13 @@
 
 /// A branch with weight 0 gets no requests, and the others get theirs by weight.
 #[test]
-fn branch_without_weight_gets_no_requests() {
+fn target_without_weight_gets_no_requests() {
     let weights = [2, 0, 1];
     let mut counts = [0; 3];
     for request_number in 0..300 {
-        counts[choose_branch(weights.into_iter(), request_number)] += 1;
+        counts[choose_target_index(weights.into_iter(), request_number)] += 1;
     }
     assert_eq!(counts[1], 0);
     assert!((198..=202).contains(&counts[0]), "{counts:?}");
-    assert_eq!(choose_branch([0, 0].into_iter(), 5), 0);
+    assert_eq!(choose_target_index([0, 0].into_iter(), 5), 0);
 }
