--- a/src/core/mechanism.rs
+++ b/src/core/mechanism.rs
@@ -26,47 +26,50 @@
 pub enum Mechanism {
     /// A request asks several endpoints for a free slot before it waits in the queue of one.
     FreeSlotProbes,
-    /// Queued requests of equal priority are admitted in the order of their deadlines; if disabled,
-    /// in the order of their arrival.
+    /// Queued requests of equal priority are admitted in the order of their due times, at which their
+    /// target latencies end; if disabled, in the order of their arrival.
     DueTimeOrder,
     /// Admission control admits queued requests of a higher priority first.
     PriorityOrder,
     /// Admission control admits calls that a running request makes before requests of callers.
     NestedCallsFirst,
-    /// A request waits for a slot at most for a fraction of its target latency; if disabled, until
-    /// its deadline.
+    /// A caller's request waits for a slot at most for a fraction of its target latency, if it has
+    /// one; if disabled, at most for its timeout.
     QueueWaitLimit,
-    /// Admission control reserves some slots for interactive requests.
+    /// Admission control reserves some slots for interactive requests, so that bulk requests cannot
+    /// use all of them.
     BulkReserve,
     /// An entry node uses a subset of a service's endpoints at each distance; if disabled, all of
     /// them.
     Subset,
     /// Endpoints that fail are excluded from load balancing for a while.
     Ejection,
-    /// The cost of an endpoint includes the requests in its queue.
+    /// The cost of an endpoint includes the wait in its queue and for the upload of a large body.
     CostQueued,
     /// The cost of an endpoint includes its slots in use.
     CostSlotsInUse,
     /// The cost of an endpoint includes its recent failures.
     CostFailures,
-    /// The cost of an endpoint whose load is unknown includes the entry node's outstanding requests
-    /// to it.
+    /// The cost of an endpoint whose service time is unknown includes the entry node's outstanding
+    /// requests to it.
     CostOutstanding,
-    /// The cost of an endpoint includes the bytes that would leave the data centre.
+    /// The cost of an endpoint includes the bytes that would be transferred to and from another data
+    /// centre.
     CostCrossDataCentre,
     /// Admission control refuses requests that were delayed too long between two nodes.
     TransitDelayCheck,
-    /// A pipelined request is started before the requests ahead of it are answered.
+    /// A pipelined request is started before the earlier requests on its connection are answered.
     PipelinedStart,
     /// Large request bodies are received a few at a time, before their requests occupy a slot.
     UploadScheduling,
     /// Retries to a service are limited in proportion to the requests to it.
     RetryBudget,
-    /// Unused retries accumulate, so that a burst of failures can be retried.
+    /// Unused retries accumulate in a reserve, so that a burst of failures can be retried.
     RetryBurst,
     /// A connection to a backend server is not reused after it has been idle for some time.
     IdleConnectionTimeout,
-    /// One node of each data centre reads the store on behalf of the others.
+    /// One node of each data centre, its lead, reads the store on behalf of the others; if disabled,
+    /// every node reads it.
     StoreReader,
 }
 
--- a/src/core/member.rs
+++ b/src/core/member.rs
@@ -58,7 +58,8 @@
 pub enum Liveness {
     /// The node announces itself as running.
     Alive,
-    /// A neighbour received no answer from the node. The node can refute this.
+    /// The node did not answer a gossip exchange, or several members of its data centre did not. The node
+    /// can refute the suspicion.
     Suspect,
     /// The node did not refute the suspicion in time. Its entry is kept as a tombstone.
     Dead,
--- a/src/core/routing.rs
+++ b/src/core/routing.rs
@@ -234,9 +234,9 @@
     .fail()
 }
 
-/// Rejects two routes with the same host and path. The order of the teams would decide which of the
-/// two applies, and the treatment of a payment must not depend on that. Routes that differ in their
-/// methods are compared only within one file, where the order of methods is known.
+/// Rejects two routes for all methods that name the same host and path. The order of the teams would
+/// decide which of the two applies, and the treatment of a payment must not depend on that. Routes
+/// with a list of methods are compared only within one file, where the order of methods is known.
 fn check_duplicate_routes(configuration: &Configuration) -> Result<()> {
     let mut seen: HashSet<(&str, &str)> = HashSet::new();
     for (team, record) in &configuration.teams {
--- a/src/core/status.rs
+++ b/src/core/status.rs
@@ -21,7 +21,7 @@
     /// Services of the enforced configuration without an endpoint that this node can reach.
     #[serde(default, rename = "lacking")]
     pub unreachable_services: Vec<ServiceName>,
-    /// The node that announces new versions to this one; `None` if this node reads the store itself.
+    /// The lead from which this node gets new versions; `None` if this node reads the store itself.
     #[serde(default)]
     pub follows: Option<NodeId>,
     /// All members that the node knows, including itself.
--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,4 +1,5 @@
-//! Decisions of the request path: admission, load balancing, retries, backoff.
+//! Decisions about requests: admission, load balancing, retries, uploads, and which connections and
+//! announcements a node accepts.
 //!
 //! They are plain functions and structs without I/O; the current time is an argument.
 
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -163,7 +163,7 @@
 struct WaitingRequest<W> {
     wake: W,
     request: SlotRequest,
-    /// Sequence number in the queue of its class.
+    /// Arrival number in the queue of its class, from [`ClassQueue::push`].
     arrival: u64,
 }
 
@@ -312,8 +312,9 @@
         AdmitOutcome::Queued(ticket)
     }
 
-    /// Returns the refusal that a new request would get, without queueing it. It lets a node refuse
-    /// a request before its body is transferred.
+    /// Returns the refusal that a new request would get because the backend server is closed or the
+    /// wait would be too long, without queueing the request. A full queue is not considered. It lets
+    /// a node refuse a request before its body is transferred.
     pub fn would_refuse(&self, now_us: u64, request: &SlotRequest) -> Option<Refusal> {
         if self.closed || self.limits.slots == 0 {
             return Some(self.refusal(RefusalCause::Closed, request));
@@ -565,8 +566,9 @@
     }
 
     /// Makes room in the queue for one more request of `class`; returns false if there is none. Each
-    /// class is entitled to half of the queue. If the other class exceeds its half, its last
-    /// request is evicted.
+    /// class is entitled to half of the queue and may use more while the other does not need it. If
+    /// the queue is full, `class` uses less than its half and the other class more than its own, the
+    /// last request of the other class is evicted.
     fn make_room(&mut self, class: Class) -> bool {
         if self.waiting() < self.limits.queue_len {
             return true;
--- a/src/decide/admission/class_queue.rs
+++ b/src/decide/admission/class_queue.rs
@@ -14,7 +14,7 @@
 /// callers are not starved.
 const NESTED_CALL_STREAK_MAX: u32 = 15;
 
-/// Position of a request in its queue.
+/// Priority and due time of a request, by which its queue is ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct QueueKey {
     pub(super) priority: Priority,
@@ -91,17 +91,21 @@
 /// Waiting requests of one class, and statistics of its running requests.
 #[derive(Debug, Default)]
 pub(super) struct ClassQueue {
-    /// Highest priority first. Empty entries are removed.
+    /// Waiting requests by priority, the highest first. Empty entries are removed.
     by_priority: BTreeMap<Priority, SamePriority>,
+    /// Number of waiting requests.
     count: u32,
+    /// Number of requests that were added so far, which is the arrival number of the last one.
     arrivals: u64,
     /// Requests of callers that got a slot since the last one that had the lowest waiting priority.
     higher_rank_streak: u32,
     /// Nested calls that got a slot since the last request of a caller did.
     nested_call_streak: u32,
+    /// Slots that requests of this class hold.
     pub(super) in_use: u32,
     /// Mean time that requests of this class hold a slot.
     pub(super) service_time: RunningMean,
+    /// When the last request of this class arrived.
     pub(super) last_request_us: Option<u64>,
 }
 
@@ -124,8 +128,9 @@
         self.next_priority() == Some(Priority::NestedCall)
     }
 
-    /// Returns the waiting work that goes before a new request at `key`: all work of higher priority
-    /// or earlier due time, and the work of lower priority that the starvation limits let pass.
+    /// Returns the waiting work that goes before a new request with `key`: all work of higher priority,
+    /// the work of the same priority that is not due later, and the work of lower priority that goes
+    /// first so that it is not starved.
     pub(super) fn ahead(&self, key: QueueKey) -> QueuedWork {
         let work_before_key = |(priority, same_priority): (&Priority, &SamePriority)| {
             let latest_due_us = match *priority == key.priority {
@@ -225,7 +230,7 @@
         self.count = 0;
     }
 
-    /// Drops an entry that has become empty and updates the count.
+    /// Removes the entry of `priority` if no request is left in it, and updates the count.
     fn update_after_removal(&mut self, priority: Priority) {
         if self
             .by_priority
--- a/src/decide/announcements.rs
+++ b/src/decide/announcements.rs
@@ -40,6 +40,7 @@
     started_ms: u64,
 }
 
+/// The latest announcement of the latest start, with its order.
 #[derive(Clone, Debug)]
 struct Current {
     start: BackendStart,
@@ -51,6 +52,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Announcements {
     current: Option<Current>,
+    /// Starts of backend servers that have left, the latest last.
     departed: VecDeque<BackendStart>,
     /// Whether a ready announcement still has to be confirmed by the backend server.
     unconfirmed: bool,
@@ -197,6 +199,7 @@
         if sequence < self.sequence {
             return AnnouncementOutcome::Outdated;
         }
+        // The sequence and the remaining warm-up time change with each repetition.
         let without_sequence_change = Announcement {
             sequence: self.announcement.sequence,
             cold_ms: self.announcement.cold_ms,
--- a/src/decide/backoff.rs
+++ b/src/decide/backoff.rs
@@ -1,6 +1,7 @@
 //! Exponential backoff with jitter, for reconnects, fetches and calls to the platform.
 
-/// Maximum number of doublings. It keeps the shift in range; every delay reaches its maximum before.
+/// Maximum number of doublings. It keeps the shift in range; every delay reaches its own maximum with
+/// fewer.
 const DOUBLINGS_MAX: u32 = 16;
 
 /// Delays that double with each consecutive failure, so that a peer or platform that recovers from an
--- a/src/decide/load_balancing.rs
+++ b/src/decide/load_balancing.rs
@@ -127,7 +127,7 @@
     pub report_age_us: Option<u64>,
 }
 
-/// Restricts the endpoints that are considered for a request.
+/// Which endpoints are considered for a request.
 #[derive(Clone, Copy)]
 struct EndpointFilter<'a> {
     /// Endpoints to exclude.
@@ -408,9 +408,10 @@
         stats.is_some_and(|stats| stats.is_ejected(now_us))
     }
 
-    /// Returns the endpoints of one distance that may be used, in the order of the entry node, without
-    /// ejected ones. If more than half are ejected, the fault is probably not their own, so all are
-    /// used.
+    /// Returns the subset of the endpoints of one distance that may be used, in the order of the entry
+    /// node. The next endpoints in that order replace ejected ones. If that leaves less than half of
+    /// the subset, the cause of the failures is probably not in the endpoints, so ejected ones are used
+    /// as well.
     fn eligible_endpoints<'a>(
         &self,
         now_us: u64,
--- a/src/decide/load_balancing/cost.rs
+++ b/src/decide/load_balancing/cost.rs
@@ -9,8 +9,8 @@
 /// Cost of a response after the target latency. Users value a late response at about a third of a
 /// timely one.
 const LATE_COST: f64 = 0.7;
-/// Additional cost of a response after the deadline. The caller has then waited in vain, and users weigh
-/// whether a request is served at all several times as much as whether it is served in time.
+/// Additional cost of a response after the deadline. The caller has then waited for nothing, and users
+/// weigh whether a request is served at all several times as much as whether it is served in time.
 const LOST_COST: f64 = 3.0;
 
 /// Cost of a transfer to another data centre of the region, per kilobyte of request and response.
@@ -57,7 +57,7 @@
     pub(super) upload_time_us: f64,
     /// Share of recent requests that failed.
     pub(super) failure_rate: f64,
-    /// Kilobytes of the request and its answer.
+    /// Expected size of the request and its response, in kilobytes.
     pub(super) size_kb: f64,
     /// Requests of this entry node that are outstanding at the endpoint if its service time is unknown,
     /// else 0.
--- a/src/decide/load_balancing/endpoint_stats.rs
+++ b/src/decide/load_balancing/endpoint_stats.rs
@@ -19,7 +19,7 @@
 const SERVICE_TIME_DECAY_US: f64 = 10_000_000.0;
 
 /// Error score at which an endpoint is ejected. A lost request adds [`LOST_ERROR_SCORE`] and a 5xx
-/// response 1; any other response resets the score.
+/// response 1; any other response of the backend server resets the score.
 const ERROR_SCORE_MAX: u32 = 5;
 /// What a lost connection or a missing response adds to the error score.
 const LOST_ERROR_SCORE: u32 = 2;
@@ -54,7 +54,8 @@
     Refused,
     /// The backend server rejected the request without running it.
     Rejected,
-    /// The node refused the request because the endpoint is draining.
+    /// The node refused the request because its backend server is draining or no longer
+    /// provides the service.
     Draining,
     /// The node could not be reached, or it could not reach its backend server.
     Unreachable,
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Records the outcome of an attempt.
+    /// Updates the failure rate, the error score and the ejection by the outcome of an attempt.
     pub(super) fn record_outcome(&mut self, now_us: u64, outcome: AttemptOutcome) {
         match outcome {
             AttemptOutcome::Answered { server_error: true } => {
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -13,7 +13,8 @@
 use crate::core::names::ServiceName;
 use crate::core::verdict::Verdict;
 
-/// Maximum depth of nested calls below the first request. A longer chain is treated as a loop.
+/// Maximum depth of nested calls below the first request. A deeper call is refused, because it is
+/// probably part of a loop.
 pub const DEPTH_MAX: u32 = 7;
 
 /// Retry budget of a call tree: one for each level. Without a common budget the attempts of all levels
@@ -114,6 +115,7 @@
 /// overloaded. The reserve lets an entry node with few requests retry at all.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryTokens {
+    /// Tokens in the bucket, in hundredths of a token. A retry takes a whole token.
     hundredths: u32,
     policy: RetryPolicy,
 }
@@ -186,6 +188,7 @@
     }
 }
 
+/// One token, in hundredths of a token.
 const TOKEN_HUNDREDTHS: u32 = 100;
 
 /// Retry tokens of each service that an entry node sends requests to.
--- a/src/decide/split.rs
+++ b/src/decide/split.rs
@@ -1,13 +1,14 @@
-//! Weighted traffic split: chooses the branch of a route for each request.
+//! Weighted traffic split: chooses one of the targets of a route for each request.
 
 /// Fractional part of the golden ratio, as a 32-bit fraction. Consecutive multiples of it, from any
 /// start, spread more evenly over the unit interval than random numbers.
 const GOLDEN_RATIO_STEP: u32 = 0x9E37_79B9;
 
-/// Returns the index of the branch for a request, or 0 if all weights are 0.
+/// Returns the index of the target of a request among targets with these weights, or 0 if all weights
+/// are 0.
 ///
-/// Consecutive request numbers deviate from the weights by a few requests; random choices would
-/// deviate by about a tenth over a few hundred requests.
+/// For consecutive request numbers the choices deviate from the weights by a few requests. Random
+/// choices would deviate by about a tenth over a few hundred requests.
 pub fn choose_target_index(
     weights: impl Iterator<Item = u32> + Clone,
     request_number: u32,
--- a/src/decide/uploads.rs
+++ b/src/decide/uploads.rs
@@ -1,9 +1,10 @@
 //! Scheduling of large request bodies (uploads) that arrive over the link of an endpoint's VM.
 //!
-//! A large body occupies the link while it is transferred. Small requests share that link, among them
-//! calls between backend servers that can spare a tenth of a second, and queue behind the data that
-//! is already in flight. So a node limits the flow control window of each body, admits few uploads
-//! concurrently, and takes a slot of the backend server only when the body has arrived.
+//! A large body occupies the link while it is transferred. Small requests share that link and queue
+//! behind the data that is already in flight. Among them are calls between backend servers, which can
+//! be delayed by about a tenth of a second and still be in time. So a node limits the flow control
+//! window of each body, grants few upload permits at a time, and takes a slot of the backend server
+//! only when the body has arrived.
 
 use super::service_times::RunningMean;
 
@@ -11,7 +12,8 @@
 pub const SMALL_BODY_MAX_BYTES: u64 = 8 << 10;
 
 /// Maximum time for which the concurrent uploads may occupy the link, in microseconds. It is a third
-/// of the 120 ms that the shortest calls of the deployments can spare, as they pass the link twice.
+/// of the 120 ms by which the shortest calls of the deployments can be delayed, because they pass the
+/// link twice.
 const LINK_BUSY_MAX_US: u64 = 40_000;
 
 /// Bounds of the flow control window of one body. The minimum covers a small body. The maximum sustains
@@ -50,7 +52,8 @@
     }
 }
 
-/// Counts the active and the waiting uploads to a node, and estimates their times in microseconds.
+/// Counts the uploads to a node, those that wait for an upload permit and the active ones that have one,
+/// and estimates their times in microseconds.
 #[derive(Debug)]
 pub struct UploadQueue {
     concurrent_max: u32,
@@ -82,17 +85,17 @@
         self.estimated_wait_us() + self.upload_time.mean_us()
     }
 
-    /// Adds a waiting upload.
+    /// Adds an upload that waits for a permit.
     pub fn enqueue(&mut self) {
         self.waiting += 1;
     }
 
-    /// Removes a waiting upload.
+    /// Removes an upload that no longer waits for a permit.
     pub fn leave_queue(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// Starts a waiting upload.
+    /// Makes a waiting upload, which has got its permit, an active one.
     pub fn start(&mut self) {
         self.leave_queue();
         self.active += 1;
--- a/tests/testsuite/decide_admission.rs
+++ b/tests/testsuite/decide_admission.rs
@@ -410,6 +410,7 @@
     slots: u32,
 }
 
+/// System under test, with the requests in each state that its outcomes imply.
 struct Sut {
     admission: Admission<u32>,
     holding: Vec<(u32, Class)>,
--- a/tests/testsuite/decide_announcements.rs
+++ b/tests/testsuite/decide_announcements.rs
@@ -185,8 +185,8 @@
 }
 
 /// Guards against a backend server that gets no requests because its health endpoint is wrong. A
-/// departed one stops announcing, so later announcements replace the confirmation; a repetition of
-/// the same one does not count.
+/// backend server that has left stops announcing, so later ready announcements replace the
+/// confirmation. A repetition of the same announcement does not count.
 #[test]
 fn later_announcements_replace_the_confirmation() {
     let mut announcements = Announcements::requiring_confirmation();
--- a/tests/testsuite/decide_load_balancing.rs
+++ b/tests/testsuite/decide_load_balancing.rs
@@ -107,7 +107,8 @@
 
 /// Guards against needless use of billed links, of which the one between regions costs several times as
 /// much as the one between data centres. A small request leaves its data centre only if it would queue
-/// there, and its region only if it would queue for long in all of it and its treatment allows it.
+/// there, and its region only if it would queue for long in all of the region and its treatment allows
+/// another region.
 #[test]
 fn billed_links_are_used_only_when_nearer_endpoints_queue() {
     let prices = requirements(Spill::Mesh);
@@ -144,8 +145,9 @@
     assert_eq!(choose_with_load([1_000, 1_000, 0], &bundle, 0), node(3));
 }
 
-/// Guards against late responses in one data centre only: its endpoint is much slower than the one a
-/// millisecond away. With the nearest endpoint first, a fifth of its responses would be late.
+/// Guards against late responses to callers near a slow endpoint: another endpoint, in a data centre a
+/// millisecond away, is much faster. If the nearest endpoint always went first, a fifth of its responses
+/// would be late.
 #[test]
 fn fast_endpoint_further_away_is_preferred_to_a_slow_near_one() {
     let ranked = ranked(9, &members_at_each_distance());
--- a/tests/testsuite/decide_simulation.rs
+++ b/tests/testsuite/decide_simulation.rs
@@ -335,7 +335,7 @@
         let mut scenario = scenario(6, 24, SERVERS, vec![stream]);
         scenario.entries = 80;
         scenario.checks_free_slots = probes;
-        let name = format!("many entries, probes {probes}");
+        let name = format!("many entry nodes, probes {probes}");
         let (mut product, _) = compare(&name, &scenario);
         let class_outcomes = interactive_outcomes(&mut product);
         println!(
--- a/tests/testsuite/decide_split.rs
+++ b/tests/testsuite/decide_split.rs
@@ -1,9 +1,9 @@
-//! Division of requests among the branches of a route by their weights.
+//! Division of requests among the targets of a route by their weights.
 
 use dragonflywall::decide::split::choose_target_index;
 
 /// Guards against uneven splits: random choices would occasionally give 5 % or 15 % of 300 requests to a
-/// branch with a weight of 10 %. No window of 100 requests may deviate by more than two.
+/// target with a weight of 10 %. No window of 100 requests may deviate by more than two.
 #[test]
 fn every_window_of_requests_is_divided_by_the_weights() {
     let weights = [90, 10];
@@ -19,7 +19,7 @@
     }
 }
 
-/// A branch with weight 0 gets no requests, and the others get theirs by weight.
+/// A target with weight 0 gets no requests, and the others get theirs by weight.
 #[test]
 fn target_without_weight_gets_no_requests() {
     let weights = [2, 0, 1];
--- a/tests/testsuite/decide_transit.rs
+++ b/tests/testsuite/decide_transit.rs
@@ -5,8 +5,8 @@
 const MILLISECOND_US: u64 = 1_000;
 const SECOND_US: u64 = 1_000 * MILLISECOND_US;
 
-/// Two VMs started an hour apart, so their clocks differ by an hour in either direction. The usual transit
-/// time is 20 ms; a request that takes a second was delayed by the rest.
+/// Two VMs started an hour apart, so their monotonic clocks differ by an hour in either direction. The
+/// usual transit time is 20 ms; a request that takes a second was delayed by the rest.
 #[test]
 fn delay_is_independent_of_the_clock_offset() {
     for (sender, receiver) in [(0, 3_600 * SECOND_US), (3_600 * SECOND_US, 0)] {
--- a/tests/testsuite/mechanisms.rs
+++ b/tests/testsuite/mechanisms.rs
@@ -1,4 +1,4 @@
-//! Mechanisms that an operator can switch off: their names, and their effect on decisions.
+//! Mechanisms that an operator can disable: their names, and their effect on decisions.
 
 use dragonflywall::core::configuration::Class;
 use dragonflywall::core::mechanism::{Mechanism, MechanismSwitches};
@@ -14,8 +14,8 @@
 
 const FAR_DEADLINE_US: u64 = u64::MAX / 4;
 
-/// Returns the order in which four waiting requests get a slot. `waiting` has the priority and the due time
-/// of each in order of arrival.
+/// Returns the order in which four waiting requests get a slot. `waiting` has the priority and the due
+/// time of each, in the order of arrival.
 fn grant_order(switches: MechanismSwitches, waiting: [(Priority, u64); 4]) -> Vec<usize> {
     let mut admission: Admission<usize> = Admission::new(switches);
     admission.set_limits(Limits {
