--- a/src/core/names.rs
+++ b/src/core/names.rs
@@ -24,8 +24,8 @@
         pub struct $name(String);
 
         impl $name {
-            /// Wraps `text` without validating it. Callers that read user input check [`is_name`]
-            /// first.
+            /// Wraps `text` without validating it. Code that reads user input checks it with
+            /// [`is_name`] first.
             pub fn new(text: impl Into<String>) -> Self {
                 Self(text.into())
             }
--- a/src/core/status.rs
+++ b/src/core/status.rs
@@ -1,4 +1,5 @@
-//! Messages at the operator listener: the status of a node, and announcements of backend servers.
+//! Messages between a node and its operators and backend server: the status of the node, and
+//! announcements of the backend server.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -2,9 +2,9 @@
 //!
 //! All requests to a backend server pass through the node on its VM, so the node's count of slots
 //! in use is exact. A request asks for a slot with [`Admission::admit`] and releases it with
-//! [`Admission::release`]. After every change of state the caller of this module drains
-//! [`Admission::end_next_wait`] and wakes the requests that it returns. The state does not change
-//! in between, so nothing has to poll.
+//! [`Admission::release`]. After every change of state the proxy calls
+//! [`Admission::end_next_wait`] until it returns `None`, and wakes the requests that it returns. The
+//! state does not change in between, so nothing has to poll.
 //!
 //! Requests come from entry nodes, the nodes at which they enter the mesh. Entry nodes choose backend
 //! servers by the load that is reported with each response.
