--- a/crates/experiment/src/all.rs
+++ b/crates/experiment/src/all.rs
@@ -21,8 +21,8 @@
     let requests = measure_requests(&report, scale).await;
     let sizes = convergence::measure(&convergence::Plan::of(scale)).await?;
     convergence::write(&report, &sizes, scale)?;
-    let failed_sizes = sizes.checked();
-    let (requests, failed_requests) = match requests {
+    let convergence_result = sizes.ensure_all_measured();
+    let (requests, requests_result) = match requests {
         Ok(requests) => (requests, Ok(())),
         Err(error) => (Vec::new(), Err(error)),
     };
@@ -31,12 +31,15 @@
         requests,
         holder: slopes.holder,
     };
-    capacity::write(&options.docs, &results, scale)?;
+    capacity::update_page(&options.docs, &results, scale)?;
     println!("Finished in {:.0} s", begin.elapsed().as_secs_f64());
-    failed_requests.and(failed_sizes)
+    requests_result.and(convergence_result)
 }
 
-async fn measure_requests(report: &Report, scale: Scale) -> Result<Vec<requests::Measured>> {
+async fn measure_requests(
+    report: &Report,
+    scale: Scale,
+) -> Result<Vec<requests::DeploymentResults>> {
     let measured = requests::measure(scale).await?;
     requests::write(report, &measured, scale)?;
     Ok(measured)
--- a/crates/experiment/src/baseline.rs
+++ b/crates/experiment/src/baseline.rs
@@ -15,16 +15,16 @@
 use tokio::task::JoinSet;
 
 use crate::error::{Error, Result};
-use crate::fleet::{SERVICES, records};
+use crate::observed_mesh::{SERVICES, team_records};
 
 /// "Every few seconds".
-pub(crate) const POLL: Duration = Duration::from_secs(5);
+pub(crate) const POLL_INTERVAL: Duration = Duration::from_secs(5);
 const REGIONS: [u8; 4] = [0, 0, 1, 1];
 const LINK_MBIT_PER_S: f64 = 30.0;
 
 /// What polling cost and how soon it brought a change.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Polled {
+pub(crate) struct PollingResults {
     /// From the write's answer to each poller's having the change, all changes together.
     pub(crate) enforced_after: Vec<Duration>,
     /// Between all pollers and the store, both ways, per second.
@@ -36,7 +36,7 @@
 }
 
 /// Runs `nodes` pollers through `changes` changes.
-pub(crate) async fn run(nodes: usize, changes: usize) -> Result<Polled> {
+pub(crate) async fn run(nodes: usize, changes: usize) -> Result<PollingResults> {
     let network = Network::new(REGIONS.into(), LINK_MBIT_PER_S);
     network.set_delays(Duration::from_millis(1), Duration::from_millis(20));
     let address = std::net::SocketAddr::new(network.site_ip(0), 0);
@@ -44,38 +44,40 @@
     let forwarder = Forwarder::open(&network, 0).await.map_err(start_error)?;
     forwarder.set_target(platform.address);
     let publisher = HttpStore::new(&platform.url(), None);
-    put(&publisher, 1).await?;
+    put_configuration(&publisher, 1).await?;
 
-    let (sender, mut seen) = mpsc::unbounded_channel();
+    let (sender, mut received) = mpsc::unbounded_channel();
     let mut pollers = JoinSet::new();
     for number in 0..nodes {
         let site = Site::try_from(number % REGIONS.len()).unwrap_or(0);
         let url = format!("http://{}", forwarder.address);
         let store = HttpStore::new(&url, Some(network.site_ip(site)));
         // Spread evenly over the interval, as pollers that started at random would be.
-        let phase = POLL.mul_f64(number as f64 / nodes as f64);
-        pollers.spawn(poll(store, phase, sender.clone()));
+        let initial_delay = POLL_INTERVAL.mul_f64(number as f64 / nodes as f64);
+        pollers.spawn(poll(store, initial_delay, sender.clone()));
     }
-    wait_all(&mut seen, nodes, 1).await?;
+    wait_for_version(&mut received, nodes, 1).await?;
 
     let begin = Instant::now();
     let bytes = forwarder.bytes();
     let link_bytes = network.bytes_between_regions();
     let reads = platform.counts().reads;
-    let mut polled = Polled::default();
+    let mut results = PollingResults::default();
     for change in 0..changes {
         let version = change as u64 + 2;
-        put(&publisher, version).await?;
-        let at = Instant::now();
-        for seen_at in wait_all(&mut seen, nodes, version).await? {
-            polled.enforced_after.push(seen_at.duration_since(at));
+        put_configuration(&publisher, version).await?;
+        let committed_at = Instant::now();
+        for received_at in wait_for_version(&mut received, nodes, version).await? {
+            results
+                .enforced_after
+                .push(received_at.duration_since(committed_at));
         }
     }
     let seconds = begin.elapsed().as_secs_f64();
-    polled.bytes_per_s = (forwarder.bytes() - bytes) as f64 / seconds;
-    polled.link_bytes_per_s = (network.bytes_between_regions() - link_bytes) as f64 / seconds;
-    polled.reads_per_s = (platform.counts().reads - reads) as f64 / seconds;
-    Ok(polled)
+    results.bytes_per_s = (forwarder.bytes() - bytes) as f64 / seconds;
+    results.link_bytes_per_s = (network.bytes_between_regions() - link_bytes) as f64 / seconds;
+    results.reads_per_s = (platform.counts().reads - reads) as f64 / seconds;
+    Ok(results)
 }
 
 fn start_error(error: impl std::fmt::Display) -> Error {
@@ -85,40 +87,47 @@
 }
 
 /// The one object that holds the whole configuration, whatever its content.
-fn key() -> Digest {
+fn object_key() -> Digest {
     Digest::of(b"the whole configuration")
 }
 
 /// The object is a line with the stamp, then the compressed configuration.
-async fn put(store: &HttpStore, version: u64) -> Result {
+async fn put_configuration(store: &HttpStore, version: u64) -> Result {
     let mut configuration = Configuration {
         version: Version(version),
         ..Configuration::default()
     };
-    for record in records(SERVICES.len(), 2_000)? {
+    for record in team_records(SERVICES.len(), 2_000)? {
         configuration.teams.insert(record.team.clone(), record);
     }
     let mut object = serde_json::to_vec(&configuration.stamp()).map_err(start_error)?;
     object.push(b'\n');
     object.extend(configuration.to_snapshot());
-    store.put_object(&key(), &object).await.map_err(start_error)
+    store
+        .put_object(&object_key(), &object)
+        .await
+        .map_err(start_error)
 }
 
-async fn poll(store: HttpStore, phase: Duration, seen: mpsc::UnboundedSender<(u64, Instant)>) {
-    tokio::time::sleep(phase).await;
-    let mut ticks = tokio::time::interval(POLL);
-    let mut held = 0;
+async fn poll(
+    store: HttpStore,
+    initial_delay: Duration,
+    received: mpsc::UnboundedSender<(u64, Instant)>,
+) {
+    tokio::time::sleep(initial_delay).await;
+    let mut ticks = tokio::time::interval(POLL_INTERVAL);
+    let mut newest_version = 0;
     loop {
         ticks.tick().await;
-        let Ok(Some(bytes)) = store.object(&key()).await else {
+        let Ok(Some(bytes)) = store.object(&object_key()).await else {
             continue;
         };
         let Some(version) = verified_version(&bytes) else {
             continue;
         };
-        if version > held {
-            held = version;
-            let _ = seen.send((version, Instant::now()));
+        if version > newest_version {
+            newest_version = version;
+            let _ = received.send((version, Instant::now()));
         }
     }
 }
@@ -132,16 +141,18 @@
     Some(configuration.version.0)
 }
 
-async fn wait_all(
-    seen: &mut mpsc::UnboundedReceiver<(u64, Instant)>,
+async fn wait_for_version(
+    received: &mut mpsc::UnboundedReceiver<(u64, Instant)>,
     nodes: usize,
     version: u64,
 ) -> Result<Vec<Instant>> {
-    let limit = POLL * 4;
+    let limit = POLL_INTERVAL * 4;
     let mut times = Vec::with_capacity(nodes);
     while times.len() < nodes {
-        match tokio::time::timeout(limit, seen.recv()).await {
-            Ok(Some((found, at))) if found == version => times.push(at),
+        match tokio::time::timeout(limit, received.recv()).await {
+            Ok(Some((received_version, received_at))) if received_version == version => {
+                times.push(received_at)
+            }
             Ok(Some(_)) => (),
             Ok(None) | Err(_) => {
                 return Err(Error::Unexpected {
--- a/crates/experiment/src/capacity.rs
+++ b/crates/experiment/src/capacity.rs
@@ -11,47 +11,47 @@
 use snafu::ResultExt;
 
 use crate::convergence;
-use crate::design;
 use crate::error::{Error, ReadSnafu, Result};
-use crate::fit::{Fit, Reading};
+use crate::fit::{Estimate, LinearFit};
 use crate::options::Scale;
-use crate::report::{Table, figure, write_file};
+use crate::report::{Table, format_number, write_file};
 use crate::requests;
+use crate::requirements;
 use crate::slopes::HolderCost;
 
 const PAGE: &str = "CAPACITY.md";
 /// Below this a data centre of the measured mesh has fewer members than a node may have
 /// neighbours, so costs grow for a reason that ends there.
-const FIT_FROM_NODES: usize = 32;
+const MIN_FITTED_NODES: usize = 32;
 
 /// Everything that one run of `all` measured.
 #[derive(Debug)]
 pub(crate) struct Results {
-    pub(crate) convergence: Vec<convergence::Measured>,
-    pub(crate) requests: Vec<requests::Measured>,
+    pub(crate) convergence: Vec<convergence::SizeResults>,
+    pub(crate) requests: Vec<requests::DeploymentResults>,
     pub(crate) holder: Vec<HolderCost>,
 }
 
 /// One cost against the number of nodes.
 struct Slope {
-    what: &'static str,
-    fit: Fit,
+    label: &'static str,
+    fit: LinearFit,
     limit: Option<f64>,
 }
 
 impl Slope {
-    fn at_design(&self) -> Reading {
-        self.fit.at(design::NODES)
+    fn at_design_size(&self) -> Estimate {
+        self.fit.estimate_at(requirements::NODES)
     }
 }
 
 /// The slopes over the number of nodes.
 pub(crate) struct Slopes {
-    idle_bytes_per_s: Slope,
-    idle_core_percent: Slope,
+    node_idle_bytes_per_s: Slope,
+    node_idle_core_percent: Slope,
     anonymous_mb: Slope,
     resident_mb: Slope,
-    spread_p99_ms: Slope,
+    enforced_after_p99_ms: Slope,
     idle_link_bytes_per_s: Slope,
     link_bytes_per_change: Slope,
     node_bytes_per_change: Slope,
@@ -61,56 +61,56 @@
     idle_writes_per_s: Slope,
     reads_per_change: Slope,
     writes_per_change: Slope,
-    herd_p99_ms: Slope,
-    herd_node_bytes: Slope,
-    herd_link_bytes: Slope,
-    herd_reads: Slope,
-    herd_writes: Slope,
-    herd_peak_reads: Slope,
-    herd_peak_writes: Slope,
+    full_restart_p99_ms: Slope,
+    full_restart_node_bytes: Slope,
+    full_restart_link_bytes: Slope,
+    full_restart_reads: Slope,
+    full_restart_writes: Slope,
+    full_restart_peak_reads: Slope,
+    full_restart_peak_writes: Slope,
 }
 
 impl Slopes {
-    fn of(measured: &[convergence::Measured]) -> Result<Self> {
+    fn from_sizes(measured: &[convergence::SizeResults]) -> Result<Self> {
         let fitted = fitted_sizes(measured);
-        let slope = |what, limit, cost: &dyn Fn(&convergence::Measured) -> f64| {
+        let slope = |label, limit, cost: &dyn Fn(&convergence::SizeResults) -> f64| {
             let points: Vec<(f64, f64)> =
                 fitted.iter().map(|m| (m.nodes as f64, cost(m))).collect();
-            let fit = Fit::of(&points).ok_or_else(|| Error::Unexpected {
-                text: format!("too few sizes for the slope of: {what}"),
+            let fit = LinearFit::through(&points).ok_or_else(|| Error::Unexpected {
+                text: format!("too few sizes for the slope of: {label}"),
             })?;
-            Ok::<_, Error>(Slope { what, fit, limit })
+            Ok::<_, Error>(Slope { label, fit, limit })
         };
         Ok(Self {
-            idle_bytes_per_s: slope(
+            node_idle_bytes_per_s: slope(
                 "control bytes/s of a node, idle",
-                Some(design::CONTROL_BYTES_PER_S_MAX),
-                &|m| m.idle.node_bytes_per_s(m.nodes),
+                Some(requirements::CONTROL_BYTES_PER_S_MAX),
+                &|m| m.idle_interval.node_bytes_per_s(m.nodes),
             )?,
-            idle_core_percent: slope(
+            node_idle_core_percent: slope(
                 "processor of a node, idle, % of a core",
-                Some(design::CORE_PERCENT_MAX),
-                &|m| m.idle.node_core_percent(m.nodes),
+                Some(requirements::CORE_PERCENT_MAX),
+                &|m| m.idle_interval.node_core_percent(m.nodes),
             )?,
             anonymous_mb: slope(
                 "memory of the largest node, its own, MB",
-                Some(design::MEMORY_MAX_MB),
+                Some(requirements::MEMORY_MAX_MB),
                 &|m| m.anonymous_mb,
             )?,
             resident_mb: slope(
                 "memory of the largest node, with the program file, MB",
-                Some(design::MEMORY_MAX_MB),
+                Some(requirements::MEMORY_MAX_MB),
                 &|m| m.resident_mb,
             )?,
-            spread_p99_ms: slope(
+            enforced_after_p99_ms: slope(
                 "acceptance to enforcing, p99 ms",
-                Some(design::IN_FORCE_MAX_MS),
-                &|m| m.spread_ms.value_at_quantile(0.99) as f64,
+                Some(requirements::ENFORCED_AFTER_MAX_MS),
+                &|m| m.enforced_after_ms.value_at_quantile(0.99) as f64,
             )?,
             idle_link_bytes_per_s: slope(
                 "regional link, idle, bytes/s both ways",
-                Some(2.0 * design::LINK_BYTES_PER_S),
-                &|m| m.idle.link_bytes / m.idle.seconds,
+                Some(2.0 * requirements::LINK_BYTES_PER_S),
+                &|m| m.idle_interval.link_bytes / m.idle_interval.seconds,
             )?,
             link_bytes_per_change: slope("regional link, bytes per change", None, &|m| {
                 m.link_bytes_per_change()
@@ -122,57 +122,57 @@
                 m.processor_ms_per_change() / m.nodes as f64
             })?,
             node_bytes_per_announcement: slope("bytes per node and announcement", None, &|m| {
-                m.bytes_per_event() / m.nodes as f64
+                m.bytes_per_announcement() / m.nodes as f64
             })?,
             idle_reads_per_s: slope(
                 "platform reads/s, idle",
-                Some(design::PLATFORM_READS_PER_S),
-                &|m| m.idle.platform_reads / m.idle.seconds,
+                Some(requirements::PLATFORM_READS_PER_S),
+                &|m| m.idle_interval.platform_reads / m.idle_interval.seconds,
             )?,
             idle_writes_per_s: slope(
                 "platform writes/s, idle",
-                Some(design::PLATFORM_WRITES_PER_S),
-                &|m| m.idle.platform_writes / m.idle.seconds,
+                Some(requirements::PLATFORM_WRITES_PER_S),
+                &|m| m.idle_interval.platform_writes / m.idle_interval.seconds,
             )?,
             reads_per_change: slope("platform reads per change", None, &|m| m.reads_per_change())?,
             writes_per_change: slope("platform writes per change", None, &|m| {
                 m.writes_per_change()
             })?,
-            herd_p99_ms: slope("herd restart: kill to enforcing, p99 ms", None, &|m| {
-                m.herd_ms.value_at_quantile(0.99) as f64
+            full_restart_p99_ms: slope("herd restart: kill to enforcing, p99 ms", None, &|m| {
+                m.full_restart_ms.value_at_quantile(0.99) as f64
             })?,
-            herd_node_bytes: slope("herd restart: bytes per node", None, &|m| {
-                m.herd.between_nodes_bytes / m.nodes as f64
+            full_restart_node_bytes: slope("herd restart: bytes per node", None, &|m| {
+                m.full_restart_interval.between_nodes_bytes / m.nodes as f64
             })?,
-            herd_link_bytes: slope("herd restart: regional link, bytes", None, &|m| {
-                m.herd.link_bytes
+            full_restart_link_bytes: slope("herd restart: regional link, bytes", None, &|m| {
+                m.full_restart_interval.link_bytes
             })?,
-            herd_reads: slope("herd restart: platform reads", None, &|m| {
-                m.herd.platform_reads
+            full_restart_reads: slope("herd restart: platform reads", None, &|m| {
+                m.full_restart_interval.platform_reads
             })?,
-            herd_writes: slope("herd restart: platform writes", None, &|m| {
-                m.herd.platform_writes
+            full_restart_writes: slope("herd restart: platform writes", None, &|m| {
+                m.full_restart_interval.platform_writes
             })?,
-            herd_peak_reads: slope(
+            full_restart_peak_reads: slope(
                 "herd restart: most platform reads in 1 s",
-                Some(design::PLATFORM_READS_PER_S),
-                &|m| m.herd_peaks.reads_per_s as f64,
+                Some(requirements::PLATFORM_READS_PER_S),
+                &|m| m.full_restart_peaks.reads_per_s as f64,
             )?,
-            herd_peak_writes: slope(
+            full_restart_peak_writes: slope(
                 "herd restart: most platform writes in 1 s",
-                Some(design::PLATFORM_WRITES_PER_S),
-                &|m| m.herd_peaks.writes_per_s as f64,
+                Some(requirements::PLATFORM_WRITES_PER_S),
+                &|m| m.full_restart_peaks.writes_per_s as f64,
             )?,
         })
     }
 
-    fn all(&self) -> [&Slope; 21] {
+    fn in_table_order(&self) -> [&Slope; 21] {
         [
-            &self.idle_bytes_per_s,
-            &self.idle_core_percent,
+            &self.node_idle_bytes_per_s,
+            &self.node_idle_core_percent,
             &self.anonymous_mb,
             &self.resident_mb,
-            &self.spread_p99_ms,
+            &self.enforced_after_p99_ms,
             &self.idle_link_bytes_per_s,
             &self.link_bytes_per_change,
             &self.node_bytes_per_change,
@@ -182,40 +182,40 @@
             &self.idle_writes_per_s,
             &self.reads_per_change,
             &self.writes_per_change,
-            &self.herd_p99_ms,
-            &self.herd_node_bytes,
-            &self.herd_link_bytes,
-            &self.herd_reads,
-            &self.herd_writes,
-            &self.herd_peak_reads,
-            &self.herd_peak_writes,
+            &self.full_restart_p99_ms,
+            &self.full_restart_node_bytes,
+            &self.full_restart_link_bytes,
+            &self.full_restart_reads,
+            &self.full_restart_writes,
+            &self.full_restart_peak_reads,
+            &self.full_restart_peak_writes,
         ]
     }
 }
 
 /// The sizes that lines are laid through; all of them where too few are large.
-fn fitted_sizes(measured: &[convergence::Measured]) -> &[convergence::Measured] {
-    let first_large = measured.partition_point(|m| m.nodes < FIT_FROM_NODES);
+fn fitted_sizes(measured: &[convergence::SizeResults]) -> &[convergence::SizeResults] {
+    let first_large = measured.partition_point(|m| m.nodes < MIN_FITTED_NODES);
     let large = &measured[first_large..];
     if large.len() < 2 { measured } else { large }
 }
 
 /// Replaces the tables of the page.
-pub(crate) fn write(docs: &Path, results: &Results, scale: Scale) -> Result {
+pub(crate) fn update_page(docs: &Path, results: &Results, scale: Scale) -> Result {
     let path = docs.join(PAGE);
     let text = std::fs::read_to_string(&path).context(ReadSnafu {
         path: path.display().to_string(),
     })?;
-    let slopes = Slopes::of(&results.convergence)?;
-    let text = replace(&text, "sizes", &sizes(results, scale))?;
-    let text = replace(&text, "slopes", &slope_table(&slopes).markdown())?;
-    let text = replace(&text, "roles", &roles::table(&slopes, results).markdown())?;
-    let text = replace(&text, "events", &events::table(&slopes).markdown())?;
+    let slopes = Slopes::from_sizes(&results.convergence)?;
+    let text = replace_between_markers(&text, "sizes", &sizes_text(results, scale))?;
+    let text = replace_between_markers(&text, "slopes", &slope_table(&slopes).markdown())?;
+    let text = replace_between_markers(&text, "roles", &roles::table(&slopes, results).markdown())?;
+    let text = replace_between_markers(&text, "events", &events::table(&slopes).markdown())?;
     write_file(&path, &text)
 }
 
 /// Puts `new` between the markers named `name`.
-fn replace(text: &str, name: &str, new: &str) -> Result<String> {
+fn replace_between_markers(text: &str, name: &str, new: &str) -> Result<String> {
     let begin = format!("<!-- begin: {name} -->\n");
     let end = format!("<!-- end: {name} -->");
     let missing = || Error::Unexpected {
@@ -226,7 +226,7 @@
     Ok(format!("{before}{begin}{new}{end}{after}"))
 }
 
-fn sizes(results: &Results, scale: Scale) -> String {
+fn sizes_text(results: &Results, scale: Scale) -> String {
     let nodes: Vec<String> = results
         .convergence
         .iter()
@@ -245,17 +245,21 @@
 
 fn slope_table(slopes: &Slopes) -> Table {
     let row = |slope: &Slope| {
-        let reading = slope.at_design();
-        let limit = slope.limit.map_or("-".to_owned(), figure);
+        let estimate = slope.at_design_size();
+        let limit = slope.limit.map_or("-".to_owned(), format_number);
         let share = slope.limit.map_or("-".to_owned(), |limit| {
-            format!("{} %", figure(100.0 * reading.value / limit))
+            format!("{} %", format_number(100.0 * estimate.value / limit))
         });
         vec![
-            slope.what.to_owned(),
-            figure(slope.fit.base),
+            slope.label.to_owned(),
+            format_number(slope.fit.intercept),
             format!("{:+.4}", slope.fit.slope),
-            figure(slope.fit.spread),
-            format!("{} ± {}", figure(reading.value), figure(reading.error)),
+            format_number(slope.fit.residual_std),
+            format!(
+                "{} ± {}",
+                format_number(estimate.value),
+                format_number(estimate.std_error)
+            ),
             limit,
             share,
         ]
@@ -272,7 +276,7 @@
             "limit",
             "share of the limit",
         ],
-        rows: slopes.all().map(row).into(),
+        rows: slopes.in_table_order().map(row).into(),
     }
 }
 
--- a/crates/experiment/src/capacity/events.rs
+++ b/crates/experiment/src/capacity/events.rs
@@ -1,8 +1,8 @@
 //! What each kind of event of the letter costs at the design size.
 
 use super::Slopes;
-use crate::design;
-use crate::report::{Table, figure};
+use crate::report::{Table, format_number};
+use crate::requirements;
 
 /// A restarted backend server announces itself gone, back and serving.
 const ANNOUNCEMENTS_PER_RESTART: f64 = 3.0;
@@ -18,37 +18,37 @@
     Event {
         name: "one VM restarted or replaced",
         nodes: 1.0,
-        per_day: design::RESTARTS_PER_DAY,
+        per_day: requirements::RESTARTS_PER_DAY,
     },
     Event {
         name: "a rack or switch (20 VMs assumed)",
-        nodes: design::RACK_NODES,
+        nodes: requirements::NODES_PER_RACK,
         per_day: 1.0 / 45.0,
     },
     Event {
         name: "a data centre",
-        nodes: design::NODES / design::DATA_CENTRES,
+        nodes: requirements::NODES / requirements::DATA_CENTRES,
         per_day: 4.0 / 365.0,
     },
     Event {
         name: "all nodes at once",
-        nodes: design::NODES,
+        nodes: requirements::NODES,
         per_day: 0.0,
     },
 ];
 
 pub(super) fn table(slopes: &Slopes) -> Table {
-    let at = |slope: &super::Slope| slope.at_design().value;
+    let estimate = |slope: &super::Slope| slope.at_design_size().value;
     let mut rows = vec![vec![
         "a change of configuration".to_owned(),
-        figure(design::CHANGES_PER_DAY),
-        figure(at(&slopes.node_bytes_per_change)),
-        figure(at(&slopes.link_bytes_per_change)),
-        figure(at(&slopes.reads_per_change)),
-        figure(at(&slopes.writes_per_change)),
-        figure(average(
-            at(&slopes.node_bytes_per_change),
-            design::CHANGES_PER_DAY,
+        format_number(requirements::CHANGES_PER_DAY),
+        format_number(estimate(&slopes.node_bytes_per_change)),
+        format_number(estimate(&slopes.link_bytes_per_change)),
+        format_number(estimate(&slopes.reads_per_change)),
+        format_number(estimate(&slopes.writes_per_change)),
+        format_number(average_bytes_per_s(
+            estimate(&slopes.node_bytes_per_change),
+            requirements::CHANGES_PER_DAY,
         )),
     ]];
     rows.extend(EVENTS.iter().map(|event| restart_row(slopes, event)));
@@ -68,28 +68,29 @@
     }
 }
 
-fn average(bytes: f64, per_day: f64) -> f64 {
-    bytes * per_day / design::DAY_S
+fn average_bytes_per_s(bytes: f64, per_day: f64) -> f64 {
+    bytes * per_day / requirements::SECONDS_PER_DAY
 }
 
 /// What a returning node fetches for itself is a herd's cost per node; what all others hear of it
 /// is that of its announcements.
 fn restart_row(slopes: &Slopes, event: &Event) -> Vec<String> {
-    let share = event.nodes / design::NODES;
-    let at = |slope: &super::Slope| slope.at_design().value;
-    let heard = event.nodes * ANNOUNCEMENTS_PER_RESTART * at(&slopes.node_bytes_per_announcement);
-    let fetched = share * at(&slopes.herd_node_bytes);
-    let bytes = heard + fetched;
+    let share = event.nodes / requirements::NODES;
+    let estimate = |slope: &super::Slope| slope.at_design_size().value;
+    let announcement_bytes =
+        event.nodes * ANNOUNCEMENTS_PER_RESTART * estimate(&slopes.node_bytes_per_announcement);
+    let fetched_bytes = share * estimate(&slopes.full_restart_node_bytes);
+    let bytes = announcement_bytes + fetched_bytes;
     vec![
         event.name.to_owned(),
         match event.per_day {
             0.0 => "-".to_owned(),
-            per_day => figure(per_day),
+            per_day => format_number(per_day),
         },
-        figure(bytes),
-        figure(share * at(&slopes.herd_link_bytes)),
-        figure(share * at(&slopes.herd_reads)),
-        figure(share * at(&slopes.herd_writes)),
-        figure(average(bytes, event.per_day)),
+        format_number(bytes),
+        format_number(share * estimate(&slopes.full_restart_link_bytes)),
+        format_number(share * estimate(&slopes.full_restart_reads)),
+        format_number(share * estimate(&slopes.full_restart_writes)),
+        format_number(average_bytes_per_s(bytes, event.per_day)),
     ]
 }
--- a/crates/experiment/src/capacity/tests.rs
+++ b/crates/experiment/src/capacity/tests.rs
@@ -1,25 +1,28 @@
-use super::replace;
+use super::replace_between_markers;
 
 #[test]
 fn text_between_markers_is_replaced_and_the_rest_kept() {
     let page = "prose\n<!-- begin: a -->\nold\n<!-- end: a -->\nmore\n";
-    let replaced = replace(page, "a", "new\n").expect("the markers are there");
+    let replaced = replace_between_markers(page, "a", "new\n").expect("the markers are there");
     assert_eq!(
         replaced,
         "prose\n<!-- begin: a -->\nnew\n<!-- end: a -->\nmore\n"
     );
-    assert_eq!(replace(&replaced, "a", "new\n").expect("again"), replaced);
+    assert_eq!(
+        replace_between_markers(&replaced, "a", "new\n").expect("again"),
+        replaced
+    );
 }
 
 #[test]
 fn missing_marker_is_an_error() {
-    assert!(replace("prose", "a", "new").is_err());
+    assert!(replace_between_markers("prose", "a", "new").is_err());
 }
 
 #[test]
 fn page_has_every_marker() {
     let page = include_str!("../../../../docs/CAPACITY.md");
     for name in ["sizes", "slopes", "roles", "events"] {
-        replace(page, name, "").expect("the page has the marker");
+        replace_between_markers(page, name, "").expect("the page has the marker");
     }
 }
--- a/crates/experiment/src/convergence.rs
+++ b/crates/experiment/src/convergence.rs
@@ -15,9 +15,9 @@
 use testkit::http::request;
 use testkit::platform::PeakRates;
 
-use crate::baseline::{self, Polled};
+use crate::baseline::{self, PollingResults};
 use crate::error::{Error, Result};
-use crate::fleet::{Fleet, Interval, SERVICES, team_file};
+use crate::observed_mesh::{Interval, ObservedMesh, SERVICES, team_file};
 use crate::options::{Options, Scale};
 use crate::publication;
 use crate::report::Report;
@@ -25,48 +25,48 @@
 pub(crate) use pages::write;
 
 /// Times are counted up to this; each run is bounded far below it.
-const TIME_MAX_MS: u64 = 600_000;
+const MAX_RECORDED_MS: u64 = 600_000;
 
 /// How much is run at each size.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     /// Sizes in groups; those of a group run side by side, so only small ones share a group.
-    pub(crate) sizes: Vec<Vec<usize>>,
+    pub(crate) size_groups: Vec<Vec<usize>>,
     pub(crate) publications: usize,
     pub(crate) baseline_changes: usize,
     /// From the start to the first count, until the traffic of joining has ended. A node registers
     /// again within 15 s of its start.
-    pub(crate) settle: Duration,
+    pub(crate) settle_time: Duration,
     /// After a restart of all, still counted.
-    pub(crate) settle_herd: Duration,
-    pub(crate) idle: Duration,
+    pub(crate) settle_time_after_restart: Duration,
+    pub(crate) idle_time: Duration,
     /// Endpoint announcements in all, and the time over which they come.
-    pub(crate) churn_events: usize,
-    pub(crate) churn: Duration,
+    pub(crate) announcements: usize,
+    pub(crate) announcement_time: Duration,
 }
 
 impl Plan {
     pub(crate) fn of(scale: Scale) -> Self {
         match scale {
             Scale::Quick => Self {
-                sizes: vec![vec![8, 16]],
+                size_groups: vec![vec![8, 16]],
                 publications: 3,
                 baseline_changes: 1,
-                settle: Duration::from_secs(4),
-                settle_herd: Duration::from_secs(2),
-                idle: Duration::from_secs(3),
-                churn_events: 8,
-                churn: Duration::from_secs(2),
+                settle_time: Duration::from_secs(4),
+                settle_time_after_restart: Duration::from_secs(2),
+                idle_time: Duration::from_secs(3),
+                announcements: 8,
+                announcement_time: Duration::from_secs(2),
             },
             Scale::Full => Self {
-                sizes: vec![vec![8, 16, 32], vec![64], vec![128], vec![256]],
+                size_groups: vec![vec![8, 16, 32], vec![64], vec![128], vec![256]],
                 publications: 8,
                 baseline_changes: 2,
-                settle: Duration::from_secs(17),
-                settle_herd: Duration::from_secs(4),
-                idle: Duration::from_secs(10),
-                churn_events: 40,
-                churn: Duration::from_secs(4),
+                settle_time: Duration::from_secs(17),
+                settle_time_after_restart: Duration::from_secs(4),
+                idle_time: Duration::from_secs(10),
+                announcements: 40,
+                announcement_time: Duration::from_secs(4),
             },
         }
     }
@@ -74,61 +74,67 @@
 
 /// What was measured at one size.
 #[derive(Debug)]
-pub(crate) struct Measured {
+pub(crate) struct SizeResults {
     pub(crate) nodes: usize,
-    pub(crate) idle: Interval,
+    pub(crate) idle_interval: Interval,
     /// One for each node and publication, in milliseconds.
-    pub(crate) spread_ms: Histogram<u64>,
-    pub(crate) changes: Interval,
-    pub(crate) publications: usize,
+    pub(crate) enforced_after_ms: Histogram<u64>,
+    pub(crate) publish_interval: Interval,
+    pub(crate) publication_count: usize,
     /// Mean size of the compressed deltas published.
     pub(crate) delta_bytes: f64,
-    pub(crate) churn: Interval,
-    pub(crate) churn_events: usize,
-    pub(crate) herd_ms: Histogram<u64>,
-    pub(crate) herd: Interval,
-    pub(crate) herd_peaks: PeakRates,
+    pub(crate) announce_interval: Interval,
+    pub(crate) announcement_count: usize,
+    pub(crate) full_restart_ms: Histogram<u64>,
+    pub(crate) full_restart_interval: Interval,
+    pub(crate) full_restart_peaks: PeakRates,
     /// Largest anonymous and resident memory of a node, in megabytes.
     pub(crate) anonymous_mb: f64,
     pub(crate) resident_mb: f64,
-    pub(crate) baseline: Polled,
+    pub(crate) baseline: PollingResults,
 }
 
-impl Measured {
+impl SizeResults {
     /// Bytes over the link for one change, beyond what idling costs.
     pub(crate) fn link_bytes_per_change(&self) -> f64 {
-        let idle = self.idle.link_bytes / self.idle.seconds * self.changes.seconds;
-        (self.changes.link_bytes - idle) / self.publications as f64
+        let idle_cost = self.idle_interval.link_bytes / self.idle_interval.seconds
+            * self.publish_interval.seconds;
+        (self.publish_interval.link_bytes - idle_cost) / self.publication_count as f64
     }
 
     /// Bytes between nodes for one change, beyond what idling costs.
     pub(crate) fn bytes_per_change(&self) -> f64 {
-        let idle = self.idle.between_nodes_bytes / self.idle.seconds * self.changes.seconds;
-        (self.changes.between_nodes_bytes - idle) / self.publications as f64
+        let idle_cost = self.idle_interval.between_nodes_bytes / self.idle_interval.seconds
+            * self.publish_interval.seconds;
+        (self.publish_interval.between_nodes_bytes - idle_cost) / self.publication_count as f64
     }
 
     /// Bytes between nodes for one endpoint announcement, beyond what idling costs.
-    pub(crate) fn bytes_per_event(&self) -> f64 {
-        let idle = self.idle.between_nodes_bytes / self.idle.seconds * self.churn.seconds;
-        (self.churn.between_nodes_bytes - idle) / self.churn_events as f64
+    pub(crate) fn bytes_per_announcement(&self) -> f64 {
+        let idle_cost = self.idle_interval.between_nodes_bytes / self.idle_interval.seconds
+            * self.announce_interval.seconds;
+        (self.announce_interval.between_nodes_bytes - idle_cost) / self.announcement_count as f64
     }
 
     /// Platform reads for one change, beyond idling.
     pub(crate) fn reads_per_change(&self) -> f64 {
-        let idle = self.idle.platform_reads / self.idle.seconds * self.changes.seconds;
-        (self.changes.platform_reads - idle) / self.publications as f64
+        let idle_cost = self.idle_interval.platform_reads / self.idle_interval.seconds
+            * self.publish_interval.seconds;
+        (self.publish_interval.platform_reads - idle_cost) / self.publication_count as f64
     }
 
     /// Platform writes for one change, beyond idling.
     pub(crate) fn writes_per_change(&self) -> f64 {
-        let idle = self.idle.platform_writes / self.idle.seconds * self.changes.seconds;
-        (self.changes.platform_writes - idle) / self.publications as f64
+        let idle_cost = self.idle_interval.platform_writes / self.idle_interval.seconds
+            * self.publish_interval.seconds;
+        (self.publish_interval.platform_writes - idle_cost) / self.publication_count as f64
     }
 
     /// Processor time of all nodes for one change, beyond idling, in milliseconds.
     pub(crate) fn processor_ms_per_change(&self) -> f64 {
-        let idle = self.idle.processor_s / self.idle.seconds * self.changes.seconds;
-        (self.changes.processor_s - idle) * 1e3 / self.publications as f64
+        let idle_cost = self.idle_interval.processor_s / self.idle_interval.seconds
+            * self.publish_interval.seconds;
+        (self.publish_interval.processor_s - idle_cost) * 1e3 / self.publication_count as f64
     }
 }
 
@@ -138,45 +144,45 @@
     let report = Report::new(&options.docs)?;
     let mut plan = Plan::of(options.scale);
     if let Some(nodes) = options.nodes {
-        plan.sizes = vec![vec![nodes]];
+        plan.size_groups = vec![vec![nodes]];
     }
     let sizes = measure(&plan).await?;
     write(&report, &sizes, options.scale)?;
-    sizes.checked()
+    sizes.ensure_all_measured()
 }
 
 /// The sizes that were measured, and those that could not be.
 #[derive(Debug, Default)]
-pub(crate) struct Sizes {
-    pub(crate) measured: Vec<Measured>,
+pub(crate) struct MeasuredSizes {
+    pub(crate) measured: Vec<SizeResults>,
     failed: Vec<(usize, String)>,
 }
 
-impl Sizes {
+impl MeasuredSizes {
     /// An error if any size failed; its page says so as well.
-    pub(crate) fn checked(&self) -> Result {
+    pub(crate) fn ensure_all_measured(&self) -> Result {
         if self.failed.is_empty() {
             return Ok(());
         }
         Err(Error::Unexpected {
-            text: self.failures(),
+            text: self.failure_text(),
         })
     }
 
-    fn failures(&self) -> String {
-        let failures = self.failed.iter();
+    fn failure_text(&self) -> String {
+        let failed = self.failed.iter();
         let lines =
-            failures.map(|(nodes, why)| format!("{nodes} nodes could not be measured: {why}"));
+            failed.map(|(nodes, error)| format!("{nodes} nodes could not be measured: {error}"));
         lines.collect::<Vec<_>>().join("\n")
     }
 }
 
 /// Measures every size, and the baseline at all sizes side by side. A size that fails is noted
 /// and the others go on.
-pub(crate) async fn measure(plan: &Plan) -> Result<Sizes> {
-    let mut sizes = Sizes::default();
-    for group in &plan.sizes {
-        let begin = Instant::now();
+pub(crate) async fn measure(plan: &Plan) -> Result<MeasuredSizes> {
+    let mut sizes = MeasuredSizes::default();
+    for group in &plan.size_groups {
+        let started = Instant::now();
         // Tasks of their own, so that a panic inside the test kit ends one size alone.
         let runs: Vec<_> = group
             .iter()
@@ -194,7 +200,7 @@
             });
             match measured {
                 Ok(measured) => {
-                    print_size(&measured, begin);
+                    print_size(&measured, started);
                     sizes.measured.push(measured);
                 }
                 Err(error) => {
@@ -219,96 +225,103 @@
     Ok(sizes)
 }
 
-fn print_size(measured: &Measured, begin: Instant) {
-    let spread = &measured.spread_ms;
+fn print_size(measured: &SizeResults, started: Instant) {
+    let enforced_after = &measured.enforced_after_ms;
     println!(
         "Measured {} nodes in {:.1} s: enforced after p50 {} ms, p99 {} ms, max {} ms",
         measured.nodes,
-        begin.elapsed().as_secs_f64(),
-        spread.value_at_quantile(0.5),
-        spread.value_at_quantile(0.99),
-        spread.max()
+        started.elapsed().as_secs_f64(),
+        enforced_after.value_at_quantile(0.5),
+        enforced_after.value_at_quantile(0.99),
+        enforced_after.max()
     );
 }
 
-async fn measure_size(plan: &Plan, nodes: usize) -> Result<Measured> {
-    let begin = Instant::now();
-    let mut fleet = Fleet::start(nodes).await?;
-    tokio::time::sleep(plan.settle.saturating_sub(begin.elapsed())).await;
-    let idle = fleet.idle(plan.idle).await;
-    let (spread_ms, changes) = publish_all(&mut fleet, plan.publications).await?;
-    let delta_bytes = mean_delta_bytes(&fleet).await?;
-    let churn = churn(&fleet, plan).await?;
+async fn measure_size(plan: &Plan, nodes: usize) -> Result<SizeResults> {
+    let started = Instant::now();
+    let mut observed = ObservedMesh::start(nodes).await?;
+    tokio::time::sleep(plan.settle_time.saturating_sub(started.elapsed())).await;
+    let idle_interval = observed.sample_idle(plan.idle_time).await;
+    let (enforced_after_ms, publish_interval) =
+        publish_repeatedly(&mut observed, plan.publications).await?;
+    let delta_bytes = mean_delta_bytes(&observed).await?;
+    let announce_interval = announce_in_turn(&observed, plan).await?;
     // The busiest minute is over; what is resident now is what a node needs.
-    let memory = fleet.memory();
-    let largest =
-        |kb: &dyn Fn(usize) -> u64| (0..memory.len()).map(kb).max().unwrap_or(0) as f64 / 1024.0;
-    let anonymous_mb = largest(&|node| memory[node].anonymous_kb);
-    let resident_mb = largest(&|node| memory[node].resident_kb);
+    let node_memory = observed.memory();
+    let largest_mb = |kb: &dyn Fn(usize) -> u64| {
+        (0..node_memory.len()).map(kb).max().unwrap_or(0) as f64 / 1024.0
+    };
+    let anonymous_mb = largest_mb(&|node| node_memory[node].anonymous_kb);
+    let resident_mb = largest_mb(&|node| node_memory[node].resident_kb);
 
-    fleet.mesh.platform.take_peak_rates();
-    let before = fleet.sample();
-    let herd = fleet.restart_all().await?;
-    tokio::time::sleep(plan.settle_herd).await;
-    let herd_interval = before.until(&fleet.sample());
-    let herd_peaks = fleet.mesh.platform.take_peak_rates();
-    Ok(Measured {
+    observed.mesh.platform.take_peak_rates();
+    let before = observed.sample();
+    let restart_times = observed.restart_all().await?;
+    tokio::time::sleep(plan.settle_time_after_restart).await;
+    let full_restart_interval = before.interval_to(&observed.sample());
+    let full_restart_peaks = observed.mesh.platform.take_peak_rates();
+    Ok(SizeResults {
         nodes,
-        idle,
-        spread_ms,
-        changes,
-        publications: plan.publications,
+        idle_interval,
+        enforced_after_ms,
+        publish_interval,
+        publication_count: plan.publications,
         delta_bytes,
-        churn,
-        churn_events: plan.churn_events,
-        herd_ms: histogram(&herd),
-        herd: herd_interval,
-        herd_peaks,
+        announce_interval,
+        announcement_count: plan.announcements,
+        full_restart_ms: time_histogram(&restart_times),
+        full_restart_interval,
+        full_restart_peaks,
         anonymous_mb,
         resident_mb,
-        baseline: Polled::default(),
+        baseline: PollingResults::default(),
     })
 }
 
 /// Publishes a change of one team's treatment again and again.
-async fn publish_all(fleet: &mut Fleet, publications: usize) -> Result<(Histogram<u64>, Interval)> {
-    let mut spread_ms = empty_histogram();
-    let before = fleet.sample();
-    for number in 0..publications {
-        let timeout_ms = 1_000 + u32::try_from(number).unwrap_or(0);
-        let file = team_file(number % SERVICES.len(), timeout_ms);
-        let times = fleet.publish(publication::records(&[file])?).await?;
-        record(&mut spread_ms, &times);
+async fn publish_repeatedly(
+    observed: &mut ObservedMesh,
+    publications: usize,
+) -> Result<(Histogram<u64>, Interval)> {
+    let mut enforced_after_ms = empty_histogram();
+    let before = observed.sample();
+    for index in 0..publications {
+        let timeout_ms = 1_000 + u32::try_from(index).unwrap_or(0);
+        let file = team_file(index % SERVICES.len(), timeout_ms);
+        let times = observed
+            .publish(publication::parse_team_files(&[file])?)
+            .await?;
+        record_times(&mut enforced_after_ms, &times);
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
-    Ok((spread_ms, before.until(&fleet.sample())))
+    Ok((enforced_after_ms, before.interval_to(&observed.sample())))
 }
 
 /// Mean size of the deltas of all versions but the first.
-async fn mean_delta_bytes(fleet: &Fleet) -> Result<f64> {
+async fn mean_delta_bytes(observed: &ObservedMesh) -> Result<f64> {
     let read_error = |error: accepted::Error| Error::Unexpected {
         text: error.to_string(),
     };
     let mut bytes = 0;
-    for version in 2..=fleet.version {
-        let row = accepted::version_row(&fleet.platform, Version(version)).await;
+    for version in 2..=observed.version {
+        let row = accepted::version_row(&observed.store, Version(version)).await;
         let row = row.map_err(read_error)?;
-        let delta = accepted::object(&fleet.platform, &row.delta_object).await;
+        let delta = accepted::object(&observed.store, &row.delta_object).await;
         bytes += delta.map_err(read_error)?.len();
     }
-    Ok(bytes as f64 / fleet.version.saturating_sub(1).max(1) as f64)
+    Ok(bytes as f64 / observed.version.saturating_sub(1).max(1) as f64)
 }
 
 /// Backend servers announce in turn that they drain and that they serve again.
-async fn churn(fleet: &Fleet, plan: &Plan) -> Result<Interval> {
-    let before = fleet.sample();
-    let pause = plan.churn / u32::try_from(plan.churn_events).unwrap_or(1);
-    let mut ticks = tokio::time::interval(pause);
-    for event in 0..plan.churn_events {
-        ticks.tick().await;
+async fn announce_in_turn(observed: &ObservedMesh, plan: &Plan) -> Result<Interval> {
+    let before = observed.sample();
+    let time_between = plan.announcement_time / u32::try_from(plan.announcements).unwrap_or(1);
+    let mut announcement_ticks = tokio::time::interval(time_between);
+    for announcement_number in 0..plan.announcements {
+        announcement_ticks.tick().await;
         // Each drains at an even event and serves again at the odd one after it.
-        let vm = &fleet.mesh.vms[event / 2 % fleet.mesh.vms.len()];
-        let state = if event % 2 == 0 {
+        let vm = &observed.mesh.vms[announcement_number / 2 % observed.mesh.vms.len()];
+        let state = if announcement_number % 2 == 0 {
             "draining"
         } else {
             "serving"
@@ -316,7 +329,7 @@
         announce(vm, state).await?;
     }
     tokio::time::sleep(Duration::from_secs(1)).await;
-    Ok(before.until(&fleet.sample()))
+    Ok(before.interval_to(&observed.sample()))
 }
 
 /// The backend server of a VM announces its state to its node.
@@ -338,17 +351,17 @@
 }
 
 fn empty_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, TIME_MAX_MS, 3).expect("three digits are in range")
+    Histogram::new_with_bounds(1, MAX_RECORDED_MS, 3).expect("three digits are in range")
 }
 
-fn record(histogram: &mut Histogram<u64>, times: &[Duration]) {
+fn record_times(histogram: &mut Histogram<u64>, times: &[Duration]) {
     for time in times {
         histogram.saturating_record(u64::try_from(time.as_millis()).unwrap_or(u64::MAX));
     }
 }
 
-pub(crate) fn histogram(times: &[Duration]) -> Histogram<u64> {
+pub(crate) fn time_histogram(times: &[Duration]) -> Histogram<u64> {
     let mut histogram = empty_histogram();
-    record(&mut histogram, times);
+    record_times(&mut histogram, times);
     histogram
 }
--- a/crates/experiment/src/convergence/pages.rs
+++ b/crates/experiment/src/convergence/pages.rs
@@ -2,31 +2,31 @@
 
 use hdrhistogram::Histogram;
 
-use super::{Measured, Sizes, histogram};
-use crate::baseline::POLL;
+use super::{MeasuredSizes, SizeResults, time_histogram};
+use crate::baseline::POLL_INTERVAL;
 use crate::error::Result;
-use crate::fleet::SERVICES;
+use crate::observed_mesh::SERVICES;
 use crate::options::Scale;
-use crate::report::{Axes, Report, Series, Table, figure};
+use crate::report::{Axes, Report, Series, Table, format_number};
 
 /// Writes page, rows and plots.
-pub(crate) fn write(report: &Report, sizes: &Sizes, scale: Scale) -> Result {
+pub(crate) fn write(report: &Report, sizes: &MeasuredSizes, scale: Scale) -> Result {
     let measured = sizes.measured.as_slice();
     let command = format!(
         "cargo run --release -p experiment -- convergence {}",
         scale.flag()
     );
     let tables = [
-        spread_table(measured, &command),
+        enforced_after_table(measured, &command),
         cost_table(measured, &command),
-        herd_table(measured, &command),
+        full_restart_table(measured, &command),
     ];
     let mut text = introduction();
     if !sizes.failed.is_empty() {
-        text.push_str(&format!("\n**Failed:** {}\n", sizes.failures()));
+        text.push_str(&format!("\n**Failed:** {}\n", sizes.failure_text()));
     }
-    report.page("convergence", &text, &tables)?;
-    plot_spread(report, measured)?;
+    report.write_page("convergence", &text, &tables)?;
+    plot_enforced_after(report, measured)?;
     plot_bytes(report, measured)
 }
 
@@ -42,7 +42,7 @@
          ![time to enforce](convergence-time.svg)\n\n\
          ![control bytes](convergence-bytes.svg)\n",
         SERVICES.len(),
-        POLL.as_secs()
+        POLL_INTERVAL.as_secs()
     )
 }
 
@@ -54,24 +54,25 @@
     ]
 }
 
-fn spread_table(measured: &[Measured], command: &str) -> Table {
-    let row = |m: &Measured| {
-        let [p50, p99, max] = quantiles(&m.spread_ms);
-        let [base_p50, base_p99, base_max] = quantiles(&histogram(&m.baseline.enforced_after));
+fn enforced_after_table(measured: &[SizeResults], command: &str) -> Table {
+    let row = |m: &SizeResults| {
+        let [p50, p99, max] = quantiles(&m.enforced_after_ms);
+        let [polling_p50, polling_p99, polling_max] =
+            quantiles(&time_histogram(&m.baseline.enforced_after));
         let link = m.link_bytes_per_change();
         vec![
             m.nodes.to_string(),
-            m.publications.to_string(),
+            m.publication_count.to_string(),
             p50,
             p99,
             max,
-            base_p50,
-            base_p99,
-            base_max,
-            figure(m.delta_bytes),
-            figure(link),
-            figure(link / m.delta_bytes),
-            figure(m.bytes_per_change() / m.nodes as f64),
+            polling_p50,
+            polling_p99,
+            polling_max,
+            format_number(m.delta_bytes),
+            format_number(link),
+            format_number(link / m.delta_bytes),
+            format_number(m.bytes_per_change() / m.nodes as f64),
         ]
     };
     Table {
@@ -95,21 +96,21 @@
     }
 }
 
-fn cost_table(measured: &[Measured], command: &str) -> Table {
-    let row = |m: &Measured| {
+fn cost_table(measured: &[SizeResults], command: &str) -> Table {
+    let row = |m: &SizeResults| {
         vec![
             m.nodes.to_string(),
-            figure(m.idle.node_bytes_per_s(m.nodes)),
-            figure(m.baseline.bytes_per_s / m.nodes as f64),
-            figure(m.idle.link_bytes / m.idle.seconds),
-            figure(m.baseline.link_bytes_per_s),
-            figure(m.idle.platform_reads / m.idle.seconds),
-            figure(m.baseline.reads_per_s),
-            figure(m.idle.node_core_percent(m.nodes)),
-            figure(m.processor_ms_per_change() / m.nodes as f64),
-            figure(m.bytes_per_event() / m.nodes as f64),
-            figure(m.anonymous_mb),
-            figure(m.resident_mb),
+            format_number(m.idle_interval.node_bytes_per_s(m.nodes)),
+            format_number(m.baseline.bytes_per_s / m.nodes as f64),
+            format_number(m.idle_interval.link_bytes / m.idle_interval.seconds),
+            format_number(m.baseline.link_bytes_per_s),
+            format_number(m.idle_interval.platform_reads / m.idle_interval.seconds),
+            format_number(m.baseline.reads_per_s),
+            format_number(m.idle_interval.node_core_percent(m.nodes)),
+            format_number(m.processor_ms_per_change() / m.nodes as f64),
+            format_number(m.bytes_per_announcement() / m.nodes as f64),
+            format_number(m.anonymous_mb),
+            format_number(m.resident_mb),
         ]
     };
     Table {
@@ -133,21 +134,21 @@
     }
 }
 
-fn herd_table(measured: &[Measured], command: &str) -> Table {
-    let row = |m: &Measured| {
-        let [p50, p99, max] = quantiles(&m.herd_ms);
+fn full_restart_table(measured: &[SizeResults], command: &str) -> Table {
+    let row = |m: &SizeResults| {
+        let [p50, p99, max] = quantiles(&m.full_restart_ms);
         vec![
             m.nodes.to_string(),
             p50,
             p99,
             max,
-            figure(m.herd.between_nodes_bytes / m.nodes as f64),
-            figure(m.herd.link_bytes),
-            figure(m.herd.platform_reads),
-            figure(m.herd.platform_writes),
-            m.herd_peaks.reads_per_s.to_string(),
-            m.herd_peaks.writes_per_s.to_string(),
-            figure(m.herd.platform_refused),
+            format_number(m.full_restart_interval.between_nodes_bytes / m.nodes as f64),
+            format_number(m.full_restart_interval.link_bytes),
+            format_number(m.full_restart_interval.platform_reads),
+            format_number(m.full_restart_interval.platform_writes),
+            m.full_restart_peaks.reads_per_s.to_string(),
+            m.full_restart_peaks.writes_per_s.to_string(),
+            format_number(m.full_restart_interval.platform_refused),
         ]
     };
     Table {
@@ -170,50 +171,54 @@
     }
 }
 
-fn line(name: &str, measured: &[Measured], y: impl Fn(&Measured) -> f64) -> Series {
+fn series_over_nodes(
+    name: &str,
+    measured: &[SizeResults],
+    y: impl Fn(&SizeResults) -> f64,
+) -> Series {
     Series {
         name: name.to_owned(),
         points: measured.iter().map(|m| (m.nodes as f64, y(m))).collect(),
     }
 }
 
-fn plot_spread(report: &Report, measured: &[Measured]) -> Result {
+fn plot_enforced_after(report: &Report, measured: &[SizeResults]) -> Result {
     let axes = Axes {
         title: "From acceptance to enforcing",
         x: "nodes",
         y: "ms",
     };
-    let lines = [
-        line("p50", measured, |m| {
-            m.spread_ms.value_at_quantile(0.5) as f64
+    let series = [
+        series_over_nodes("p50", measured, |m| {
+            m.enforced_after_ms.value_at_quantile(0.5) as f64
         }),
-        line("p99", measured, |m| {
-            m.spread_ms.value_at_quantile(0.99) as f64
+        series_over_nodes("p99", measured, |m| {
+            m.enforced_after_ms.value_at_quantile(0.99) as f64
         }),
-        line("polling p50", measured, |m| {
-            histogram(&m.baseline.enforced_after).value_at_quantile(0.5) as f64
+        series_over_nodes("polling p50", measured, |m| {
+            time_histogram(&m.baseline.enforced_after).value_at_quantile(0.5) as f64
         }),
-        line("polling p99", measured, |m| {
-            histogram(&m.baseline.enforced_after).value_at_quantile(0.99) as f64
+        series_over_nodes("polling p99", measured, |m| {
+            time_histogram(&m.baseline.enforced_after).value_at_quantile(0.99) as f64
         }),
     ];
-    report.plot("convergence-time.svg", axes, &lines)
+    report.write_plot("convergence-time.svg", axes, &series)
 }
 
-fn plot_bytes(report: &Report, measured: &[Measured]) -> Result {
+fn plot_bytes(report: &Report, measured: &[SizeResults]) -> Result {
     let axes = Axes {
         title: "Idle control traffic",
         x: "nodes",
         y: "bytes/s per node",
     };
-    let lines = [
-        line("dragonflywall", measured, |m| {
-            m.idle.node_bytes_per_s(m.nodes)
+    let series = [
+        series_over_nodes("dragonflywall", measured, |m| {
+            m.idle_interval.node_bytes_per_s(m.nodes)
         }),
-        line("polling", measured, |m| {
+        series_over_nodes("polling", measured, |m| {
             m.baseline.bytes_per_s / m.nodes as f64
         }),
-        line("users' limit", measured, |_| 2_000.0),
+        series_over_nodes("users' limit", measured, |_| 2_000.0),
     ];
-    report.plot("convergence-bytes.svg", axes, &lines)
+    report.write_plot("convergence-bytes.svg", axes, &series)
 }
--- a/crates/experiment/src/demo.rs
+++ b/crates/experiment/src/demo.rs
@@ -17,10 +17,10 @@
 
 use crate::error::{Error, Result};
 use crate::examples::{self, Call, Example};
-use crate::publication::{self, Accepted};
+use crate::publication::{self, Publication};
 
 /// The whole run is bounded, so that a fault ends it instead of hanging it.
-const RUN_LIMIT: Duration = Duration::from_secs(100);
+const RUN_TIMEOUT: Duration = Duration::from_secs(100);
 const ANSWER_BYTES: u64 = 2_000;
 /// Between the old timeout and the new one of either example.
 const SLOW_WORK_MS: u64 = 2_000;
@@ -35,46 +35,46 @@
     let example = examples::by_name(&name).ok_or_else(|| Error::Usage {
         text: "`demo` takes `chatarras` or `marinhas`".to_owned(),
     })?;
-    let finished = tokio::time::timeout(RUN_LIMIT, whole(&example)).await;
+    let finished = tokio::time::timeout(RUN_TIMEOUT, run_steps(&example)).await;
     finished.map_err(|_| Error::Unexpected {
-        text: format!("not finished after {} s", RUN_LIMIT.as_secs()),
+        text: format!("not finished after {} s", RUN_TIMEOUT.as_secs()),
     })?
 }
 
-async fn whole(example: &Example) -> Result {
+async fn run_steps(example: &Example) -> Result {
     let started = Instant::now();
     let mesh = start(example).await?;
-    let platform = HttpStore::new(&mesh.platform.url(), None);
+    let store = HttpStore::new(&mesh.platform.url(), None);
 
-    publish(&mesh, &platform, &example.files, 1).await?;
+    publish(&mesh, &store, &example.files, 1).await?;
     mesh.wait_joined().await;
     println!("Calling each service from each data centre");
     let mut ids = call_everything(&mesh, example, "first").await?;
     let slow = example.edit.slow_call;
-    let given_up = slow_call(&mesh, slow, "slow-before").await?;
+    let before_edit = slow_call(&mesh, slow, "slow-before").await?;
     println!(
         "Gave up {} after {} ms of its {SLOW_WORK_MS} ms: status {}, verdict {}",
-        slow.purpose,
-        given_up.took.as_millis(),
-        given_up.reply.status.as_u16(),
-        given_up.reply.header("x-dragonflywall-verdict"),
+        slow.description,
+        before_edit.took.as_millis(),
+        before_edit.reply.status.as_u16(),
+        before_edit.reply.header("x-dragonflywall-verdict"),
     );
-    expect(given_up.reply.status != 200, "the old timeout holds")?;
+    ensure(before_edit.reply.status != 200, "the old timeout holds")?;
 
     println!(
         "Changed `{}` to `{}` in the file of {}",
-        example.edit.from, example.edit.to, slow.service
+        example.edit.old_text, example.edit.new_text, slow.service
     );
-    publish(&mesh, &platform, &example.edited_files()[..1], 2).await?;
-    let answered = slow_call(&mesh, slow, "slow-after").await?;
+    publish(&mesh, &store, &example.edited_files()[..1], 2).await?;
+    let after_edit = slow_call(&mesh, slow, "slow-after").await?;
     println!(
         "Answered {} after {} ms: status {}, under version {}",
-        slow.purpose,
-        answered.took.as_millis(),
-        answered.reply.status.as_u16(),
-        answered.reply.header("x-dragonflywall-version"),
+        slow.description,
+        after_edit.took.as_millis(),
+        after_edit.reply.status.as_u16(),
+        after_edit.reply.header("x-dragonflywall-version"),
     );
-    expect(answered.reply.status == 200, "the new timeout holds")?;
+    ensure(after_edit.reply.status == 200, "the new timeout holds")?;
     ids.push("slow-after".to_owned());
     ids.extend(call_everything(&mesh, example, "second").await?);
     check_ran_once(&mesh, &ids)?;
@@ -105,26 +105,26 @@
 
 async fn publish(
     mesh: &Mesh,
-    platform: &HttpStore,
+    store: &HttpStore,
     files: &[String],
     version: u64,
-) -> Result<Accepted> {
-    let records = publication::records(files)?;
+) -> Result<Publication> {
+    let records = publication::parse_team_files(files)?;
     let teams: Vec<String> = records.iter().map(|r| r.team.to_string()).collect();
-    let accepted = publication::accept(platform, "demo", None, records, version).await?;
+    let publication = publication::publish_and_hint(store, "demo", None, records, version).await?;
     println!(
         "Published: version {} with {}; hinted {} nodes",
-        accepted.published.stamp,
+        publication.published.stamp,
         teams.join(", "),
-        accepted.hinted
+        publication.hinted_nodes
     );
     mesh.wait_enforced(version).await;
     println!(
         "Enforced by every node {} ms after acceptance, as seen by asking each:",
-        accepted.at.elapsed().as_millis()
+        publication.committed_at.elapsed().as_millis()
     );
     print_enforced(mesh).await;
-    Ok(accepted)
+    Ok(publication)
 }
 
 /// Asks every node what it enforces itself, and sums up by data centre.
@@ -161,12 +161,12 @@
             let entry = entries[(number + 1) % entries.len()];
             let id = format!("{round}-{}-{}", data_centre.name, call.service);
             let path = format!("{}?answer_bytes={ANSWER_BYTES}", call.path);
-            let reply = send(entry, *call, &path, &id).await?;
+            let reply = send_call(entry, *call, &path, &id).await?;
             check_answer(&reply, &id)?;
             println!(
                 "  {:<10} {:<26} {:<4} {:<10} {} from {}, {} bytes, version {}",
                 data_centre.name,
-                call.purpose,
+                call.description,
                 call.method,
                 call.service,
                 reply.status.as_u16(),
@@ -182,29 +182,32 @@
 
 fn check_answer(reply: &Reply, id: &str) -> Result {
     let digest = blake3::hash(&reply.body).to_hex().to_string();
-    let own = digest == expected_answer_digest(id, ANSWER_BYTES);
-    expect(reply.status == 200, &format!("{id} is answered: {reply:?}"))?;
-    expect(own, &format!("{id} gets the whole answer to its own call"))
+    let answers_own_call = digest == expected_answer_digest(id, ANSWER_BYTES);
+    ensure(reply.status == 200, &format!("{id} is answered: {reply:?}"))?;
+    ensure(
+        answers_own_call,
+        &format!("{id} gets the whole answer to its own call"),
+    )
 }
 
-struct SlowAnswer {
+struct TimedReply {
     reply: Reply,
     took: Duration,
 }
 
-async fn slow_call(mesh: &Mesh, call: Call, id: &str) -> Result<SlowAnswer> {
+async fn slow_call(mesh: &Mesh, call: Call, id: &str) -> Result<TimedReply> {
     let entry = mesh.vms.iter().find(|vm| vm.service != call.service);
     let entry = entry.expect("an example has several services");
     let path = format!("{}?work_ms={SLOW_WORK_MS}", call.path);
     let begin = Instant::now();
-    let reply = send(entry.node().addresses.caller, call, &path, id).await?;
-    Ok(SlowAnswer {
+    let reply = send_call(entry.node().addresses.caller, call, &path, id).await?;
+    Ok(TimedReply {
         reply,
         took: begin.elapsed(),
     })
 }
 
-async fn send(entry: std::net::SocketAddr, call: Call, path: &str, id: &str) -> Result<Reply> {
+async fn send_call(entry: std::net::SocketAddr, call: Call, path: &str, id: &str) -> Result<Reply> {
     let method = Method::from_bytes(call.method.as_bytes()).expect("examples use known methods");
     let headers = [("x-request-id", id)];
     let reply = request(entry, method, call.service, path, &headers, "").await;
@@ -222,7 +225,7 @@
     }
     for id in ids {
         let count = runs.get(id).copied().unwrap_or(0);
-        expect(
+        ensure(
             count == 1,
             &format!("{id} runs once, and ran {count} times"),
         )?;
@@ -230,11 +233,11 @@
     Ok(())
 }
 
-fn expect(holds: bool, what: &str) -> Result {
-    if holds {
+fn ensure(condition: bool, expectation: &str) -> Result {
+    if condition {
         return Ok(());
     }
     Err(Error::Unexpected {
-        text: format!("expected that {what}"),
+        text: format!("expected that {expectation}"),
     })
 }
--- a/crates/experiment/src/examples.rs
+++ b/crates/experiment/src/examples.rs
@@ -9,16 +9,16 @@
     pub(crate) method: &'static str,
     pub(crate) path: &'static str,
     /// What it stands for.
-    pub(crate) purpose: &'static str,
+    pub(crate) description: &'static str,
 }
 
 /// An edit of a team file whose effect a caller notices.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Edit {
     /// The file, by position.
-    pub(crate) file: usize,
-    pub(crate) from: &'static str,
-    pub(crate) to: &'static str,
+    pub(crate) file_index: usize,
+    pub(crate) old_text: &'static str,
+    pub(crate) new_text: &'static str,
     /// A call that takes too long before the edit and is answered after it.
     pub(crate) slow_call: Call,
 }
@@ -37,8 +37,8 @@
     /// The files with the edit made.
     pub(crate) fn edited_files(&self) -> Vec<String> {
         let mut files = self.files.clone();
-        let text = &mut files[self.edit.file];
-        *text = text.replacen(self.edit.from, self.edit.to, 1);
+        let text = &mut files[self.edit.file_index];
+        *text = text.replacen(self.edit.old_text, self.edit.new_text, 1);
         files
     }
 }
@@ -47,13 +47,13 @@
     method: &'static str,
     service: &'static str,
     path: &'static str,
-    purpose: &'static str,
+    description: &'static str,
 ) -> Call {
     Call {
         service,
         method,
         path,
-        purpose,
+        description,
     }
 }
 
@@ -84,9 +84,9 @@
             call("GET", "hemeroteca", "/archive/1998", "an archive look-up"),
         ],
         edit: Edit {
-            file: 0,
-            from: "timeout_ms = 800",
-            to: "timeout_ms = 3000",
+            file_index: 0,
+            old_text: "timeout_ms = 800",
+            new_text: "timeout_ms = 3000",
             slow_call: call("GET", "tablon", "/prices/steel", "a slow price"),
         },
     }
@@ -115,9 +115,9 @@
             ),
         ],
         edit: Edit {
-            file: 0,
-            from: "timeout_ms = 1500",
-            to: "timeout_ms = 4000",
+            file_index: 0,
+            old_text: "timeout_ms = 1500",
+            new_text: "timeout_ms = 4000",
             slow_call: call("GET", "armazem", "/stock/8", "a slow stock figure"),
         },
     }
--- a/crates/experiment/src/fit/tests.rs
+++ b/crates/experiment/src/fit/tests.rs
@@ -1,31 +1,32 @@
-use super::Fit;
+use super::LinearFit;
 
 #[test]
-fn exact_line_is_found_without_spread() {
-    let fit = Fit::of(&[(8.0, 21.0), (16.0, 37.0), (64.0, 133.0)]).expect("three sizes");
-    assert!((fit.base - 5.0).abs() < 1e-9, "{fit:?}");
+fn exact_line_has_no_residuals() {
+    let fit = LinearFit::through(&[(8.0, 21.0), (16.0, 37.0), (64.0, 133.0)]).expect("three sizes");
+    assert!((fit.intercept - 5.0).abs() < 1e-9, "{fit:?}");
     assert!((fit.slope - 2.0).abs() < 1e-9, "{fit:?}");
-    let reading = fit.at(520.0);
-    assert!((reading.value - 1_045.0).abs() < 1e-6, "{reading:?}");
-    assert!(reading.error < 1e-6, "{reading:?}");
+    let estimate = fit.estimate_at(520.0);
+    assert!((estimate.value - 1_045.0).abs() < 1e-6, "{estimate:?}");
+    assert!(estimate.std_error < 1e-6, "{estimate:?}");
 }
 
 #[test]
-fn reading_far_outside_is_less_certain() {
-    let fit = Fit::of(&[(1.0, 1.0), (2.0, 3.0), (3.0, 2.0), (4.0, 4.0)]).expect("four sizes");
-    assert!(fit.at(520.0).error > 10.0 * fit.at(2.5).error);
+fn standard_error_grows_with_extrapolation() {
+    let fit =
+        LinearFit::through(&[(1.0, 1.0), (2.0, 3.0), (3.0, 2.0), (4.0, 4.0)]).expect("four sizes");
+    assert!(fit.estimate_at(520.0).std_error > 10.0 * fit.estimate_at(2.5).std_error);
 }
 
 #[test]
 fn one_size_gives_no_slope() {
-    assert_eq!(Fit::of(&[(8.0, 1.0), (8.0, 2.0)]), None);
-    assert_eq!(Fit::of(&[]), None);
+    assert_eq!(LinearFit::through(&[(8.0, 1.0), (8.0, 2.0)]), None);
+    assert_eq!(LinearFit::through(&[]), None);
 }
 
 /// Two points always lie on a line: an error of 0 there would be a claim that nothing supports.
 #[test]
-fn two_points_give_no_spread() {
-    let fit = Fit::of(&[(8.0, 1.0), (16.0, 2.0)]).expect("two sizes");
-    assert!(fit.spread.is_nan(), "{fit:?}");
-    assert!(fit.at(520.0).error.is_nan());
+fn two_points_give_no_standard_error() {
+    let fit = LinearFit::through(&[(8.0, 1.0), (16.0, 2.0)]).expect("two sizes");
+    assert!(fit.residual_std.is_nan(), "{fit:?}");
+    assert!(fit.estimate_at(520.0).std_error.is_nan());
 }
--- a/crates/experiment/src/load.rs
+++ b/crates/experiment/src/load.rs
@@ -21,56 +21,56 @@
 use rand::{RngExt, SeedableRng};
 
 /// The last stretch before a call is due is spent spinning: sleeping wakes up too late.
-const SPIN: Duration = Duration::from_micros(120);
+const SPIN_TIME: Duration = Duration::from_micros(120);
 const LATENCY_MAX_US: u64 = 60_000_000;
-const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Ending {
+pub(crate) enum CallOutcome {
     /// With the answer.
     Answered,
     /// With a refusal.
     Refused,
     /// The caller had waited long enough.
-    GivenUp,
+    TimedOut,
     /// Without an answer.
     Failed,
 }
 
 /// What became of all calls of a run.
 #[derive(Debug)]
-pub(crate) struct Outcome {
+pub(crate) struct LoadSummary {
     pub(crate) answered: u64,
     pub(crate) refused: u64,
-    pub(crate) given_up: u64,
+    pub(crate) timed_out: u64,
     pub(crate) failed: u64,
     /// From due to answered, in microseconds; answered calls only.
     pub(crate) latency_us: Histogram<u64>,
 }
 
-impl Outcome {
+impl LoadSummary {
     fn new() -> Self {
         let latency_us = Histogram::new_with_bounds(1, LATENCY_MAX_US, 3);
         Self {
             answered: 0,
             refused: 0,
-            given_up: 0,
+            timed_out: 0,
             failed: 0,
             latency_us: latency_us.expect("three digits are in range"),
         }
     }
 
-    fn record(&mut self, ending: Ending, latency: Duration) {
-        match ending {
-            Ending::Answered => {
+    fn record(&mut self, outcome: CallOutcome, latency: Duration) {
+        match outcome {
+            CallOutcome::Answered => {
                 self.answered += 1;
                 let latency_us = u64::try_from(latency.as_micros()).unwrap_or(u64::MAX);
                 self.latency_us.saturating_record(latency_us);
             }
-            Ending::Refused => self.refused += 1,
-            Ending::GivenUp => self.given_up += 1,
-            Ending::Failed => self.failed += 1,
+            CallOutcome::Refused => self.refused += 1,
+            CallOutcome::TimedOut => self.timed_out += 1,
+            CallOutcome::Failed => self.failed += 1,
         }
     }
 
@@ -83,62 +83,62 @@
 /// Calls that arrive at random at a rate.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrivals {
-    pub(crate) per_s: f64,
-    pub(crate) time: Duration,
+    pub(crate) rate_per_s: f64,
+    pub(crate) duration: Duration,
     pub(crate) seed: u64,
 }
 
 /// Starts `call(number)` at each arrival and waits until all have ended.
-pub(crate) async fn open_loop<F, Fut>(arrivals: Arrivals, call: F) -> Outcome
+pub(crate) async fn run_open_loop<F, Fut>(arrivals: Arrivals, call: F) -> LoadSummary
 where
     F: Fn(u64) -> Fut + Send + 'static,
-    Fut: Future<Output = Ending> + Send + 'static,
+    Fut: Future<Output = CallOutcome> + Send + 'static,
 {
-    let outcome = Arc::new(Mutex::new(Outcome::new()));
+    let summary = Arc::new(Mutex::new(LoadSummary::new()));
     let tasks = tokio_util::task::TaskTracker::new();
-    let keeper = tasks.clone();
-    let shared = Arc::clone(&outcome);
+    let task_spawner = tasks.clone();
+    let shared_summary = Arc::clone(&summary);
     let runtime = tokio::runtime::Handle::current();
-    let clock = tokio::task::spawn_blocking(move || {
+    let arrival_thread = tokio::task::spawn_blocking(move || {
         let mut rng = SmallRng::seed_from_u64(arrivals.seed);
-        let begin = Instant::now();
-        let mut due = begin;
+        let started = Instant::now();
+        let mut due_at = started;
         let mut number = 0;
         loop {
             // Exponential gaps: arrivals that know nothing of each other.
-            let gap_s = -(1.0 - rng.random::<f64>()).ln() / arrivals.per_s;
-            due += Duration::from_secs_f64(gap_s);
-            if due.duration_since(begin) > arrivals.time {
+            let gap_s = -(1.0 - rng.random::<f64>()).ln() / arrivals.rate_per_s;
+            due_at += Duration::from_secs_f64(gap_s);
+            if due_at.duration_since(started) > arrivals.duration {
                 return;
             }
-            wait_until(due);
-            let ending = call(number);
-            let outcome = Arc::clone(&shared);
-            keeper.spawn_on(
+            wait_until(due_at);
+            let call_future = call(number);
+            let summary = Arc::clone(&shared_summary);
+            task_spawner.spawn_on(
                 async move {
-                    let ending = ending.await;
-                    let latency = due.elapsed();
-                    let mut outcome = outcome.lock().unwrap_or_else(PoisonError::into_inner);
-                    outcome.record(ending, latency);
+                    let outcome = call_future.await;
+                    let latency = due_at.elapsed();
+                    let mut summary = summary.lock().unwrap_or_else(PoisonError::into_inner);
+                    summary.record(outcome, latency);
                 },
                 &runtime,
             );
             number += 1;
         }
     });
-    let _ = clock.await;
+    let _ = arrival_thread.await;
     tasks.close();
     tasks.wait().await;
-    let mut outcome = outcome.lock().unwrap_or_else(PoisonError::into_inner);
-    std::mem::replace(&mut outcome, Outcome::new())
+    let mut summary = summary.lock().unwrap_or_else(PoisonError::into_inner);
+    std::mem::replace(&mut summary, LoadSummary::new())
 }
 
-fn wait_until(due: Instant) {
+fn wait_until(due_at: Instant) {
     let now = Instant::now();
-    if due > now + SPIN {
-        std::thread::sleep(due - now - SPIN);
+    if due_at > now + SPIN_TIME {
+        std::thread::sleep(due_at - now - SPIN_TIME);
     }
-    while Instant::now() < due {
+    while Instant::now() < due_at {
         std::hint::spin_loop();
     }
 }
@@ -163,21 +163,21 @@
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE_TIMEOUT)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
             .build(connector);
         Self { client }
     }
 
     /// Calls and reads the whole answer, unless it takes longer than `patience`; then the call is
     /// dropped, which closes its connection.
-    pub(crate) async fn call(&self, target: Target<'_>, patience: Duration) -> Ending {
-        match tokio::time::timeout(patience, self.exchange(target)).await {
-            Ok(ending) => ending,
-            Err(_) => Ending::GivenUp,
+    pub(crate) async fn call(&self, target: Target<'_>, timeout: Duration) -> CallOutcome {
+        match tokio::time::timeout(timeout, self.send_and_read(target)).await {
+            Ok(outcome) => outcome,
+            Err(_) => CallOutcome::TimedOut,
         }
     }
 
-    async fn exchange(&self, target: Target<'_>) -> Ending {
+    async fn send_and_read(&self, target: Target<'_>) -> CallOutcome {
         let request = Request::builder()
             .method(Method::GET)
             .uri(format!("http://{}{}", target.address, target.path))
@@ -185,15 +185,15 @@
             .body(Full::default())
             .expect("an address and a path make a request");
         let Ok(response) = self.client.request(request).await else {
-            return Ending::Failed;
+            return CallOutcome::Failed;
         };
         let status = response.status();
         if response.into_body().collect().await.is_err() {
-            return Ending::Failed;
+            return CallOutcome::Failed;
         }
         match status {
-            StatusCode::OK => Ending::Answered,
-            _ => Ending::Refused,
+            StatusCode::OK => CallOutcome::Answered,
+            _ => CallOutcome::Refused,
         }
     }
 }
--- a/crates/experiment/src/node.rs
+++ b/crates/experiment/src/node.rs
@@ -9,7 +9,7 @@
 
 use crate::error::{Error, Result};
 
-const PARENT_CHECK: Duration = Duration::from_secs(1);
+const PARENT_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 pub(crate) fn run(arguments: Vec<OsString>) -> Result {
     let settings =
@@ -19,10 +19,10 @@
             }
         })?;
     logging::init(settings.log_format, settings.log_level);
-    node::runtime().block_on(serve(settings))
+    node::runtime().block_on(run_node(settings))
 }
 
-async fn serve(settings: Settings) -> Result {
+async fn run_node(settings: Settings) -> Result {
     let handle = node::start(settings).await.map_err(|error| Error::Node {
         text: error.to_string(),
     })?;
@@ -32,7 +32,7 @@
     tokio::select! {
         _ = terminate.recv() => (),
         _ = interrupt.recv() => (),
-        () = orphaned() => std::process::exit(1),
+        () = parent_exited() => std::process::exit(1),
     }
     handle.drain().await;
     Ok(())
@@ -40,9 +40,9 @@
 
 /// Ends when the process that started this one has ended. An experiment that is killed cannot
 /// stop its nodes any more, and hundreds of them would go on for ever.
-async fn orphaned() {
+async fn parent_exited() {
     let parent = parent_id();
     while parent_id() == parent {
-        tokio::time::sleep(PARENT_CHECK).await;
+        tokio::time::sleep(PARENT_CHECK_INTERVAL).await;
     }
 }
--- a/crates/experiment/src/fleet.rs
+++ b/crates/experiment/src/observed_mesh.rs
@@ -16,9 +16,9 @@
 use tokio::sync::mpsc;
 
 use crate::error::{Error, Result};
+use crate::process_stats::{self, Memory};
 use crate::publication;
-use crate::usage::{self, Memory};
-use crate::wall_clock::wall_us;
+use crate::wall_clock::unix_time_us;
 
 /// Services of the design size.
 pub(crate) const SERVICES: [&str; 14] = [
@@ -44,17 +44,17 @@
     ("south-b", "south", 1),
 ];
 /// A publication that is not in force everywhere by then has failed.
-const SPREAD_LIMIT: Duration = Duration::from_secs(30);
-const DAY_US: u64 = 86_400_000_000;
+const ENFORCE_TIMEOUT: Duration = Duration::from_secs(30);
+const US_PER_DAY: u64 = 86_400_000_000;
 const ENFORCED_MESSAGE: &str = "enforced a configuration";
 
 /// The team file of one service: three resources, four routes, a call to the next service. Paths
 /// hold digits of a hash, so that one file does not compress to a copy of another.
-pub(crate) fn team_file(number: usize, timeout_ms: u32) -> String {
-    let service = SERVICES[number % SERVICES.len()];
-    let digits = blake3::hash(service.as_bytes()).to_hex();
-    let (items, reports) = (&digits[..12], &digits[12..24]);
-    let next = SERVICES[(number + 1) % SERVICES.len()];
+pub(crate) fn team_file(service_index: usize, timeout_ms: u32) -> String {
+    let service = SERVICES[service_index % SERVICES.len()];
+    let hash_hex = blake3::hash(service.as_bytes()).to_hex();
+    let (items, reports) = (&hash_hex[..12], &hash_hex[12..24]);
+    let next = SERVICES[(service_index + 1) % SERVICES.len()];
     format!(
         r#"team = "team-{service}"
 
@@ -111,9 +111,9 @@
 }
 
 /// Records of all services, with the given timeouts.
-pub(crate) fn records(services: usize, timeout_ms: u32) -> Result<Vec<TeamRecord>> {
+pub(crate) fn team_records(services: usize, timeout_ms: u32) -> Result<Vec<TeamRecord>> {
     let mut files: Vec<String> = (0..services.min(SERVICES.len()))
-        .map(|number| team_file(number, timeout_ms))
+        .map(|service_index| team_file(service_index, timeout_ms))
         .collect();
     if services < SERVICES.len()
         && let Some(last) = files.last_mut()
@@ -122,7 +122,7 @@
         let next = format!("{} =", SERVICES[services]);
         *last = last.replace(&next, &format!("{} =", SERVICES[0]));
     }
-    publication::records(&files)
+    publication::parse_team_files(&files)
 }
 
 /// The deployment of `nodes` nodes in 2 regions with 2 data centres each.
@@ -147,12 +147,12 @@
 /// What was counted up to a moment.
 #[derive(Clone, Debug)]
 pub(crate) struct Sample {
-    at: Instant,
-    between_nodes: u64,
-    between_regions: u64,
-    with_platform: u64,
-    platform: RequestCounts,
-    processor: HashMap<u32, Duration>,
+    taken_at: Instant,
+    total_between_nodes_bytes: u64,
+    total_between_regions_bytes: u64,
+    total_platform_bytes: u64,
+    platform_requests: RequestCounts,
+    processor_times: HashMap<u32, Duration>,
 }
 
 /// What happened between two samples.
@@ -174,20 +174,32 @@
 
 impl Sample {
     /// What happened from `self` to `later`.
-    pub(crate) fn until(&self, later: &Self) -> Interval {
-        let processor_s = later.processor.iter().filter_map(|(id, time)| {
-            let before = self.processor.get(id)?;
+    pub(crate) fn interval_to(&self, later: &Self) -> Interval {
+        let processor_s = later.processor_times.iter().filter_map(|(id, time)| {
+            let before = self.processor_times.get(id)?;
             Some(time.saturating_sub(*before).as_secs_f64())
         });
-        let grown = |before: u64, after: u64| after.saturating_sub(before) as f64;
+        let increase = |before: u64, after: u64| after.saturating_sub(before) as f64;
         Interval {
-            seconds: later.at.duration_since(self.at).as_secs_f64(),
-            between_nodes_bytes: grown(self.between_nodes, later.between_nodes),
-            link_bytes: grown(self.between_regions, later.between_regions),
-            platform_bytes: grown(self.with_platform, later.with_platform),
-            platform_reads: grown(self.platform.reads, later.platform.reads),
-            platform_writes: grown(self.platform.writes, later.platform.writes),
-            platform_refused: grown(self.platform.refused, later.platform.refused),
+            seconds: later.taken_at.duration_since(self.taken_at).as_secs_f64(),
+            between_nodes_bytes: increase(
+                self.total_between_nodes_bytes,
+                later.total_between_nodes_bytes,
+            ),
+            link_bytes: increase(
+                self.total_between_regions_bytes,
+                later.total_between_regions_bytes,
+            ),
+            platform_bytes: increase(self.total_platform_bytes, later.total_platform_bytes),
+            platform_reads: increase(self.platform_requests.reads, later.platform_requests.reads),
+            platform_writes: increase(
+                self.platform_requests.writes,
+                later.platform_requests.writes,
+            ),
+            platform_refused: increase(
+                self.platform_requests.refused,
+                later.platform_requests.refused,
+            ),
             processor_s: processor_s.sum(),
         }
     }
@@ -209,87 +221,89 @@
 
 /// A running mesh of node processes.
 #[derive(Debug)]
-pub(crate) struct Fleet {
+pub(crate) struct ObservedMesh {
     pub(crate) mesh: Mesh,
-    pub(crate) platform: HttpStore,
+    pub(crate) store: HttpStore,
     pub(crate) version: u64,
-    lines: mpsc::UnboundedReceiver<LogLine>,
+    log_lines: mpsc::UnboundedReceiver<LogLine>,
 }
 
-impl Fleet {
+impl ObservedMesh {
     /// Starts `nodes` nodes, publishes the whole configuration, waits until all enforce it.
     pub(crate) async fn start(nodes: usize) -> Result<Self> {
-        let (sender, lines) = mpsc::unbounded_channel();
+        let (sender, log_lines) = mpsc::unbounded_channel();
         let program = std::env::current_exe().map_err(|error| Error::Start {
             text: error.to_string(),
         })?;
         let mesh = Mesh::start(&program, &["node"], deployment(nodes, sender)).await;
         let mesh = mesh.map_err(|text| Error::Start { text })?;
-        let platform = HttpStore::new(&mesh.platform.url(), None);
-        let mut fleet = Self {
+        let store = HttpStore::new(&mesh.platform.url(), None);
+        let mut observed = Self {
             mesh,
-            platform,
+            store,
             version: 0,
-            lines,
+            log_lines,
         };
-        fleet.publish(records(SERVICES.len(), 2_000)?).await?;
-        fleet.mesh.wait_joined().await;
-        Ok(fleet)
+        observed
+            .publish(team_records(SERVICES.len(), 2_000)?)
+            .await?;
+        observed.mesh.wait_joined().await;
+        Ok(observed)
     }
 
     /// Publishes `records`; how long after acceptance each node enforced them.
     pub(crate) async fn publish(&mut self, records: Vec<TeamRecord>) -> Result<Vec<Duration>> {
         let version = self.version + 1;
-        let platform = self.platform.clone();
+        let store = self.store.clone();
         // The operator is where the platform is: in the first data centre's region.
         let region = self.mesh.deployment.data_centres[0].region;
         let publishing =
-            publication::accept(&platform, "experiment", Some(region), records, version);
-        let accepted = publishing.await?;
+            publication::publish_and_hint(&store, "experiment", Some(region), records, version);
+        let publication = publishing.await?;
         self.version = version;
-        self.enforced_after(accepted.wall_us).await
+        self.wait_enforced(publication.committed_unix_us).await
     }
 
     /// Kills every node, starts all again, and waits until each enforces what it did before.
     /// Gives the time from the kill until each enforced.
     pub(crate) async fn restart_all(&mut self) -> Result<Vec<Duration>> {
-        while self.lines.try_recv().is_ok() {}
-        let begin_us = wall_us();
+        while self.log_lines.try_recv().is_ok() {}
+        let start_us = unix_time_us();
         for vm in &mut self.mesh.vms {
             if let Some(mut node) = vm.node.take() {
                 node.signal(Signal::Kill);
                 let _ = node.wait_exit().await;
             }
         }
-        let all = (0..self.mesh.vms.len()).collect();
-        let started = self.mesh.start_nodes(all).await;
+        let positions = (0..self.mesh.vms.len()).collect();
+        let started = self.mesh.start_nodes(positions).await;
         started.map_err(|text| Error::Start { text })?;
-        self.enforced_after(begin_us).await
+        self.wait_enforced(start_us).await
     }
 
     /// Reads log lines until every node has enforced the published version.
-    async fn enforced_after(&mut self, begin_us: u64) -> Result<Vec<Duration>> {
+    async fn wait_enforced(&mut self, start_us: u64) -> Result<Vec<Duration>> {
         let nodes = self.mesh.vms.len();
-        let deadline = tokio::time::Instant::now() + SPREAD_LIMIT;
+        let deadline = tokio::time::Instant::now() + ENFORCE_TIMEOUT;
         let mut times: HashMap<usize, Duration> = HashMap::new();
         while times.len() < nodes {
-            let line = tokio::time::timeout_at(deadline, self.lines.recv()).await;
+            let line = tokio::time::timeout_at(deadline, self.log_lines.recv()).await;
             let Ok(Some(line)) = line else {
                 return Err(Error::Unexpected {
                     text: format!(
                         "{} of {nodes} nodes enforce version {} after {} s",
                         times.len(),
                         self.version,
-                        SPREAD_LIMIT.as_secs()
+                        ENFORCE_TIMEOUT.as_secs()
                     ),
                 });
             };
-            let Some((version, at_us)) = enforced_at(&line.text) else {
+            let Some((version, logged_at_us)) = parse_enforced_line(&line.text) else {
                 continue;
             };
             if version >= self.version {
-                let after = Duration::from_micros(since_us(begin_us, at_us));
-                times.entry(line.position).or_insert(after);
+                let delay = Duration::from_micros(elapsed_us(start_us, logged_at_us));
+                times.entry(line.position).or_insert(delay);
             }
         }
         Ok(times.into_values().collect())
@@ -297,45 +311,47 @@
 
     /// Counts up to now.
     pub(crate) fn sample(&self) -> Sample {
-        let ids = self.node_ids();
+        let processes = self.process_ids();
         Sample {
-            at: Instant::now(),
-            between_nodes: self.mesh.bytes_between_nodes(),
-            between_regions: self.mesh.network.bytes_between_regions(),
-            with_platform: self.mesh.bytes_with_platform(),
-            platform: self.mesh.platform.counts(),
-            processor: ids
-                .filter_map(|id| Some((id, usage::processor_time(id)?)))
+            taken_at: Instant::now(),
+            total_between_nodes_bytes: self.mesh.bytes_between_nodes(),
+            total_between_regions_bytes: self.mesh.network.bytes_between_regions(),
+            total_platform_bytes: self.mesh.bytes_with_platform(),
+            platform_requests: self.mesh.platform.counts(),
+            processor_times: processes
+                .filter_map(|id| Some((id, process_stats::processor_time(id)?)))
                 .collect(),
         }
     }
 
     /// What happens while nothing is done, for `time`.
-    pub(crate) async fn idle(&self, time: Duration) -> Interval {
+    pub(crate) async fn sample_idle(&self, time: Duration) -> Interval {
         let before = self.sample();
         tokio::time::sleep(time).await;
-        before.until(&self.sample())
+        before.interval_to(&self.sample())
     }
 
     /// Memory of every node.
     pub(crate) fn memory(&self) -> Vec<Memory> {
-        self.node_ids().filter_map(usage::memory).collect()
+        self.process_ids()
+            .filter_map(process_stats::memory)
+            .collect()
     }
 
-    fn node_ids(&self) -> impl Iterator<Item = u32> + '_ {
+    fn process_ids(&self) -> impl Iterator<Item = u32> + '_ {
         let nodes = self.mesh.vms.iter().filter_map(|vm| vm.node.as_ref());
         nodes.filter_map(|node| node.id())
     }
 }
 
 /// From one moment to a time of day, which may be a little before it: then 0.
-fn since_us(begin_us: u64, time_of_day_us: u64) -> u64 {
-    let after = (time_of_day_us + DAY_US - begin_us % DAY_US) % DAY_US;
-    if after > DAY_US / 2 { 0 } else { after }
+fn elapsed_us(start_us: u64, time_of_day_us: u64) -> u64 {
+    let after = (time_of_day_us + US_PER_DAY - start_us % US_PER_DAY) % US_PER_DAY;
+    if after > US_PER_DAY / 2 { 0 } else { after }
 }
 
 /// Version and time of day (UTC, microseconds) of a log line that says "enforced".
-fn enforced_at(line: &str) -> Option<(u64, u64)> {
+fn parse_enforced_line(line: &str) -> Option<(u64, u64)> {
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
     if line["message"] != ENFORCED_MESSAGE {
         return None;
@@ -347,21 +363,26 @@
 /// Reads `2026-01-31T22:44:57.172051+02:00`.
 fn time_of_day_us(timestamp: &str) -> Option<u64> {
     let (_, time) = timestamp.split_once('T')?;
-    let zone = time.find(['+', '-', 'Z', '['])?;
-    let (clock, zone) = time.split_at(zone);
-    let local_us = seconds(clock)? * 1e6;
+    let zone_start = time.find(['+', '-', 'Z', '['])?;
+    let (clock, zone) = time.split_at(zone_start);
+    let local_us = clock_seconds(clock)? * 1e6;
     let offset_us = match zone.get(1..6).and_then(|zone| zone.split_once(':')) {
         Some((hours, minutes)) => {
-            let size = hours.parse::<f64>().ok()? * 3600.0 + minutes.parse::<f64>().ok()? * 60.0;
-            if zone.starts_with('-') { -size } else { size }
+            let abs_offset_s =
+                hours.parse::<f64>().ok()? * 3600.0 + minutes.parse::<f64>().ok()? * 60.0;
+            if zone.starts_with('-') {
+                -abs_offset_s
+            } else {
+                abs_offset_s
+            }
         }
         None => 0.0,
     };
     let utc_us = local_us - offset_us * 1e6;
-    Some(utc_us.rem_euclid(DAY_US as f64).round() as u64)
+    Some(utc_us.rem_euclid(US_PER_DAY as f64).round() as u64)
 }
 
-fn seconds(clock: &str) -> Option<f64> {
+fn clock_seconds(clock: &str) -> Option<f64> {
     let mut parts = clock.split(':').map(|part| part.parse::<f64>().ok());
     Some(parts.next()?? * 3600.0 + parts.next()?? * 60.0 + parts.next()??)
 }
--- a/crates/experiment/src/fleet/tests.rs
+++ b/crates/experiment/src/observed_mesh/tests.rs
@@ -1,13 +1,13 @@
-use super::{DAY_US, enforced_at, records, since_us, time_of_day_us};
+use super::{US_PER_DAY, elapsed_us, parse_enforced_line, team_records, time_of_day_us};
 
 #[test]
 fn log_line_gives_version_and_time() {
     let line = r#"{"timestamp":"2026-01-31T22:44:57.172051+02:00","level":"INFO","line":1,
         "message":"enforced a configuration","kvs":{"version":7,"digest":"9eeeb60d"}}"#;
     let utc_us = ((20 * 3600 + 44 * 60 + 57) * 1_000_000) + 172_051;
-    assert_eq!(enforced_at(line), Some((7, utc_us)));
-    assert_eq!(enforced_at(r#"{"message":"listening"}"#), None);
-    assert_eq!(enforced_at("not JSON"), None);
+    assert_eq!(parse_enforced_line(line), Some((7, utc_us)));
+    assert_eq!(parse_enforced_line(r#"{"message":"listening"}"#), None);
+    assert_eq!(parse_enforced_line("not JSON"), None);
 }
 
 #[test]
@@ -17,18 +17,18 @@
 
 /// A run over midnight, or a node a moment ahead of the commit's answer, must not read as a day.
 #[test]
-fn midnight_and_small_leads_do_not_read_as_a_day() {
-    assert_eq!(since_us(3 * DAY_US - 10, 20), 30);
-    assert_eq!(since_us(3 * DAY_US + 100, 40), 0);
+fn elapsed_time_handles_midnight_and_clock_skew() {
+    assert_eq!(elapsed_us(3 * US_PER_DAY - 10, 20), 30);
+    assert_eq!(elapsed_us(3 * US_PER_DAY + 100, 40), 0);
 }
 
 #[test]
-fn generated_team_files_are_accepted_and_close() {
+fn generated_team_files_form_a_valid_configuration() {
     use dragonflywall::core::configuration::Configuration;
     use dragonflywall::core::routing::RouteTable;
     for services in [2, 7, 14] {
         let mut configuration = Configuration::default();
-        for record in records(services, 2_000).expect("every file is accepted") {
+        for record in team_records(services, 2_000).expect("every file is accepted") {
             configuration.teams.insert(record.team.clone(), record);
         }
         assert_eq!(configuration.services().count(), services);
--- a/crates/experiment/src/publication.rs
+++ b/crates/experiment/src/publication.rs
@@ -12,56 +12,56 @@
 use snafu::ResultExt;
 
 use crate::error::{Error, PublishSnafu, Result};
-use crate::wall_clock::wall_us;
+use crate::wall_clock::unix_time_us;
 
 /// A publication that took effect.
 #[derive(Debug)]
-pub(crate) struct Accepted {
+pub(crate) struct Publication {
     /// What was published.
     pub(crate) published: Published,
     /// When the commit had returned.
-    pub(crate) at: Instant,
+    pub(crate) committed_at: Instant,
     /// The same, in microseconds since the epoch, to compare with nodes' time stamps.
-    pub(crate) wall_us: u64,
+    pub(crate) committed_unix_us: u64,
     /// Nodes that took a hint.
-    pub(crate) hinted: usize,
+    pub(crate) hinted_nodes: usize,
 }
 
 /// Parses team files that must be right.
-pub(crate) fn records(files: &[String]) -> Result<Vec<TeamRecord>> {
-    let parse = |text: &String| {
+pub(crate) fn parse_team_files(files: &[String]) -> Result<Vec<TeamRecord>> {
+    let parse_file = |text: &String| {
         team_file::parse(text).map_err(|findings| Error::Unexpected {
             text: format!("an example file is refused: {findings:?}"),
         })
     };
-    files.iter().map(parse).collect()
+    files.iter().map(parse_file).collect()
 }
 
 /// Publishes `records` and hints nodes, as `dragonflywall publish` does.
-pub(crate) async fn accept(
-    platform: &HttpStore,
+pub(crate) async fn publish_and_hint(
+    store: &HttpStore,
     operator: &str,
     region: Option<&str>,
     records: Vec<TeamRecord>,
     expected_version: u64,
-) -> Result<Accepted> {
+) -> Result<Publication> {
     let options = PublishOptions::builder()
         .publish_id(format!("{:016x}", rand::random::<u64>()))
         .operator(operator)
-        .time_ms(wall_us() / 1_000)
+        .time_ms(unix_time_us() / 1_000)
         .records(records)
         .build();
-    let published = publish(platform, &options).await.context(PublishSnafu {
+    let published = publish(store, &options).await.context(PublishSnafu {
         version: expected_version,
     })?;
-    let at = Instant::now();
-    let wall_us = wall_us();
-    let hints = HintOptions {
+    let committed_at = Instant::now();
+    let committed_unix_us = unix_time_us();
+    let hint_options = HintOptions {
         head: published.stamp,
         dial: DialOptions::default(),
         region: region.map(RegionName::new),
     };
-    let hinted = hint::send_hints(platform, &hints).await;
+    let hinted_nodes = hint::send_hints(store, &hint_options).await;
     if published.stamp.version.0 != expected_version {
         return Err(Error::Unexpected {
             text: format!(
@@ -70,10 +70,10 @@
             ),
         });
     }
-    Ok(Accepted {
+    Ok(Publication {
         published,
-        at,
-        wall_us,
-        hinted,
+        committed_at,
+        committed_unix_us,
+        hinted_nodes,
     })
 }
--- a/crates/experiment/src/report.rs
+++ b/crates/experiment/src/report.rs
@@ -31,16 +31,16 @@
     }
 
     fn csv(&self) -> String {
-        let quoted = |cells: Vec<String>| {
+        let csv_row = |cells: Vec<String>| {
             let cells: Vec<String> = cells
                 .iter()
                 .map(|cell| format!("\"{}\"", cell.replace('"', "\"\"")))
                 .collect();
             cells.join(",") + "\n"
         };
-        let mut text = quoted(self.columns.iter().map(|&name| name.to_owned()).collect());
+        let mut text = csv_row(self.columns.iter().map(|&name| name.to_owned()).collect());
         for row in &self.rows {
-            text.push_str(&quoted(row.clone()));
+            text.push_str(&csv_row(row.clone()));
         }
         text
     }
@@ -79,10 +79,10 @@
 
     /// Writes page `name`: an introduction, then each table with its command; each table's rows
     /// also as `name-N.csv`.
-    pub(crate) fn page(&self, name: &str, introduction: &str, tables: &[Table]) -> Result {
+    pub(crate) fn write_page(&self, name: &str, introduction: &str, tables: &[Table]) -> Result {
         let mut text = introduction.to_owned();
-        for (number, table) in tables.iter().enumerate() {
-            let csv = format!("{name}-{}.csv", number + 1);
+        for (index, table) in tables.iter().enumerate() {
+            let csv = format!("{name}-{}.csv", index + 1);
             let _ = write!(
                 text,
                 "\n## {}\n\n    {}\n\n{}\n([rows as CSV]({csv}))\n",
@@ -90,19 +90,19 @@
                 table.command,
                 table.markdown()
             );
-            self.write(&csv, &table.csv())?;
+            self.write_in_directory(&csv, &table.csv())?;
         }
-        self.write(&format!("{name}.md"), &text)
+        self.write_in_directory(&format!("{name}.md"), &text)
     }
 
-    fn write(&self, file: &str, text: &str) -> Result {
+    fn write_in_directory(&self, file: &str, text: &str) -> Result {
         write_file(&self.directory.join(file), text)
     }
 
     /// Draws lines over a common horizontal axis.
-    pub(crate) fn plot(&self, file: &str, axes: Axes, lines: &[Series]) -> Result {
+    pub(crate) fn write_plot(&self, file: &str, axes: Axes, series: &[Series]) -> Result {
         let path = self.directory.join(file);
-        draw(&path, axes, lines).map_err(|error| Error::Unexpected {
+        draw_plot(&path, axes, series).map_err(|error| Error::Unexpected {
             text: format!("drawing {file}: {error}"),
         })?;
         println!("Wrote {file}");
@@ -120,13 +120,15 @@
     Ok(())
 }
 
-fn draw(path: &Path, axes: Axes, lines: &[Series]) -> Result<(), Box<dyn std::error::Error>> {
-    let all = || lines.iter().flat_map(|line| &line.points);
-    let x_max = all().map(|(x, _)| *x).fold(1.0, f64::max);
-    let y_max = all().map(|(_, y)| *y).fold(f64::MIN_POSITIVE, f64::max);
-    let area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
-    area.fill(&WHITE)?;
-    let mut chart = ChartBuilder::on(&area)
+fn draw_plot(path: &Path, axes: Axes, series: &[Series]) -> Result<(), Box<dyn std::error::Error>> {
+    let all_points = || series.iter().flat_map(|one_series| &one_series.points);
+    let x_max = all_points().map(|(x, _)| *x).fold(1.0, f64::max);
+    let y_max = all_points()
+        .map(|(_, y)| *y)
+        .fold(f64::MIN_POSITIVE, f64::max);
+    let drawing_area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
+    drawing_area.fill(&WHITE)?;
+    let mut chart = ChartBuilder::on(&drawing_area)
         .caption(axes.title, ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(40)
@@ -137,13 +139,13 @@
         .x_desc(axes.x)
         .y_desc(axes.y)
         .draw()?;
-    for (number, line) in lines.iter().enumerate() {
-        let colour = Palette99::pick(number).to_rgba();
+    for (index, one_series) in series.iter().enumerate() {
+        let colour = Palette99::pick(index).to_rgba();
         chart
-            .draw_series(LineSeries::new(line.points.iter().copied(), &colour))?
-            .label(&line.name)
+            .draw_series(LineSeries::new(one_series.points.iter().copied(), &colour))?
+            .label(&one_series.name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
-        let dots = line.points.iter();
+        let dots = one_series.points.iter();
         chart.draw_series(dots.map(|point| Circle::new(*point, 3, colour.filled())))?;
     }
     chart
@@ -152,12 +154,12 @@
         .border_style(BLACK)
         .position(SeriesLabelPosition::UpperLeft)
         .draw()?;
-    area.present()?;
+    drawing_area.present()?;
     Ok(())
 }
 
 /// A number with about three digits that matter.
-pub(crate) fn figure(value: f64) -> String {
+pub(crate) fn format_number(value: f64) -> String {
     match value.abs() {
         size if size.is_nan() => "unknown".to_owned(),
         size if size >= 100.0 => format!("{value:.0}"),
--- a/crates/experiment/src/requests.rs
+++ b/crates/experiment/src/requests.rs
@@ -16,18 +16,18 @@
 use testkit::mesh::{Mesh, Vm};
 
 pub(crate) use goodput::Goodput;
-pub(crate) use latency::{Added, CallCost};
+pub(crate) use latency::{AddedLatency, CallCost};
 
 use crate::error::{Error, Result};
 use crate::examples::{Example, chatarras, marinhas};
-use crate::fit::Fit;
+use crate::fit::LinearFit;
 use crate::options::{Options, Scale};
 use crate::publication;
-use crate::report::{Report, Table, figure};
+use crate::report::{Report, Table, format_number};
 
 /// What is called: an interactive, idempotent read.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Subject {
+pub(crate) struct MeasuredRoute {
     pub(crate) service: &'static str,
     pub(crate) path: &'static str,
     /// Its timeout in the example's team file; a caller waits no longer.
@@ -37,46 +37,46 @@
 
 /// A deployment with its example configuration in force.
 #[derive(Debug)]
-pub(crate) struct Running {
+pub(crate) struct RunningDeployment {
     pub(crate) name: &'static str,
-    pub(crate) subject: Subject,
+    pub(crate) route: MeasuredRoute,
     pub(crate) mesh: Mesh,
 }
 
-impl Running {
-    async fn start(example: &Example, subject: Subject) -> Result<Self> {
+impl RunningDeployment {
+    async fn start(example: &Example, route: MeasuredRoute) -> Result<Self> {
         let program = std::env::current_exe().map_err(|error| Error::Start {
             text: error.to_string(),
         })?;
         let mesh = Mesh::start(&program, &["node"], example.deployment.clone()).await;
         let mesh = mesh.map_err(|text| Error::Start { text })?;
-        let platform = HttpStore::new(&mesh.platform.url(), None);
-        let records = publication::records(&example.files)?;
-        publication::accept(&platform, "experiment", None, records, 1).await?;
+        let store = HttpStore::new(&mesh.platform.url(), None);
+        let records = publication::parse_team_files(&example.files)?;
+        publication::publish_and_hint(&store, "experiment", None, records, 1).await?;
         mesh.wait_enforced(1).await;
         mesh.wait_joined().await;
         Ok(Self {
             name: example.name,
-            subject,
+            route,
             mesh,
         })
     }
 
     /// VMs of the subject's service.
-    pub(crate) fn serving(&self) -> impl Iterator<Item = &Vm> {
-        let service = self.subject.service;
+    pub(crate) fn serving_vms(&self) -> impl Iterator<Item = &Vm> {
+        let service = self.route.service;
         self.mesh.vms.iter().filter(move |vm| vm.service == service)
     }
 
     /// A node of another service, in the first data centre.
-    pub(crate) fn entry(&self) -> &Vm {
-        let service = self.subject.service;
+    pub(crate) fn entry_vm(&self) -> &Vm {
+        let service = self.route.service;
         let other = self.mesh.vms.iter().find(|vm| vm.service != service);
         other.expect("a deployment has several services")
     }
 
     /// Where callers connect, at every node.
-    pub(crate) fn callers(&self) -> Vec<SocketAddr> {
+    pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         let vms = self.mesh.vms.iter();
         vms.map(|vm| vm.node().addresses.caller).collect()
     }
@@ -84,15 +84,15 @@
 
 /// All that was measured at one deployment.
 #[derive(Debug)]
-pub(crate) struct Measured {
+pub(crate) struct DeploymentResults {
     pub(crate) name: &'static str,
     pub(crate) slots: usize,
-    pub(crate) added: Vec<Added>,
+    pub(crate) added_latency: Vec<AddedLatency>,
     pub(crate) cost: CallCost,
     /// Kilobytes of an entry against its callers' kept connections.
-    pub(crate) connection_kb: Fit,
+    pub(crate) connection_kb: LinearFit,
     pub(crate) goodput: Vec<Goodput>,
-    pub(crate) drain: drain::Drained,
+    pub(crate) drain: drain::DrainResults,
 }
 
 /// Runs the command.
@@ -104,11 +104,11 @@
 }
 
 /// Measures both deployments, one after the other.
-pub(crate) async fn measure(scale: Scale) -> Result<Vec<Measured>> {
+pub(crate) async fn measure(scale: Scale) -> Result<Vec<DeploymentResults>> {
     let deployments = [
         (
             chatarras(),
-            Subject {
+            MeasuredRoute {
                 service: "tablon",
                 path: "/prices/copper",
                 timeout_ms: 800,
@@ -117,7 +117,7 @@
         ),
         (
             marinhas(),
-            Subject {
+            MeasuredRoute {
                 service: "armazem",
                 path: "/stock/7",
                 timeout_ms: 1_500,
@@ -125,26 +125,26 @@
             },
         ),
     ];
-    let mut all = Vec::new();
-    for (example, subject) in deployments {
-        let running = Running::start(&example, subject).await?;
-        let connection_kb = connections::memory(&running).await?;
-        let added = latency::added(&running, scale).await;
-        let cost = latency::call_cost(&running, scale).await?;
-        let goodput = goodput::compare(&running, scale).await?;
-        let drain = drain::measure(&running, scale).await?;
-        println!("Measured requests at {}", running.name);
-        all.push(Measured {
-            name: running.name,
-            slots: subject.slots,
-            added,
+    let mut results = Vec::new();
+    for (example, route) in deployments {
+        let deployment = RunningDeployment::start(&example, route).await?;
+        let connection_kb = connections::memory_fit(&deployment).await?;
+        let added_latency = latency::added_latency(&deployment, scale).await;
+        let cost = latency::call_cost(&deployment, scale).await?;
+        let goodput = goodput::compare(&deployment, scale).await?;
+        let drain = drain::measure(&deployment, scale).await?;
+        println!("Measured requests at {}", deployment.name);
+        results.push(DeploymentResults {
+            name: deployment.name,
+            slots: route.slots,
+            added_latency,
             cost,
             connection_kb,
             goodput,
             drain,
         });
     }
-    Ok(all)
+    Ok(results)
 }
 
 const INTRODUCTION: &str = "# Requests\n\n\
@@ -156,30 +156,30 @@
     queue.\n\n![goodput](requests-goodput.svg)\n";
 
 /// Writes page, rows and plot.
-pub(crate) fn write(report: &Report, measured: &[Measured], scale: Scale) -> Result {
+pub(crate) fn write(report: &Report, measured: &[DeploymentResults], scale: Scale) -> Result {
     let command = format!(
         "cargo run --release -p experiment -- requests {}",
         scale.flag()
     );
     let tables = [
-        latency::added_table(measured, &command),
+        latency::added_latency_table(measured, &command),
         latency::cost_table(measured, &command),
         goodput::table(measured, &command),
         drain_table(measured, &command),
     ];
-    report.page("requests", INTRODUCTION, &tables)?;
+    report.write_page("requests", INTRODUCTION, &tables)?;
     goodput::plot(report, measured)
 }
 
-fn drain_table(measured: &[Measured], command: &str) -> Table {
-    let row = |m: &Measured| {
+fn drain_table(measured: &[DeploymentResults], command: &str) -> Table {
+    let row = |m: &DeploymentResults| {
         vec![
             m.name.to_owned(),
-            figure(m.drain.offered_per_s),
-            figure(m.drain.last_new_ms),
-            m.drain.cut.to_string(),
-            m.drain.answered.to_string(),
-            m.drain.not_answered.to_string(),
+            format_number(m.drain.offered_per_s),
+            format_number(m.drain.last_new_request_ms),
+            m.drain.unfinished_requests.to_string(),
+            m.drain.answered_calls.to_string(),
+            m.drain.unanswered_calls.to_string(),
         ]
     };
     Table {
--- a/crates/experiment/src/requests/connections.rs
+++ b/crates/experiment/src/requests/connections.rs
@@ -6,43 +6,46 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::Running;
+use super::RunningDeployment;
 use crate::error::{Error, Result};
-use crate::fit::Fit;
-use crate::usage;
+use crate::fit::LinearFit;
+use crate::process_stats;
 
 /// Connections held open in each step.
-const STEPS: [usize; 4] = [10, 40, 70, 100];
-const SETTLE: Duration = Duration::from_millis(200);
+const CONNECTION_COUNTS: [usize; 4] = [10, 40, 70, 100];
+const SETTLE_TIME: Duration = Duration::from_millis(200);
 
 /// Kilobytes of the entry node against the number of kept connections, each used once.
-pub(crate) async fn memory(running: &Running) -> Result<Fit> {
-    let entry = running.entry().node();
-    let id = entry.id().unwrap_or(0);
+pub(crate) async fn memory_fit(deployment: &RunningDeployment) -> Result<LinearFit> {
+    let entry = deployment.entry_vm().node();
+    let process = entry.id().unwrap_or(0);
     let mut open = Vec::new();
     let mut points = Vec::new();
-    for count in STEPS {
+    for count in CONNECTION_COUNTS {
         while open.len() < count {
-            let connection = used_once(entry.addresses.caller, running).await;
+            let connection = open_and_use(entry.addresses.caller, deployment).await;
             open.push(connection.map_err(|error| Error::Unexpected {
                 text: format!("connection {} was refused: {error}", open.len() + 1),
             })?);
         }
-        tokio::time::sleep(SETTLE).await;
-        let memory = usage::memory(id).unwrap_or_default();
+        tokio::time::sleep(SETTLE_TIME).await;
+        let memory = process_stats::memory(process).unwrap_or_default();
         points.push((count as f64, memory.anonymous_kb as f64));
     }
-    Fit::of(&points).ok_or_else(|| Error::Unexpected {
+    LinearFit::through(&points).ok_or_else(|| Error::Unexpected {
         text: "the steps give no slope".to_owned(),
     })
 }
 
-async fn used_once(address: SocketAddr, running: &Running) -> std::io::Result<TcpStream> {
+async fn open_and_use(
+    address: SocketAddr,
+    deployment: &RunningDeployment,
+) -> std::io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address).await?;
-    let subject = running.subject;
+    let route = deployment.route;
     let request = format!(
         "GET {} HTTP/1.1\r\nhost: {}\r\n\r\n",
-        subject.path, subject.service
+        route.path, route.service
     );
     stream.write_all(request.as_bytes()).await?;
     let mut answer = [0; 2_048];
--- a/crates/experiment/src/requests/drain.rs
+++ b/crates/experiment/src/requests/drain.rs
@@ -2,78 +2,82 @@
 
 use std::time::{Duration, Instant};
 
-use super::Running;
+use super::RunningDeployment;
 use crate::convergence::announce;
 use crate::error::{Error, Result};
-use crate::load::{Arrivals, Caller, Target, open_loop};
+use crate::load::{Arrivals, Caller, Target, run_open_loop};
 use crate::options::Scale;
 
 const WORK_MS: u64 = 100;
-const BEFORE_DRAIN: Duration = Duration::from_millis(1_000);
+const TIME_BEFORE_DRAIN: Duration = Duration::from_millis(1_000);
 /// Share of capacity offered: three of four endpoints can take it alone.
-const LOAD: f64 = 0.5;
+const OFFERED_LOAD: f64 = 0.5;
 
 /// What a drain under load looked like.
 #[derive(Debug)]
-pub(crate) struct Drained {
+pub(crate) struct DrainResults {
     pub(crate) offered_per_s: f64,
     /// From the announcement's answer to the last request that the backend server began.
-    pub(crate) last_new_ms: f64,
+    pub(crate) last_new_request_ms: f64,
     /// Requests that it had begun and did not finish.
-    pub(crate) cut: u64,
-    pub(crate) answered: u64,
-    pub(crate) not_answered: u64,
+    pub(crate) unfinished_requests: u64,
+    pub(crate) answered_calls: u64,
+    pub(crate) unanswered_calls: u64,
 }
 
 /// Drains the first endpoint in the middle of a steady load, then lets it serve again.
-pub(crate) async fn measure(running: &Running, scale: Scale) -> Result<Drained> {
-    let time = match scale {
+pub(crate) async fn measure(deployment: &RunningDeployment, scale: Scale) -> Result<DrainResults> {
+    let duration = match scale {
         Scale::Quick => Duration::from_secs(2),
         Scale::Full => Duration::from_secs(4),
     };
-    let subject = running.subject;
-    let capacity_per_s = (running.serving().count() * subject.slots) as f64 * 1e3 / WORK_MS as f64;
+    let route = deployment.route;
+    let capacity_per_s =
+        (deployment.serving_vms().count() * route.slots) as f64 * 1e3 / WORK_MS as f64;
     let arrivals = Arrivals {
-        per_s: LOAD * capacity_per_s,
-        time,
+        rate_per_s: OFFERED_LOAD * capacity_per_s,
+        duration,
         seed: 5,
     };
-    let addresses = running.callers();
+    let addresses = deployment.caller_addresses();
     let caller = Caller::new();
-    let load = open_loop(arrivals, move |number| {
+    let load = run_open_loop(arrivals, move |number| {
         let caller = caller.clone();
         let address = addresses[usize::try_from(number).unwrap_or(0) % addresses.len()];
-        let path = format!("{}?work_ms={WORK_MS}", subject.path);
+        let path = format!("{}?work_ms={WORK_MS}", route.path);
         async move {
             let target = Target {
                 address,
-                service: subject.service,
+                service: route.service,
                 path: &path,
             };
-            let patience = Duration::from_millis(subject.timeout_ms);
-            caller.call(target, patience).await
+            let timeout = Duration::from_millis(route.timeout_ms);
+            caller.call(target, timeout).await
         }
     });
-    let draining = running.serving().next().expect("the service is deployed");
-    let cancelled_before = draining.backend.record().cancelled;
+    let drained_vm = deployment
+        .serving_vms()
+        .next()
+        .expect("the service is deployed");
+    let cancelled_before = drained_vm.backend.record().cancelled;
     let drain = async {
-        tokio::time::sleep(BEFORE_DRAIN).await;
-        announce(draining, "draining").await?;
+        tokio::time::sleep(TIME_BEFORE_DRAIN).await;
+        announce(drained_vm, "draining").await?;
         Ok::<_, Error>(Instant::now())
     };
-    let (outcome, announced) = tokio::join!(load, drain);
-    let announced = announced?;
-    let record = draining.backend.record();
-    let last_new = record
+    let (summary, announced_at) = tokio::join!(load, drain);
+    let announced_at = announced_at?;
+    let record = drained_vm.backend.record();
+    let last_new_request = record
         .last_run_start
-        .and_then(|last| last.checked_duration_since(announced))
+        .and_then(|last| last.checked_duration_since(announced_at))
         .unwrap_or_default();
-    announce(draining, "serving").await?;
-    Ok(Drained {
-        offered_per_s: arrivals.per_s,
-        last_new_ms: last_new.as_secs_f64() * 1e3,
-        cut: record.cancelled - cancelled_before,
-        answered: outcome.answered,
-        not_answered: outcome.refused + outcome.given_up + outcome.failed,
+    announce(drained_vm, "serving").await?;
+    Ok(DrainResults {
+        offered_per_s: arrivals.rate_per_s,
+        last_new_request_ms: last_new_request.as_secs_f64() * 1e3,
+        unfinished_requests: record.cancelled - cancelled_before,
+        answered_calls: summary.answered,
+        unanswered_calls: summary.refused + summary.timed_out + summary.failed,
     })
 }
--- a/crates/experiment/src/requests/goodput.rs
+++ b/crates/experiment/src/requests/goodput.rs
@@ -10,14 +10,14 @@
 use tokio::sync::Semaphore;
 use tokio_util::sync::CancellationToken;
 
-use super::{Measured, Running};
+use super::{DeploymentResults, RunningDeployment};
 use crate::error::{Error, Result};
-use crate::load::{Arrivals, Caller, Outcome, Target, open_loop};
+use crate::load::{Arrivals, Caller, LoadSummary, Target, run_open_loop};
 use crate::options::Scale;
-use crate::report::{Axes, Report, Series, Table, figure};
+use crate::report::{Axes, Report, Series, Table, format_number};
 
 /// Time that a backend server takes for a call; with the slots it makes the capacity.
-const WORK: Duration = Duration::from_millis(100);
+const WORK_TIME: Duration = Duration::from_millis(100);
 
 /// One load, by both policies.
 #[derive(Debug)]
@@ -25,31 +25,31 @@
     /// Offered load as a multiple of capacity.
     pub(crate) load: f64,
     pub(crate) capacity_per_s: f64,
-    pub(crate) time: Duration,
-    pub(crate) mesh: Outcome,
-    pub(crate) plain: Outcome,
+    pub(crate) duration: Duration,
+    pub(crate) mesh: LoadSummary,
+    pub(crate) round_robin: LoadSummary,
 }
 
 impl Goodput {
     /// Answers in time as a share of capacity, in percent.
-    pub(crate) fn percent(&self, outcome: &Outcome) -> f64 {
-        100.0 * outcome.answered as f64 / self.time.as_secs_f64() / self.capacity_per_s
+    pub(crate) fn goodput_percent(&self, summary: &LoadSummary) -> f64 {
+        100.0 * summary.answered as f64 / self.duration.as_secs_f64() / self.capacity_per_s
     }
 }
 
 /// Backend server of the plain policy: the same slots and work, an unbounded queue before them.
-struct PlainBackend {
+struct UnboundedQueueBackend {
     address: SocketAddr,
     stop: CancellationToken,
 }
 
-impl Drop for PlainBackend {
+impl Drop for UnboundedQueueBackend {
     fn drop(&mut self) {
         self.stop.cancel();
     }
 }
 
-impl PlainBackend {
+impl UnboundedQueueBackend {
     async fn start(slots: usize) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -59,7 +59,7 @@
             let slots = Arc::clone(&slots);
             async move {
                 let _slot = slots.acquire().await;
-                tokio::time::sleep(WORK).await;
+                tokio::time::sleep(WORK_TIME).await;
                 Some(build_response(StatusCode::OK, "done\n"))
             }
         }));
@@ -68,86 +68,86 @@
 }
 
 /// Runs each load by both policies, one after the other.
-pub(crate) async fn compare(running: &Running, scale: Scale) -> Result<Vec<Goodput>> {
-    let (loads, time): (&[f64], Duration) = match scale {
+pub(crate) async fn compare(deployment: &RunningDeployment, scale: Scale) -> Result<Vec<Goodput>> {
+    let (loads, duration): (&[f64], Duration) = match scale {
         Scale::Quick => (&[1.0, 5.0], Duration::from_secs(2)),
         Scale::Full => (&[0.5, 1.0, 2.0, 5.0], Duration::from_secs(4)),
     };
-    let subject = running.subject;
-    let endpoints = running.serving().count();
-    let capacity_per_s = (endpoints * subject.slots) as f64 / WORK.as_secs_f64();
-    let path = format!("{}?work_ms={}", subject.path, WORK.as_millis());
-    let mut all = Vec::new();
+    let route = deployment.route;
+    let endpoints = deployment.serving_vms().count();
+    let capacity_per_s = (endpoints * route.slots) as f64 / WORK_TIME.as_secs_f64();
+    let path = format!("{}?work_ms={}", route.path, WORK_TIME.as_millis());
+    let mut results = Vec::new();
     for &load in loads {
         let arrivals = Arrivals {
-            per_s: load * capacity_per_s,
-            time,
+            rate_per_s: load * capacity_per_s,
+            duration,
             seed: 4,
         };
-        let mesh = offer(running, arrivals, running.callers(), &path).await;
-        let mut plain_backends = Vec::new();
+        let mesh = run_load(deployment, arrivals, deployment.caller_addresses(), &path).await;
+        let mut backends = Vec::new();
         for _ in 0..endpoints {
-            let backend = PlainBackend::start(subject.slots).await;
-            plain_backends.push(backend.map_err(|error| Error::Start {
+            let backend = UnboundedQueueBackend::start(route.slots).await;
+            backends.push(backend.map_err(|error| Error::Start {
                 text: error.to_string(),
             })?);
         }
-        let addresses = plain_backends.iter().map(|b| b.address).collect();
-        let plain = offer(running, arrivals, addresses, &path).await;
-        all.push(Goodput {
+        let addresses = backends.iter().map(|b| b.address).collect();
+        let round_robin = run_load(deployment, arrivals, addresses, &path).await;
+        results.push(Goodput {
             load,
             capacity_per_s,
-            time,
+            duration,
             mesh,
-            plain,
+            round_robin,
         });
     }
-    Ok(all)
+    Ok(results)
 }
 
 /// Offers calls to `addresses` in turn; each caller waits as long as the treatment's timeout.
-async fn offer(
-    running: &Running,
+async fn run_load(
+    deployment: &RunningDeployment,
     arrivals: Arrivals,
     addresses: Vec<SocketAddr>,
     path: &str,
-) -> Outcome {
-    let subject = running.subject;
-    let patience = Duration::from_millis(subject.timeout_ms);
+) -> LoadSummary {
+    let route = deployment.route;
+    let timeout = Duration::from_millis(route.timeout_ms);
     let caller = Caller::new();
     let path: Arc<str> = path.into();
-    open_loop(arrivals, move |number| {
+    run_open_loop(arrivals, move |number| {
         let caller = caller.clone();
         let path = Arc::clone(&path);
-        let turn = usize::try_from(number).unwrap_or(0) % addresses.len();
-        let address = addresses[turn];
+        let index = usize::try_from(number).unwrap_or(0) % addresses.len();
+        let address = addresses[index];
         async move {
             let target = Target {
                 address,
-                service: subject.service,
+                service: route.service,
                 path: &path,
             };
-            caller.call(target, patience).await
+            caller.call(target, timeout).await
         }
     })
     .await
 }
 
-pub(super) fn table(measured: &[Measured], command: &str) -> Table {
-    let row = |m: &Measured, g: &Goodput| {
+pub(super) fn table(measured: &[DeploymentResults], command: &str) -> Table {
+    let row = |m: &DeploymentResults, g: &Goodput| {
         vec![
             m.name.to_owned(),
             m.slots.to_string(),
             format!("{}x", g.load),
-            figure(g.load * g.capacity_per_s),
-            figure(g.percent(&g.mesh)),
-            figure(g.percent(&g.plain)),
-            figure(g.mesh.latency_ms(0.5)),
-            figure(g.mesh.latency_ms(0.99)),
-            figure(g.plain.latency_ms(0.99)),
+            format_number(g.load * g.capacity_per_s),
+            format_number(g.goodput_percent(&g.mesh)),
+            format_number(g.goodput_percent(&g.round_robin)),
+            format_number(g.mesh.latency_ms(0.5)),
+            format_number(g.mesh.latency_ms(0.99)),
+            format_number(g.round_robin.latency_ms(0.99)),
             g.mesh.refused.to_string(),
-            format!("{} / {}", g.mesh.given_up, g.mesh.failed),
-            format!("{} / {}", g.plain.given_up, g.plain.failed),
+            format!("{} / {}", g.mesh.timed_out, g.mesh.failed),
+            format!("{} / {}", g.round_robin.timed_out, g.round_robin.failed),
         ]
     };
     Table {
@@ -174,20 +174,24 @@
     }
 }
 
-pub(super) fn plot(report: &Report, measured: &[Measured]) -> Result {
+pub(super) fn plot(report: &Report, measured: &[DeploymentResults]) -> Result {
     let axes = Axes {
         title: "Goodput under overload",
         x: "offered load, multiples of capacity",
         y: "answers in time, % of capacity",
     };
-    let mut lines = Vec::new();
+    let mut series = Vec::new();
     for m in measured {
-        let line = |name: String, outcome: &dyn Fn(&Goodput) -> f64| Series {
+        let series_of = |name: String, percent_of: &dyn Fn(&Goodput) -> f64| Series {
             name,
-            points: m.goodput.iter().map(|g| (g.load, outcome(g))).collect(),
+            points: m.goodput.iter().map(|g| (g.load, percent_of(g))).collect(),
         };
-        lines.push(line(m.name.to_owned(), &|g| g.percent(&g.mesh)));
-        lines.push(line(format!("{}, plain", m.name), &|g| g.percent(&g.plain)));
+        series.push(series_of(m.name.to_owned(), &|g| {
+            g.goodput_percent(&g.mesh)
+        }));
+        series.push(series_of(format!("{}, plain", m.name), &|g| {
+            g.goodput_percent(&g.round_robin)
+        }));
     }
-    report.plot("requests-goodput.svg", axes, &lines)
+    report.write_plot("requests-goodput.svg", axes, &series)
 }
--- a/crates/experiment/src/slopes.rs
+++ b/crates/experiment/src/slopes.rs
@@ -16,10 +16,10 @@
 use membership::MembershipCost;
 
 use crate::error::{Error, Result};
-use crate::fleet::records;
+use crate::observed_mesh::team_records;
 use crate::options::{Options, Scale};
-use crate::report::{Report, Table, figure};
-use crate::usage;
+use crate::process_stats;
+use crate::report::{Report, Table, format_number};
 
 /// Copies that are held at once: their memory together is far above a page.
 const COPIES: usize = 64;
@@ -35,7 +35,7 @@
     /// Verify, check for closure, compile, swap.
     pub(crate) apply_snapshot_us: f64,
     pub(crate) apply_delta_us: f64,
-    pub(crate) held_kb: f64,
+    pub(crate) memory_kb: f64,
 }
 
 /// Runs the command.
@@ -48,23 +48,26 @@
 
 /// Everything that this command measures.
 #[derive(Debug)]
-pub(crate) struct Measured {
+pub(crate) struct StateMachineCosts {
     pub(crate) holder: Vec<HolderCost>,
     membership: Vec<MembershipCost>,
 }
 
 /// Measures the configuration holder with 2 to 14 services and the view of 65 to 520 members.
-pub(crate) fn measure(scale: Scale) -> Result<Measured> {
+pub(crate) fn measure(scale: Scale) -> Result<StateMachineCosts> {
     let services: &[usize] = match scale {
         Scale::Quick => &[2, 14],
         Scale::Full => &[2, 4, 7, 10, 14],
     };
-    let holder: Result<Vec<_>> = services.iter().map(|services| holder(*services)).collect();
+    let holder: Result<Vec<_>> = services
+        .iter()
+        .map(|services| measure_holder(*services))
+        .collect();
     println!(
         "Measured the configuration holder at {} sizes",
         services.len()
     );
-    Ok(Measured {
+    Ok(StateMachineCosts {
         holder: holder?,
         membership: membership::measure(scale),
     })
@@ -75,16 +78,16 @@
         version: Version(version),
         ..Configuration::default()
     };
-    for record in records(services, 2_000)? {
+    for record in team_records(services, 2_000)? {
         configuration.teams.insert(record.team.clone(), record);
     }
     Ok(configuration)
 }
 
-fn holder(services: usize) -> Result<HolderCost> {
+fn measure_holder(services: usize) -> Result<HolderCost> {
     let first = configuration(services, 1)?;
     let mut second = configuration(services, 2)?;
-    let changed = records(services, 1_234)?;
+    let changed = team_records(services, 1_234)?;
     second
         .teams
         .insert(changed[0].team.clone(), changed[0].clone());
@@ -100,19 +103,19 @@
             text: error.to_string(),
         })
     };
-    let mut snapshot_s = 0.0;
-    let mut delta_s = 0.0;
+    let mut snapshot_seconds = 0.0;
+    let mut delta_seconds = 0.0;
     let stamps = [first.stamp(), second.stamp()];
     for _ in 0..REPEATS {
         let mut holder = Holder::default();
-        let begin = Instant::now();
+        let started = Instant::now();
         black_box(holder.apply(stamps[0], &snapshot).is_ok());
-        snapshot_s += begin.elapsed().as_secs_f64();
-        let begin = Instant::now();
+        snapshot_seconds += started.elapsed().as_secs_f64();
+        let started = Instant::now();
         black_box(holder.apply(stamps[1], &delta).is_ok());
-        delta_s += begin.elapsed().as_secs_f64();
+        delta_seconds += started.elapsed().as_secs_f64();
     }
-    let before_kb = anonymous_kb();
+    let before_kb = own_anonymous_kb();
     let mut holders = Vec::with_capacity(COPIES);
     for _ in 0..COPIES {
         let mut holder = Holder::default();
@@ -120,7 +123,7 @@
         apply(&mut holder, &second, &delta)?;
         holders.push(holder);
     }
-    let held_kb = (anonymous_kb() - before_kb).max(0.0) / COPIES as f64;
+    let memory_kb = (own_anonymous_kb() - before_kb).max(0.0) / COPIES as f64;
     // Kept beyond the next size, or its growth would come out of what this one gives back.
     std::mem::forget(holders);
     Ok(HolderCost {
@@ -128,21 +131,21 @@
         canonical_bytes: first.to_canonical().len(),
         snapshot_bytes,
         delta_bytes,
-        apply_snapshot_us: 1e6 * snapshot_s / f64::from(REPEATS),
-        apply_delta_us: 1e6 * delta_s / f64::from(REPEATS),
-        held_kb,
+        apply_snapshot_us: 1e6 * snapshot_seconds / f64::from(REPEATS),
+        apply_delta_us: 1e6 * delta_seconds / f64::from(REPEATS),
+        memory_kb,
     })
 }
 
-pub(crate) fn anonymous_kb() -> f64 {
-    usage::memory(std::process::id()).map_or(0.0, |memory| memory.anonymous_kb as f64)
+pub(crate) fn own_anonymous_kb() -> f64 {
+    process_stats::memory(std::process::id()).map_or(0.0, |memory| memory.anonymous_kb as f64)
 }
 
 const INTRODUCTION: &str = "# State machines by themselves\n\n\
     Measured inside one process, without sockets, at the sizes of the design.\n";
 
 /// Writes the page.
-pub(crate) fn write(report: &Report, measured: &Measured, scale: Scale) -> Result {
+pub(crate) fn write(report: &Report, measured: &StateMachineCosts, scale: Scale) -> Result {
     let command = format!(
         "cargo run --release -p experiment -- slopes {}",
         scale.flag()
@@ -151,7 +154,7 @@
         holder_table(&measured.holder, &command),
         membership::table(&measured.membership, &command),
     ];
-    report.page("slopes", INTRODUCTION, &tables)
+    report.write_page("slopes", INTRODUCTION, &tables)
 }
 
 fn holder_table(holder: &[HolderCost], command: &str) -> Table {
@@ -161,9 +164,9 @@
             cost.canonical_bytes.to_string(),
             cost.snapshot_bytes.to_string(),
             cost.delta_bytes.to_string(),
-            figure(cost.apply_snapshot_us),
-            figure(cost.apply_delta_us),
-            figure(cost.held_kb),
+            format_number(cost.apply_snapshot_us),
+            format_number(cost.apply_delta_us),
+            format_number(cost.memory_kb),
         ]
     };
     Table {
--- a/crates/experiment/src/slopes/membership.rs
+++ b/crates/experiment/src/slopes/membership.rs
@@ -9,11 +9,11 @@
 use dragonflywall::core::version::Version;
 use dragonflywall::membership::{Gossip, Membership, Timing};
 
-use super::anonymous_kb;
-use crate::design;
-use crate::fleet::SERVICES;
+use super::own_anonymous_kb;
+use crate::observed_mesh::SERVICES;
 use crate::options::Scale;
-use crate::report::{Table, figure};
+use crate::report::{Table, format_number};
+use crate::requirements;
 
 /// Views that are held at once: their memory together is far above a page.
 const COPIES: usize = 16;
@@ -25,11 +25,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MembershipCost {
     members: usize,
-    held_kb: f64,
+    memory_kb: f64,
     /// To take in one statement that is news, and answer.
-    receive_us: f64,
+    receive_update_us: f64,
     /// To take in a message without news, and answer.
-    heartbeat_us: f64,
+    receive_heartbeat_us: f64,
     tick_us: f64,
     neighbours: usize,
 }
@@ -39,14 +39,14 @@
         Scale::Quick => &[65, 520],
         Scale::Full => &[65, 130, 260, 390, 520],
     };
-    let measured: Vec<_> = sizes.iter().map(|members| cost(*members)).collect();
+    let measured: Vec<_> = sizes.iter().map(|members| measure_view(*members)).collect();
     println!("Measured the membership view at {} sizes", sizes.len());
     measured
 }
 
 /// A member in one of 6 data centres of 2 regions.
-fn member(number: usize) -> Member {
-    let data_centres = design::DATA_CENTRES as usize;
+fn numbered_member(number: usize) -> Member {
+    let data_centres = requirements::DATA_CENTRES as usize;
     let data_centre = number % data_centres;
     let port = u16::try_from(10_000 + number).unwrap_or(0);
     let address = SocketAddr::from(([10, 0, 0, 1], port));
@@ -66,7 +66,7 @@
     }
 }
 
-fn message(from: &Member, updates: Vec<Member>) -> Gossip {
+fn gossip_message(from: &Member, updates: Vec<Member>) -> Gossip {
     Gossip {
         from: from.node,
         view_hash: 0,
@@ -79,41 +79,41 @@
     }
 }
 
-fn view(others: &[Member]) -> Membership {
-    let mut view = Membership::new(member(0), Vec::new(), Timing::default());
-    view.receive(1, &message(&others[0], others.to_vec()));
+fn filled_view(others: &[Member]) -> Membership {
+    let mut view = Membership::new(numbered_member(0), Vec::new(), Timing::default());
+    view.receive(1, &gossip_message(&others[0], others.to_vec()));
     view.tick(2);
     view
 }
 
-fn cost(members: usize) -> MembershipCost {
-    let others: Vec<Member> = (1..members).map(member).collect();
-    let before_kb = anonymous_kb();
-    let mut views: Vec<Membership> = (0..COPIES).map(|_| view(&others)).collect();
-    let held_kb = (anonymous_kb() - before_kb).max(0.0) / COPIES as f64;
+fn measure_view(members: usize) -> MembershipCost {
+    let others: Vec<Member> = (1..members).map(numbered_member).collect();
+    let before_kb = own_anonymous_kb();
+    let mut views: Vec<Membership> = (0..COPIES).map(|_| filled_view(&others)).collect();
+    let memory_kb = (own_anonymous_kb() - before_kb).max(0.0) / COPIES as f64;
     let view = &mut views[0];
 
-    let mut receive_s = 0.0;
-    let mut heartbeat_s = 0.0;
+    let mut receive_update_s = 0.0;
+    let mut receive_heartbeat_s = 0.0;
     let mut tick_s = 0.0;
     let mut now_ms = 10;
     for round in 0..REPEATS {
         let number = round as usize % others.len();
         let mut changed = others[number].clone();
         changed.sequence = u64::from(round) + 2;
-        let news = message(&others[0], vec![changed]);
-        let begin = Instant::now();
-        black_box(view.receive(now_ms, &news));
-        receive_s += begin.elapsed().as_secs_f64();
+        let update = gossip_message(&others[0], vec![changed]);
+        let started = Instant::now();
+        black_box(view.receive(now_ms, &update));
+        receive_update_s += started.elapsed().as_secs_f64();
 
-        let begin = Instant::now();
+        let started = Instant::now();
         black_box(view.tick(now_ms));
-        tick_s += begin.elapsed().as_secs_f64();
+        tick_s += started.elapsed().as_secs_f64();
 
-        let heartbeat = message(&others[0], Vec::new());
-        let begin = Instant::now();
+        let heartbeat = gossip_message(&others[0], Vec::new());
+        let started = Instant::now();
         black_box(view.receive(now_ms, &heartbeat));
-        heartbeat_s += begin.elapsed().as_secs_f64();
+        receive_heartbeat_s += started.elapsed().as_secs_f64();
         now_ms += TICK_MS;
     }
     let neighbours = view.neighbours().count();
@@ -122,9 +122,9 @@
     let repeats = f64::from(REPEATS);
     MembershipCost {
         members,
-        held_kb,
-        receive_us: 1e6 * receive_s / repeats,
-        heartbeat_us: 1e6 * heartbeat_s / repeats,
+        memory_kb,
+        receive_update_us: 1e6 * receive_update_s / repeats,
+        receive_heartbeat_us: 1e6 * receive_heartbeat_s / repeats,
         tick_us: 1e6 * tick_s / repeats,
         neighbours,
     }
@@ -134,10 +134,10 @@
     let row = |cost: &MembershipCost| {
         vec![
             cost.members.to_string(),
-            figure(cost.held_kb),
-            figure(cost.receive_us),
-            figure(cost.heartbeat_us),
-            figure(cost.tick_us),
+            format_number(cost.memory_kb),
+            format_number(cost.receive_update_us),
+            format_number(cost.receive_heartbeat_us),
+            format_number(cost.tick_us),
             cost.neighbours.to_string(),
         ]
     };
--- a/crates/experiment/tests/demo.rs
+++ b/crates/experiment/tests/demo.rs
@@ -7,7 +7,7 @@
 /// A newcomer runs the README's first command: it ends by itself, succeeds, and shows both
 /// versions at all four data centres and the callers' answers.
 #[test]
-fn demo_of_each_deployment_ends_well() {
+fn demo_succeeds_for_each_deployment() {
     for (name, data_centre) in [("chatarras", "leon"), ("marinhas", "olhao-b")] {
         let output = Command::new(env!("CARGO_BIN_EXE_experiment"))
             .args(["demo", name])
