--- a/crates/experiment/src/all.rs
+++ b/crates/experiment/src/all.rs
@@ -1,4 +1,4 @@
-//! `all`: every measurement, every table and plot, and the numbers of the capacity page.
+//! `all`: runs every benchmark, writes all pages, and updates the tables of `docs/CAPACITY.md`.
 
 use std::ffi::OsString;
 use std::time::Instant;
@@ -9,7 +9,8 @@
 use crate::report::Report;
 use crate::{convergence, requests, slopes};
 
-/// Runs the command. One measurement after the other: side by side they would disturb each other.
+/// Runs the command. The benchmarks run one after the other, because they would slow each other
+/// down if they ran at the same time.
 pub(crate) async fn run(arguments: Vec<OsString>) -> Result {
     let options = Options::parse(arguments)?;
     let scale = options.scale;
@@ -17,7 +18,7 @@
     let report = Report::new(&options.docs)?;
     let slopes = slopes::measure(scale)?;
     slopes::write(&report, &slopes, scale)?;
-    // A failure is told at the end, so that it does not take the other measurements with it.
+    // A failure is returned after the other benchmarks have run and their pages are written.
     let requests = measure_requests(&report, scale).await;
     let sizes = convergence::measure(&convergence::Plan::of(scale)).await?;
     convergence::write(&report, &sizes, scale)?;
--- a/crates/experiment/src/baseline.rs
+++ b/crates/experiment/src/baseline.rs
@@ -1,7 +1,8 @@
-//! The plain way to compare with: every proxy polls the store for the whole configuration.
+//! Baseline for the convergence benchmark: every proxy polls the store for the whole configuration.
 //!
-//! The pollers are tasks of this program; each dials from its own data centre through the same
-//! counted network as the nodes do, and checks what it reads as a node would.
+//! The pollers are tasks of this program. Each belongs to a data centre and connects to the store
+//! through the same simulated network as the nodes, which counts bytes and limits the rate. Like a
+//! node, a poller verifies the configuration that it reads.
 
 use std::time::{Duration, Instant};
 
@@ -17,25 +18,29 @@
 use crate::error::{Error, Result};
 use crate::observed_mesh::{SERVICES, team_records};
 
-/// "Every few seconds".
+/// Time between two reads of a poller.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_secs(5);
+/// Region number of each data centre.
 const REGIONS: [u8; 4] = [0, 0, 1, 1];
+/// Capacity of the link between the regions, in each direction.
 const LINK_MBIT_PER_S: f64 = 30.0;
 
-/// What polling cost and how soon it brought a change.
+/// Cost of polling, and how long changes take to reach the pollers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PollingResults {
-    /// From the write's answer to each poller's having the change, all changes together.
+    /// From the completed write until a poller has verified the new version; one entry for each
+    /// poller and change.
     pub(crate) enforced_after: Vec<Duration>,
-    /// Between all pollers and the store, both ways, per second.
+    /// Bytes between all pollers and the store, in both directions, per second.
     pub(crate) bytes_per_s: f64,
-    /// Over the regional link, both ways, per second.
+    /// Bytes over the link between the regions, in both directions, per second.
     pub(crate) link_bytes_per_s: f64,
     /// Reads of the store per second.
     pub(crate) reads_per_s: f64,
 }
 
-/// Runs `nodes` pollers through `changes` changes.
+/// Starts `nodes` pollers and publishes `changes` changes. Waits after each change until all
+/// pollers have it.
 pub(crate) async fn run(nodes: usize, changes: usize) -> Result<PollingResults> {
     let network = Network::new(REGIONS.into(), LINK_MBIT_PER_S);
     network.set_delays(Duration::from_millis(1), Duration::from_millis(20));
@@ -52,7 +57,8 @@
         let site = Site::try_from(number % REGIONS.len()).unwrap_or(0);
         let url = format!("http://{}", forwarder.address);
         let store = HttpStore::new(&url, Some(network.site_ip(site)));
-        // Spread evenly over the interval, as pollers that started at random would be.
+        // Spreads the first reads evenly over the polling interval, as if the pollers had started
+        // at random times.
         let initial_delay = POLL_INTERVAL.mul_f64(number as f64 / nodes as f64);
         pollers.spawn(poll(store, initial_delay, sender.clone()));
     }
@@ -86,12 +92,14 @@
     }
 }
 
-/// The one object that holds the whole configuration, whatever its content.
+/// Key of the object that holds the current configuration. It does not depend on the content, so
+/// that each version overwrites the previous one.
 fn object_key() -> Digest {
     Digest::of(b"the whole configuration")
 }
 
-/// The object is a line with the stamp, then the compressed configuration.
+/// Stores the configuration as one object: a line with its stamp (version and digest), then the
+/// compressed content.
 async fn put_configuration(store: &HttpStore, version: u64) -> Result {
     let mut configuration = Configuration {
         version: Version(version),
@@ -132,7 +140,7 @@
     }
 }
 
-/// The version, once the content has been checked against its stamp.
+/// Version of the configuration in `object`, or `None` if its content does not match its stamp.
 fn verified_version(object: &[u8]) -> Option<u64> {
     let end = object.iter().position(|byte| *byte == b'\n')?;
     let (stamp, snapshot) = object.split_at(end);
@@ -156,7 +164,10 @@
             Ok(Some(_)) => (),
             Ok(None) | Err(_) => {
                 return Err(Error::Unexpected {
-                    text: format!("{} of {nodes} pollers have version {version}", times.len()),
+                    text: format!(
+                        "only {} of {nodes} pollers received version {version} in time",
+                        times.len()
+                    ),
                 });
             }
         }
--- a/crates/experiment/src/capacity.rs
+++ b/crates/experiment/src/capacity.rs
@@ -1,7 +1,7 @@
-//! The numbers of `docs/CAPACITY.md`, worked out from measured slopes.
+//! Updates the tables of `docs/CAPACITY.md`, which extrapolate measured costs to the design size.
 //!
-//! The page's prose is written by hand; the tables between its markers are replaced by each run
-//! of `experiment all`.
+//! The text of the page is written by hand. Each run of `experiment all` replaces the tables between
+//! its markers.
 
 mod events;
 mod roles;
@@ -20,11 +20,12 @@
 use crate::slopes::HolderCost;
 
 const PAGE: &str = "CAPACITY.md";
-/// Below this a data centre of the measured mesh has fewer members than a node may have
-/// neighbours, so costs grow for a reason that ends there.
+/// Smallest mesh that the fitted lines include. In a smaller one a data centre has fewer members
+/// than a node may have gossip neighbours, so costs also grow with the number of neighbours. Larger
+/// meshes do not show that growth.
 const MIN_FITTED_NODES: usize = 32;
 
-/// Everything that one run of `all` measured.
+/// Results of all benchmarks of one run of `all`.
 #[derive(Debug)]
 pub(crate) struct Results {
     pub(crate) convergence: Vec<convergence::SizeResults>,
@@ -32,7 +33,7 @@
     pub(crate) holder: Vec<HolderCost>,
 }
 
-/// One cost against the number of nodes.
+/// A cost as a linear function of the number of nodes, and the limit for it at the design size.
 struct Slope {
     label: &'static str,
     fit: LinearFit,
@@ -45,7 +46,8 @@
     }
 }
 
-/// The slopes over the number of nodes.
+/// All costs that are extrapolated over the number of nodes. A full restart kills all nodes at once
+/// and starts them again ("herd restart" in the page).
 pub(crate) struct Slopes {
     node_idle_bytes_per_s: Slope,
     node_idle_core_percent: Slope,
@@ -77,7 +79,7 @@
             let points: Vec<(f64, f64)> =
                 fitted.iter().map(|m| (m.nodes as f64, cost(m))).collect();
             let fit = LinearFit::through(&points).ok_or_else(|| Error::Unexpected {
-                text: format!("too few sizes for the slope of: {label}"),
+                text: format!("fewer than two sizes to fit a line to: {label}"),
             })?;
             Ok::<_, Error>(Slope { label, fit, limit })
         };
@@ -193,14 +195,15 @@
     }
 }
 
-/// The sizes that lines are laid through; all of them where too few are large.
+/// The sizes that lines are fitted to: those from [`MIN_FITTED_NODES`] on, or all if fewer than two
+/// are that large. `measured` is in ascending order of nodes.
 fn fitted_sizes(measured: &[convergence::SizeResults]) -> &[convergence::SizeResults] {
     let first_large = measured.partition_point(|m| m.nodes < MIN_FITTED_NODES);
     let large = &measured[first_large..];
     if large.len() < 2 { measured } else { large }
 }
 
-/// Replaces the tables of the page.
+/// Replaces all tables of `CAPACITY.md` below `docs`.
 pub(crate) fn update_page(docs: &Path, results: &Results, scale: Scale) -> Result {
     let path = docs.join(PAGE);
     let text = std::fs::read_to_string(&path).context(ReadSnafu {
@@ -214,7 +217,7 @@
     write_file(&path, &text)
 }
 
-/// Puts `new` between the markers named `name`.
+/// Replaces the text between the begin and end markers of `name` with `new`, and keeps the rest.
 fn replace_between_markers(text: &str, name: &str, new: &str) -> Result<String> {
     let begin = format!("<!-- begin: {name} -->\n");
     let end = format!("<!-- end: {name} -->");
--- a/crates/experiment/src/capacity/events.rs
+++ b/crates/experiment/src/capacity/events.rs
@@ -1,16 +1,19 @@
-//! What each kind of event of the letter costs at the design size.
+//! Table of events at the design size, such as configuration changes, restarts and outages, with
+//! the traffic that each causes.
 
 use super::Slopes;
 use crate::report::{Table, format_number};
 use crate::requirements;
 
-/// A restarted backend server announces itself gone, back and serving.
+/// Announcements that other members receive when one VM restarts: its backend server is gone, then
+/// back, then serving.
 const ANNOUNCEMENTS_PER_RESTART: f64 = 3.0;
 
 struct Event {
     name: &'static str,
-    /// Nodes that stop and come back, and how often a day on average.
+    /// Nodes that stop and start again in one event.
     nodes: f64,
+    /// Average number of events a day; 0 where none is given.
     per_day: f64,
 }
 
@@ -72,8 +75,9 @@
     bytes * per_day / requirements::SECONDS_PER_DAY
 }
 
-/// What a returning node fetches for itself is a herd's cost per node; what all others hear of it
-/// is that of its announcements.
+/// Estimates the cost of an event in which nodes restart. What the restarted nodes fetch is their
+/// share of the cost of a full restart of the mesh. Every node also receives the announcements of
+/// each restarted backend server.
 fn restart_row(slopes: &Slopes, event: &Event) -> Vec<String> {
     let share = event.nodes / requirements::NODES;
     let estimate = |slope: &super::Slope| slope.at_design_size().value;
--- a/crates/experiment/src/capacity/roles.rs
+++ b/crates/experiment/src/capacity/roles.rs
@@ -1,4 +1,4 @@
-//! What each role needs at the design size.
+//! Table of the state, traffic, CPU time and memory that each role needs at the design size.
 
 use super::{Results, Slopes};
 use crate::convergence;
@@ -8,7 +8,7 @@
 
 pub(super) fn table(slopes: &Slopes, results: &Results) -> Table {
     let mut rows = Vec::new();
-    // The deployment with more slots makes the larger demand on its nodes.
+    // The first deployment has more slots for each backend server, so its nodes handle more load.
     if let Some(requests) = results.requests.first() {
         rows.push(proxy_row(requests));
     }
--- a/crates/experiment/src/cli.rs
+++ b/crates/experiment/src/cli.rs
@@ -1,4 +1,4 @@
-//! Picks the command, and turns its failure into text and an exit code.
+//! Selects the command to run, and reports its error as text and exit code.
 
 use std::error::Error as _;
 use std::ffi::OsString;
@@ -27,7 +27,8 @@
   --nodes N                  only this size (convergence)
 ";
 
-/// Runs the command line.
+/// Runs the command that `arguments` name. Exits with 2 for a usage error and 1 for any other
+/// error.
 pub(crate) fn run(arguments: Vec<OsString>) -> ExitCode {
     match dispatch(arguments) {
         Ok(()) => ExitCode::SUCCESS,
@@ -35,7 +36,7 @@
             eprintln!("error: {error}");
             let mut source = error.source();
             while let Some(cause) = source {
-                eprintln!("  because: {cause}");
+                eprintln!("  caused by: {cause}");
                 source = cause.source();
             }
             match error {
@@ -78,6 +79,6 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
-        .expect("a runtime needs only a file descriptor");
+        .expect("the Tokio runtime can be created");
     runtime.block_on(run)
 }
--- a/crates/experiment/src/convergence.rs
+++ b/crates/experiment/src/convergence.rs
@@ -1,7 +1,9 @@
-//! `convergence`: from acceptance to every node enforcing, and what the control traffic costs.
+//! `convergence`: measures the time from the commit of a version until every node enforces it, and
+//! the cost of the control traffic.
 //!
-//! For each size a mesh of node processes goes through idling, publications, endpoint churn and a
-//! restart of all nodes at once; the baseline of polling pollers goes through the same changes.
+//! For each size a mesh of node processes runs idle, then receives publications, then endpoint
+//! announcements, and then all nodes are killed and restarted at once. For comparison, a baseline of
+//! proxies that poll the store for the whole configuration goes through changes as well.
 
 mod pages;
 
@@ -24,23 +26,25 @@
 
 pub(crate) use pages::write;
 
-/// Times are counted up to this; each run is bounded far below it.
+/// Upper bound of the time histograms. The timeouts of a run are far shorter.
 const MAX_RECORDED_MS: u64 = 600_000;
 
-/// How much is run at each size.
+/// Sizes to measure, and the load and duration of each phase.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
-    /// Sizes in groups; those of a group run side by side, so only small ones share a group.
+    /// Numbers of nodes in groups. The sizes of a group run at the same time, so only small sizes
+    /// share a group.
     pub(crate) size_groups: Vec<Vec<usize>>,
     pub(crate) publications: usize,
     pub(crate) baseline_changes: usize,
-    /// From the start to the first count, until the traffic of joining has ended. A node registers
-    /// again within 15 s of its start.
+    /// From the start of the mesh to the first sample. By then the traffic of joining has ended: a
+    /// node registers a second time within 15 s of its start.
     pub(crate) settle_time: Duration,
-    /// After a restart of all, still counted.
+    /// From the time when all restarted nodes enforce the configuration to the last sample. The
+    /// traffic of this time is part of the result.
     pub(crate) settle_time_after_restart: Duration,
     pub(crate) idle_time: Duration,
-    /// Endpoint announcements in all, and the time over which they come.
+    /// Total number of endpoint announcements, which are spread over `announcement_time`.
     pub(crate) announcements: usize,
     pub(crate) announcement_time: Duration,
 }
@@ -72,65 +76,69 @@
     }
 }
 
-/// What was measured at one size.
+/// Results at one size. Each interval covers one phase.
 #[derive(Debug)]
 pub(crate) struct SizeResults {
     pub(crate) nodes: usize,
     pub(crate) idle_interval: Interval,
-    /// One for each node and publication, in milliseconds.
+    /// Time from the commit of a version until a node enforces it, in milliseconds; one value for
+    /// each node and publication.
     pub(crate) enforced_after_ms: Histogram<u64>,
     pub(crate) publish_interval: Interval,
     pub(crate) publication_count: usize,
-    /// Mean size of the compressed deltas published.
+    /// Mean size of the published deltas, which are compressed.
     pub(crate) delta_bytes: f64,
     pub(crate) announce_interval: Interval,
     pub(crate) announcement_count: usize,
+    /// Time from the kill of all nodes until a node enforces the configuration again, in
+    /// milliseconds; one value for each node.
     pub(crate) full_restart_ms: Histogram<u64>,
     pub(crate) full_restart_interval: Interval,
     pub(crate) full_restart_peaks: PeakRates,
-    /// Largest anonymous and resident memory of a node, in megabytes.
+    /// Anonymous memory of the node that has most of it, in mebibytes.
     pub(crate) anonymous_mb: f64,
+    /// Resident memory of the node that has most of it, in mebibytes.
     pub(crate) resident_mb: f64,
     pub(crate) baseline: PollingResults,
 }
 
 impl SizeResults {
-    /// Bytes over the link for one change, beyond what idling costs.
+    /// Bytes over the link between the regions for one change, without the idle traffic.
     pub(crate) fn link_bytes_per_change(&self) -> f64 {
         let idle_cost = self.idle_interval.link_bytes / self.idle_interval.seconds
             * self.publish_interval.seconds;
         (self.publish_interval.link_bytes - idle_cost) / self.publication_count as f64
     }
 
-    /// Bytes between nodes for one change, beyond what idling costs.
+    /// Bytes between all nodes for one change, without the idle traffic.
     pub(crate) fn bytes_per_change(&self) -> f64 {
         let idle_cost = self.idle_interval.between_nodes_bytes / self.idle_interval.seconds
             * self.publish_interval.seconds;
         (self.publish_interval.between_nodes_bytes - idle_cost) / self.publication_count as f64
     }
 
-    /// Bytes between nodes for one endpoint announcement, beyond what idling costs.
+    /// Bytes between all nodes for one endpoint announcement, without the idle traffic.
     pub(crate) fn bytes_per_announcement(&self) -> f64 {
         let idle_cost = self.idle_interval.between_nodes_bytes / self.idle_interval.seconds
             * self.announce_interval.seconds;
         (self.announce_interval.between_nodes_bytes - idle_cost) / self.announcement_count as f64
     }
 
-    /// Platform reads for one change, beyond idling.
+    /// Reads from the platform for one change, without those of idle nodes.
     pub(crate) fn reads_per_change(&self) -> f64 {
         let idle_cost = self.idle_interval.platform_reads / self.idle_interval.seconds
             * self.publish_interval.seconds;
         (self.publish_interval.platform_reads - idle_cost) / self.publication_count as f64
     }
 
-    /// Platform writes for one change, beyond idling.
+    /// Writes to the platform for one change, without those of idle nodes.
     pub(crate) fn writes_per_change(&self) -> f64 {
         let idle_cost = self.idle_interval.platform_writes / self.idle_interval.seconds
             * self.publish_interval.seconds;
         (self.publish_interval.platform_writes - idle_cost) / self.publication_count as f64
     }
 
-    /// Processor time of all nodes for one change, beyond idling, in milliseconds.
+    /// CPU time of all nodes for one change, without the idle cost, in milliseconds.
     pub(crate) fn processor_ms_per_change(&self) -> f64 {
         let idle_cost = self.idle_interval.processor_s / self.idle_interval.seconds
             * self.publish_interval.seconds;
@@ -138,7 +146,8 @@
     }
 }
 
-/// Runs the command.
+/// Runs the command. `--nodes` replaces all sizes of the plan. The results of the other sizes are
+/// written even if one size fails.
 pub(crate) async fn run(arguments: Vec<OsString>) -> Result {
     let options = Options::parse(arguments)?;
     let report = Report::new(&options.docs)?;
@@ -151,7 +160,7 @@
     sizes.ensure_all_measured()
 }
 
-/// The sizes that were measured, and those that could not be.
+/// Results of the sizes that were measured, and errors of those that failed.
 #[derive(Debug, Default)]
 pub(crate) struct MeasuredSizes {
     pub(crate) measured: Vec<SizeResults>,
@@ -159,7 +168,7 @@
 }
 
 impl MeasuredSizes {
-    /// An error if any size failed; its page says so as well.
+    /// Returns an error if any size failed. The page lists the failures as well.
     pub(crate) fn ensure_all_measured(&self) -> Result {
         if self.failed.is_empty() {
             return Ok(());
@@ -177,13 +186,13 @@
     }
 }
 
-/// Measures every size, and the baseline at all sizes side by side. A size that fails is noted
-/// and the others go on.
+/// Measures every size, and then the polling baseline at all sizes at the same time. If a size
+/// fails, its error is recorded and the others are still measured.
 pub(crate) async fn measure(plan: &Plan) -> Result<MeasuredSizes> {
     let mut sizes = MeasuredSizes::default();
     for group in &plan.size_groups {
         let started = Instant::now();
-        // Tasks of their own, so that a panic inside the test kit ends one size alone.
+        // Each size has its own task, so that a panic in the test kit ends only that size.
         let runs: Vec<_> = group
             .iter()
             .map(|&nodes| {
@@ -210,7 +219,7 @@
             }
         }
     }
-    // Pollers are few tasks that mostly sleep, so their sizes can run at the same time.
+    // Pollers sleep most of the time and need little CPU, so all sizes can run at the same time.
     let baselines: Vec<_> = sizes
         .measured
         .iter()
@@ -246,7 +255,7 @@
         publish_repeatedly(&mut observed, plan.publications).await?;
     let delta_bytes = mean_delta_bytes(&observed).await?;
     let announce_interval = announce_in_turn(&observed, plan).await?;
-    // The busiest minute is over; what is resident now is what a node needs.
+    // Memory is sampled after the busiest phases, so it includes what a node allocated for them.
     let node_memory = observed.memory();
     let largest_mb = |kb: &dyn Fn(usize) -> u64| {
         (0..node_memory.len()).map(kb).max().unwrap_or(0) as f64 / 1024.0
@@ -278,7 +287,7 @@
     })
 }
 
-/// Publishes a change of one team's treatment again and again.
+/// Publishes `publications` versions, each of which changes the timeout in one team's record.
 async fn publish_repeatedly(
     observed: &mut ObservedMesh,
     publications: usize,
@@ -297,7 +306,8 @@
     Ok((enforced_after_ms, before.interval_to(&observed.sample())))
 }
 
-/// Mean size of the deltas of all versions but the first.
+/// Mean size of the deltas of all versions except the first, which publishes the whole
+/// configuration.
 async fn mean_delta_bytes(observed: &ObservedMesh) -> Result<f64> {
     let read_error = |error: accepted::Error| Error::Unexpected {
         text: error.to_string(),
@@ -312,14 +322,15 @@
     Ok(bytes as f64 / observed.version.saturating_sub(1).max(1) as f64)
 }
 
-/// Backend servers announce in turn that they drain and that they serve again.
+/// Sends announcements at a constant rate: one backend server after the other announces that it
+/// drains, and then that it serves again.
 async fn announce_in_turn(observed: &ObservedMesh, plan: &Plan) -> Result<Interval> {
     let before = observed.sample();
     let time_between = plan.announcement_time / u32::try_from(plan.announcements).unwrap_or(1);
     let mut announcement_ticks = tokio::time::interval(time_between);
     for announcement_number in 0..plan.announcements {
         announcement_ticks.tick().await;
-        // Each drains at an even event and serves again at the odd one after it.
+        // Even announcements are `draining`; the odd one that follows is `serving`, of the same VM.
         let vm = &observed.mesh.vms[announcement_number / 2 % observed.mesh.vms.len()];
         let state = if announcement_number % 2 == 0 {
             "draining"
@@ -332,7 +343,7 @@
     Ok(before.interval_to(&observed.sample()))
 }
 
-/// The backend server of a VM announces its state to its node.
+/// Announces `state` to the node of a VM in place of its backend server.
 pub(crate) async fn announce(vm: &testkit::mesh::Vm, state: &str) -> Result {
     let announcement = serde_json::json!({
         "service": vm.service,
@@ -345,13 +356,13 @@
     match reply {
         Ok(reply) if reply.status == 200 => Ok(()),
         other => Err(Error::Unexpected {
-            text: format!("the announcement was not taken: {other:?}"),
+            text: format!("the node did not accept the announcement: {other:?}"),
         }),
     }
 }
 
 fn empty_histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MAX_RECORDED_MS, 3).expect("three digits are in range")
+    Histogram::new_with_bounds(1, MAX_RECORDED_MS, 3).expect("the histogram bounds are valid")
 }
 
 fn record_times(histogram: &mut Histogram<u64>, times: &[Duration]) {
--- a/crates/experiment/src/convergence/pages.rs
+++ b/crates/experiment/src/convergence/pages.rs
@@ -1,4 +1,4 @@
-//! The page of the convergence measurement: tables and plots.
+//! Page, CSV rows and plots of the convergence benchmark.
 
 use hdrhistogram::Histogram;
 
@@ -9,7 +9,7 @@
 use crate::options::Scale;
 use crate::report::{Axes, Report, Series, Table, format_number};
 
-/// Writes page, rows and plots.
+/// Writes `convergence.md`, its CSV files and both plots. The page lists the sizes that failed.
 pub(crate) fn write(report: &Report, sizes: &MeasuredSizes, scale: Scale) -> Result {
     let measured = sizes.measured.as_slice();
     let command = format!(
--- a/crates/experiment/src/demo.rs
+++ b/crates/experiment/src/demo.rs
@@ -1,9 +1,9 @@
-//! `demo`: the main job, start to end, on this machine.
+//! `demo`: publishes configurations to a small mesh on this machine and calls its services.
 //!
-//! A mesh of a deployment's four data centres starts; its example files are published; every
-//! service is called from every data centre; one treatment is changed and published; what each
-//! data centre enforces and what the callers got is printed. Anything unexpected ends the run
-//! with an error.
+//! Starts a mesh of four data centres and publishes the example team files. Calls every service
+//! from every data centre. Then raises one timeout in a team file, publishes the change and calls
+//! again. Prints the version that each data centre enforces and the answers that callers receive.
+//! Any unexpected result ends the run with an error.
 
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -19,13 +19,14 @@
 use crate::examples::{self, Call, Example};
 use crate::publication::{self, Publication};
 
-/// The whole run is bounded, so that a fault ends it instead of hanging it.
+/// Limits the whole run, so that a fault ends it with an error instead of blocking it.
 const RUN_TIMEOUT: Duration = Duration::from_secs(100);
 const ANSWER_BYTES: u64 = 2_000;
-/// Between the old timeout and the new one of either example.
+/// Work of the slow call. It lies between the old and the new timeout of both examples, so that the
+/// call fails before the edit and succeeds after it.
 const SLOW_WORK_MS: u64 = 2_000;
 
-/// Runs the demo of the deployment named on the command line.
+/// Runs the demo of the deployment that the arguments name, by default `chatarras`.
 pub(crate) async fn run(arguments: Vec<OsString>) -> Result {
     let name = match arguments.as_slice() {
         [] => "chatarras".to_owned(),
@@ -37,7 +38,7 @@
     })?;
     let finished = tokio::time::timeout(RUN_TIMEOUT, run_steps(&example)).await;
     finished.map_err(|_| Error::Unexpected {
-        text: format!("not finished after {} s", RUN_TIMEOUT.as_secs()),
+        text: format!("the demo did not finish within {} s", RUN_TIMEOUT.as_secs()),
     })?
 }
 
@@ -59,7 +60,10 @@
         before_edit.reply.status.as_u16(),
         before_edit.reply.header("x-dragonflywall-verdict"),
     );
-    ensure(before_edit.reply.status != 200, "the old timeout holds")?;
+    ensure(
+        before_edit.reply.status != 200,
+        "the slow call times out before the edit",
+    )?;
 
     println!(
         "Changed `{}` to `{}` in the file of {}",
@@ -74,7 +78,10 @@
         after_edit.reply.status.as_u16(),
         after_edit.reply.header("x-dragonflywall-version"),
     );
-    ensure(after_edit.reply.status == 200, "the new timeout holds")?;
+    ensure(
+        after_edit.reply.status == 200,
+        "the slow call is answered after the edit",
+    )?;
     ids.push("slow-after".to_owned());
     ids.extend(call_everything(&mesh, example, "second").await?);
     check_ran_once(&mesh, &ids)?;
@@ -127,7 +134,7 @@
     Ok(publication)
 }
 
-/// Asks every node what it enforces itself, and sums up by data centre.
+/// Requests the enforced version from every node, and prints a summary for each data centre.
 async fn print_enforced(mesh: &Mesh) {
     let mut versions: BTreeMap<usize, BTreeMap<u64, usize>> = BTreeMap::new();
     for (position, vm) in mesh.vms.iter().enumerate() {
@@ -150,11 +157,11 @@
     }
 }
 
-/// Calls every service through one node of every data centre; returns the ids of the calls.
+/// Calls every service through one node of every data centre. Returns the request ids.
 async fn call_everything(mesh: &Mesh, example: &Example, round: &str) -> Result<Vec<String>> {
     let mut ids = Vec::new();
     for (site, data_centre) in mesh.deployment.data_centres.iter().enumerate() {
-        // Another node for each call, so that callers' entries differ from the endpoints' nodes.
+        // Each call enters at a node of another service, so that it passes two nodes.
         let entries = mesh.vms.iter().filter(|vm| usize::from(vm.site) == site);
         let entries: Vec<_> = entries.map(|vm| vm.node().addresses.caller).collect();
         for (number, call) in example.calls.iter().enumerate() {
@@ -183,10 +190,13 @@
 fn check_answer(reply: &Reply, id: &str) -> Result {
     let digest = blake3::hash(&reply.body).to_hex().to_string();
     let answers_own_call = digest == expected_answer_digest(id, ANSWER_BYTES);
-    ensure(reply.status == 200, &format!("{id} is answered: {reply:?}"))?;
+    ensure(
+        reply.status == 200,
+        &format!("request {id} is answered with status 200: {reply:?}"),
+    )?;
     ensure(
         answers_own_call,
-        &format!("{id} gets the whole answer to its own call"),
+        &format!("request {id} receives the whole answer to its own call"),
     )
 }
 
@@ -197,7 +207,7 @@
 
 async fn slow_call(mesh: &Mesh, call: Call, id: &str) -> Result<TimedReply> {
     let entry = mesh.vms.iter().find(|vm| vm.service != call.service);
-    let entry = entry.expect("an example has several services");
+    let entry = entry.expect("an example has at least two services");
     let path = format!("{}?work_ms={SLOW_WORK_MS}", call.path);
     let begin = Instant::now();
     let reply = send_call(entry.node().addresses.caller, call, &path, id).await?;
@@ -208,11 +218,11 @@
 }
 
 async fn send_call(entry: std::net::SocketAddr, call: Call, path: &str, id: &str) -> Result<Reply> {
-    let method = Method::from_bytes(call.method.as_bytes()).expect("examples use known methods");
+    let method = Method::from_bytes(call.method.as_bytes()).expect("examples use valid methods");
     let headers = [("x-request-id", id)];
     let reply = request(entry, method, call.service, path, &headers, "").await;
     reply.map_err(|error| Error::Unexpected {
-        text: format!("{id} got no answer: {error}"),
+        text: format!("request {id} got no answer: {error}"),
     })
 }
 
@@ -227,7 +237,7 @@
         let count = runs.get(id).copied().unwrap_or(0);
         ensure(
             count == 1,
-            &format!("{id} runs once, and ran {count} times"),
+            &format!("request {id} runs exactly once, but it ran {count} times"),
         )?;
     }
     Ok(())
--- a/crates/experiment/src/error.rs
+++ b/crates/experiment/src/error.rs
@@ -1,40 +1,40 @@
-//! What a run may fail with.
+//! Errors of the experiment commands.
 
 use snafu::Snafu;
 
-/// Result of a run.
+/// Result of a command or of one of its steps.
 pub(crate) type Result<T = (), E = Error> = std::result::Result<T, E>;
 
-/// Why a run gave no result.
+/// Why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub(crate) enum Error {
-    /// The command line is wrong.
+    /// An unknown command, a missing argument or an invalid flag.
     #[snafu(display("{text}"))]
     Usage { text: String },
-    /// A node's settings are wrong, or it could not listen.
+    /// A node process has invalid settings, or could not listen.
     #[snafu(display("{text}"))]
     Node { text: String },
-    /// A part of the mesh did not start.
+    /// A node, a stand-in of the test kit or a backend server did not start.
     #[snafu(display("the mesh did not start: {text}"))]
     Start { text: String },
-    /// A publication failed.
+    /// A version of the configuration could not be published.
     #[snafu(display("publishing version {version}"))]
     Publish {
         version: u64,
         #[snafu(source(from(dragonflywall::ops::command::publish::Error, Box::new)))]
         source: Box<dragonflywall::ops::command::publish::Error>,
     },
-    /// The mesh did something else than it should.
+    /// The mesh behaved differently than the command requires, or results are unusable.
     #[snafu(display("{text}"))]
     Unexpected { text: String },
-    /// A file could not be read.
+    /// The page that is to be updated could not be read.
     #[snafu(display("reading {path}"))]
     Read {
         path: String,
         source: std::io::Error,
     },
-    /// A file could not be written.
+    /// A result file or its directory could not be written.
     #[snafu(display("writing {path}"))]
     Write {
         path: String,
--- a/crates/experiment/src/examples.rs
+++ b/crates/experiment/src/examples.rs
@@ -1,29 +1,29 @@
-//! The users' two deployments with their team files, and calls that show what these do.
+//! The users' two deployments with their team files, and calls that show the effect of these files.
 
 use testkit::mesh::Deployment;
 
-/// One call to a service.
+/// A request to a service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Call {
     pub(crate) service: &'static str,
     pub(crate) method: &'static str,
     pub(crate) path: &'static str,
-    /// What it stands for.
+    /// Short description of the request, for the output.
     pub(crate) description: &'static str,
 }
 
-/// An edit of a team file whose effect a caller notices.
+/// An edit of a team file that changes the answer to a call.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Edit {
-    /// The file, by position.
+    /// Position of the edited file in [`Example::files`].
     pub(crate) file_index: usize,
     pub(crate) old_text: &'static str,
     pub(crate) new_text: &'static str,
-    /// A call that takes too long before the edit and is answered after it.
+    /// A call that times out before the edit and is answered after it.
     pub(crate) slow_call: Call,
 }
 
-/// A deployment and what to do with it.
+/// A deployment, its team files, the calls to make and the edit to publish.
 #[derive(Debug)]
 pub(crate) struct Example {
     pub(crate) name: &'static str,
@@ -34,7 +34,7 @@
 }
 
 impl Example {
-    /// The files with the edit made.
+    /// All files, with [`Self::edit`] applied.
     pub(crate) fn edited_files(&self) -> Vec<String> {
         let mut files = self.files.clone();
         let text = &mut files[self.edit.file_index];
@@ -57,7 +57,7 @@
     }
 }
 
-/// The example of that name.
+/// Returns the example with this name, or `None` if there is none.
 pub(crate) fn by_name(name: &str) -> Option<Example> {
     match name {
         "chatarras" => Some(chatarras()),
@@ -66,7 +66,7 @@
     }
 }
 
-/// Chatarras Cantabrico Boletines.
+/// The example of the organisation Chatarras Cantabrico Boletines.
 pub(crate) fn chatarras() -> Example {
     let files = [
         include_str!("../../../examples/chatarras/boletines.toml"),
@@ -92,7 +92,7 @@
     }
 }
 
-/// Marinhas Digitais.
+/// The example of the organisation Marinhas Digitais.
 pub(crate) fn marinhas() -> Example {
     let files = [
         include_str!("../../../examples/marinhas/armazem.toml"),
--- a/crates/experiment/src/fit.rs
+++ b/crates/experiment/src/fit.rs
@@ -1,21 +1,21 @@
-//! Least squares: the slope of a measured cost, and how far the line may be trusted.
+//! Linear least-squares fit of a measured cost, with the standard error of its estimates.
 
-/// A straight line through measured points.
+/// A straight line fitted to measured points.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct LinearFit {
-    /// Value at 0.
+    /// Value at x = 0.
     pub(crate) intercept: f64,
-    /// Rise for each unit.
+    /// Increase of y for each unit of x.
     pub(crate) slope: f64,
-    /// Standard deviation of the points around the line; not a number for two points, which any
-    /// line fits.
+    /// Standard deviation of the residuals. NaN for two points: a line always fits them exactly,
+    /// so they say nothing about the deviation.
     pub(crate) residual_std: f64,
     points: usize,
     mean_x: f64,
     sum_squares_x: f64,
 }
 
-/// A value read off a line, with the standard error of the reading.
+/// A value on the fitted line, with its standard error.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Estimate {
     pub(crate) value: f64,
@@ -23,7 +23,7 @@
 }
 
 impl LinearFit {
-    /// The line with the least squared distance; `None` for fewer than two different sizes.
+    /// Fits a line to `points` of (x, y). Returns `None` if they have fewer than two different x.
     pub(crate) fn through(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -54,9 +54,9 @@
         })
     }
 
-    /// The line's value at `x`, and the standard error of the line there. Far outside the
-    /// measured sizes the error grows with the distance; that the line stays one there is an
-    /// assumption that no figure here can show.
+    /// Value and standard error of the line at `x`. Outside the measured range the standard error
+    /// grows with the distance. It does not cover the assumption that the cost stays linear there,
+    /// which the measured points cannot confirm.
     pub(crate) fn estimate_at(&self, x: f64) -> Estimate {
         let leverage = 1.0 / self.points as f64 + (x - self.mean_x).powi(2) / self.sum_squares_x;
         Estimate {
--- a/crates/experiment/src/fit/tests.rs
+++ b/crates/experiment/src/fit/tests.rs
@@ -23,7 +23,8 @@
     assert_eq!(LinearFit::through(&[]), None);
 }
 
-/// Two points always lie on a line: an error of 0 there would be a claim that nothing supports.
+/// A line always fits two points exactly. A standard error of 0 would suggest a precision that the
+/// data does not support, so it is NaN.
 #[test]
 fn two_points_give_no_standard_error() {
     let fit = LinearFit::through(&[(8.0, 1.0), (16.0, 2.0)]).expect("two sizes");
--- a/crates/experiment/src/load.rs
+++ b/crates/experiment/src/load.rs
@@ -1,9 +1,10 @@
-//! Open-loop load: calls start when they are due, whatever became of the earlier ones.
+//! Open-loop load generator: each call starts at its scheduled time, even if earlier calls have not
+//! ended.
 //!
-//! A closed loop would wait for a slow answer before it sends again and so leave out the calls
-//! that the slowness would have hit (coordinated omission). Here latency runs from the moment at
-//! which a call was due. A thread of its own keeps the time, since the runtime's timer has steps
-//! of a millisecond.
+//! A closed loop waits for a slow answer before it sends the next call, and so never sends the
+//! calls that would have been delayed as well (coordinated omission). Here latency is measured from
+//! the scheduled start of a call. A dedicated thread schedules the calls, because the timer of the
+//! Tokio runtime has a resolution of 1 ms.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -20,32 +21,35 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-/// The last stretch before a call is due is spent spinning: sleeping wakes up too late.
+/// How long before the scheduled time the thread stops sleeping and spins. A sleeping thread wakes
+/// up later than requested.
 const SPIN_TIME: Duration = Duration::from_micros(120);
+/// Upper bound of the latency histogram; longer latencies are recorded as this value.
 const LATENCY_MAX_US: u64 = 60_000_000;
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallOutcome {
-    /// With the answer.
+    /// A complete response with status 200.
     Answered,
-    /// With a refusal.
+    /// A complete response with another status.
     Refused,
-    /// The caller had waited long enough.
+    /// No complete response within the caller's timeout.
     TimedOut,
-    /// Without an answer.
+    /// The connection failed before a complete response arrived.
     Failed,
 }
 
-/// What became of all calls of a run.
+/// Counts of all calls of a load run by outcome, and their latency.
 #[derive(Debug)]
 pub(crate) struct LoadSummary {
     pub(crate) answered: u64,
     pub(crate) refused: u64,
     pub(crate) timed_out: u64,
     pub(crate) failed: u64,
-    /// From due to answered, in microseconds; answered calls only.
+    /// From the scheduled start to the end of the response, in microseconds. Covers answered calls
+    /// only.
     pub(crate) latency_us: Histogram<u64>,
 }
 
@@ -57,7 +61,7 @@
             refused: 0,
             timed_out: 0,
             failed: 0,
-            latency_us: latency_us.expect("three digits are in range"),
+            latency_us: latency_us.expect("the histogram bounds are valid"),
         }
     }
 
@@ -74,13 +78,13 @@
         }
     }
 
-    /// A quantile of the latency in milliseconds.
+    /// Latency in milliseconds at `quantile` (0 to 1).
     pub(crate) fn latency_ms(&self, quantile: f64) -> f64 {
         self.latency_us.value_at_quantile(quantile) as f64 / 1e3
     }
 }
 
-/// Calls that arrive at random at a rate.
+/// A Poisson arrival process: how many calls start a second on average, and for how long.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrivals {
     pub(crate) rate_per_s: f64,
@@ -88,7 +92,8 @@
     pub(crate) seed: u64,
 }
 
-/// Starts `call(number)` at each arrival and waits until all have ended.
+/// Starts `call(number)` at each arrival, with numbers from 0 on, and waits until all calls have
+/// ended.
 pub(crate) async fn run_open_loop<F, Fut>(arrivals: Arrivals, call: F) -> LoadSummary
 where
     F: Fn(u64) -> Fut + Send + 'static,
@@ -105,7 +110,7 @@
         let mut due_at = started;
         let mut number = 0;
         loop {
-            // Exponential gaps: arrivals that know nothing of each other.
+            // Exponentially distributed gaps make the arrivals independent of each other.
             let gap_s = -(1.0 - rng.random::<f64>()).ln() / arrivals.rate_per_s;
             due_at += Duration::from_secs_f64(gap_s);
             if due_at.duration_since(started) > arrivals.duration {
@@ -143,13 +148,13 @@
     }
 }
 
-/// A caller with kept connections.
+/// An HTTP client that keeps idle connections open and reuses them.
 #[derive(Clone, Debug)]
 pub(crate) struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// One call as callers make it.
+/// Where a call connects to, and the service and path that it requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Target<'a> {
     pub(crate) address: SocketAddr,
@@ -168,7 +173,7 @@
         Self { client }
     }
 
-    /// Calls and reads the whole answer, unless it takes longer than `patience`; then the call is
+    /// Sends a request and reads the whole response. A call that takes longer than `timeout` is
     /// dropped, which closes its connection.
     pub(crate) async fn call(&self, target: Target<'_>, timeout: Duration) -> CallOutcome {
         match tokio::time::timeout(timeout, self.send_and_read(target)).await {
@@ -183,7 +188,7 @@
             .uri(format!("http://{}{}", target.address, target.path))
             .header("host", target.service)
             .body(Full::default())
-            .expect("an address and a path make a request");
+            .expect("the URI and the host header are valid");
         let Ok(response) = self.client.request(request).await else {
             return CallOutcome::Failed;
         };
--- a/crates/experiment/src/main.rs
+++ b/crates/experiment/src/main.rs
@@ -1,9 +1,10 @@
-//! Load and experiment tool of dragonflywall.
+//! Load generator and benchmark tool for dragonflywall.
 //!
-//! `demo` runs a whole small mesh; the other commands measure one and write tables, CSV files and
-//! plots into `docs/`. Every command starts its nodes as processes: copies of this program run
-//! with the hidden command `node`, so that nothing else needs to be built first. Each run ends by
-//! itself, listens on loopback addresses only, and leaves nothing behind but its files.
+//! `demo` runs a complete small mesh and checks the answers that callers receive. The other
+//! commands run benchmarks and write tables, CSV files and plots below `docs/measurements`. Each
+//! node is a process: this same program, started with the hidden command `node`, so that no other
+//! program has to be built first. Every command ends without further input, listens on loopback
+//! addresses only, and leaves nothing behind except the files that it writes.
 
 mod all;
 mod baseline;
--- a/crates/experiment/src/node.rs
+++ b/crates/experiment/src/node.rs
@@ -1,4 +1,4 @@
-//! The hidden command `node`: one node process, run as the product's own program runs it.
+//! The hidden command `node`: runs one node, as `dragonflywall node` does.
 
 use std::ffi::OsString;
 use std::os::unix::process::parent_id;
@@ -27,8 +27,10 @@
         text: error.to_string(),
     })?;
     println!("{}", handle.addresses_json());
-    let mut terminate = signal(SignalKind::terminate()).expect("SIGTERM can be handled");
-    let mut interrupt = signal(SignalKind::interrupt()).expect("SIGINT can be handled");
+    let mut terminate =
+        signal(SignalKind::terminate()).expect("the SIGTERM handler can be installed");
+    let mut interrupt =
+        signal(SignalKind::interrupt()).expect("the SIGINT handler can be installed");
     tokio::select! {
         _ = terminate.recv() => (),
         _ = interrupt.recv() => (),
@@ -38,8 +40,9 @@
     Ok(())
 }
 
-/// Ends when the process that started this one has ended. An experiment that is killed cannot
-/// stop its nodes any more, and hundreds of them would go on for ever.
+/// Returns when the parent process has ended, which shows as a new parent id. An experiment that
+/// is killed cannot stop its nodes; without this check hundreds of node processes would keep
+/// running.
 async fn parent_exited() {
     let parent = parent_id();
     while parent_id() == parent {
--- a/crates/experiment/src/observed_mesh.rs
+++ b/crates/experiment/src/observed_mesh.rs
@@ -1,8 +1,10 @@
-//! A mesh of a given size, watched from outside: when each node enforces, what it sends and uses.
+//! A mesh of node processes that is measured from outside: when each node starts to enforce a
+//! version, how many bytes it sends and receives, and how much CPU time and memory it uses.
 //!
-//! Nodes log "enforced a configuration" with their own time stamp; the lines are read here, so
-//! watching costs the nodes nothing. Traffic is counted by the fronts that every connection of
-//! the mesh passes, inside data centres too.
+//! Nodes log "enforced a configuration" with a time stamp when they start to apply a version to
+//! requests. This module reads those log lines, so the measurement adds no requests to the nodes.
+//! Traffic is counted by the TCP forwarders of the test kit, through which every connection passes,
+//! also inside a data centre.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -20,7 +22,7 @@
 use crate::publication;
 use crate::wall_clock::unix_time_us;
 
-/// Services of the design size.
+/// Names of all services that the design size has.
 pub(crate) const SERVICES: [&str; 14] = [
     "service-a",
     "service-b",
@@ -37,19 +39,22 @@
     "service-m",
     "service-n",
 ];
+/// Name, region and region number of each data centre.
 const DATA_CENTRES: [(&str, &str, u8); 4] = [
     ("north-a", "north", 0),
     ("north-b", "north", 0),
     ("south-a", "south", 1),
     ("south-b", "south", 1),
 ];
-/// A publication that is not in force everywhere by then has failed.
+/// A publication or a restart fails if any node does not enforce the version after this time.
 const ENFORCE_TIMEOUT: Duration = Duration::from_secs(30);
 const US_PER_DAY: u64 = 86_400_000_000;
+/// Message that a node logs when it starts to enforce a version.
 const ENFORCED_MESSAGE: &str = "enforced a configuration";
 
-/// The team file of one service: three resources, four routes, a call to the next service. Paths
-/// hold digits of a hash, so that one file does not compress to a copy of another.
+/// Returns the team file of one service, with three resources, four routes and calls to the next
+/// service. Paths contain digits of a hash, so that compression does not reduce each file to a
+/// copy of another.
 pub(crate) fn team_file(service_index: usize, timeout_ms: u32) -> String {
     let service = SERVICES[service_index % SERVICES.len()];
     let hash_hex = blake3::hash(service.as_bytes()).to_hex();
@@ -110,7 +115,8 @@
     )
 }
 
-/// Records of all services, with the given timeouts.
+/// Returns the team records of the first `services` services. `timeout_ms` is the timeout of their
+/// reads.
 pub(crate) fn team_records(services: usize, timeout_ms: u32) -> Result<Vec<TeamRecord>> {
     let mut files: Vec<String> = (0..services.min(SERVICES.len()))
         .map(|service_index| team_file(service_index, timeout_ms))
@@ -118,14 +124,14 @@
     if services < SERVICES.len()
         && let Some(last) = files.last_mut()
     {
-        // The chain of calls must close inside a smaller set.
+        // The last service calls the first one, because the next one is not part of this set.
         let next = format!("{} =", SERVICES[services]);
         *last = last.replace(&next, &format!("{} =", SERVICES[0]));
     }
     publication::parse_team_files(&files)
 }
 
-/// The deployment of `nodes` nodes in 2 regions with 2 data centres each.
+/// Returns a deployment of `nodes` nodes in 2 regions with 2 data centres each.
 fn deployment(nodes: usize, log_lines: mpsc::UnboundedSender<LogLine>) -> Deployment {
     let per_data_centre = (nodes / DATA_CENTRES.len()).max(1);
     let services = per_data_centre.min(4);
@@ -144,7 +150,7 @@
     }
 }
 
-/// What was counted up to a moment.
+/// Counters of the mesh at one time; they grow from its start on.
 #[derive(Clone, Debug)]
 pub(crate) struct Sample {
     taken_at: Instant,
@@ -152,28 +158,30 @@
     total_between_regions_bytes: u64,
     total_platform_bytes: u64,
     platform_requests: RequestCounts,
+    /// CPU time of each running node, by process id.
     processor_times: HashMap<u32, Duration>,
 }
 
-/// What happened between two samples.
+/// Traffic, platform requests and CPU time between two samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Interval {
     pub(crate) seconds: f64,
-    /// Bytes between nodes, both ways.
+    /// Bytes between nodes, in both directions.
     pub(crate) between_nodes_bytes: f64,
-    /// Bytes over the regional link, both ways, those to and from the platform included.
+    /// Bytes over the link between the regions, in both directions, including those to and from the
+    /// platform.
     pub(crate) link_bytes: f64,
-    /// Bytes between nodes and the platform, both ways.
+    /// Bytes between nodes and the platform, in both directions.
     pub(crate) platform_bytes: f64,
     pub(crate) platform_reads: f64,
     pub(crate) platform_writes: f64,
     pub(crate) platform_refused: f64,
-    /// Processor time of all nodes that lived through the interval.
+    /// CPU time of all nodes that ran during the whole interval.
     pub(crate) processor_s: f64,
 }
 
 impl Sample {
-    /// What happened from `self` to `later`.
+    /// Returns the differences between this sample and a later one.
     pub(crate) fn interval_to(&self, later: &Self) -> Interval {
         let processor_s = later.processor_times.iter().filter_map(|(id, time)| {
             let before = self.processor_times.get(id)?;
@@ -206,20 +214,20 @@
 }
 
 impl Interval {
-    /// Control bytes that one node sends and receives in a second. Traffic between nodes is seen
-    /// by two of them.
+    /// Control bytes that one node sends and receives a second, on average over all nodes. Bytes
+    /// between nodes count twice, because one node sends them and another receives them.
     pub(crate) fn node_bytes_per_s(&self, nodes: usize) -> f64 {
         let bytes = 2.0 * self.between_nodes_bytes + self.platform_bytes;
         bytes / self.seconds / nodes as f64
     }
 
-    /// Share of a core that one node uses, in percent.
+    /// Share of a core that one node uses, in percent, on average over all nodes.
     pub(crate) fn node_core_percent(&self, nodes: usize) -> f64 {
         100.0 * self.processor_s / self.seconds / nodes as f64
     }
 }
 
-/// A running mesh of node processes.
+/// A running mesh of node processes, with the log lines that they write.
 #[derive(Debug)]
 pub(crate) struct ObservedMesh {
     pub(crate) mesh: Mesh,
@@ -229,7 +237,8 @@
 }
 
 impl ObservedMesh {
-    /// Starts `nodes` nodes, publishes the whole configuration, waits until all enforce it.
+    /// Starts `nodes` nodes, publishes the whole configuration, and waits until all nodes enforce it
+    /// and have all others as members.
     pub(crate) async fn start(nodes: usize) -> Result<Self> {
         let (sender, log_lines) = mpsc::unbounded_channel();
         let program = std::env::current_exe().map_err(|error| Error::Start {
@@ -251,11 +260,12 @@
         Ok(observed)
     }
 
-    /// Publishes `records`; how long after acceptance each node enforced them.
+    /// Publishes `records` and waits until all nodes enforce them. Returns the time from the commit
+    /// for each node.
     pub(crate) async fn publish(&mut self, records: Vec<TeamRecord>) -> Result<Vec<Duration>> {
         let version = self.version + 1;
         let store = self.store.clone();
-        // The operator is where the platform is: in the first data centre's region.
+        // The operator is in the region of the platform, which is that of the first data centre.
         let region = self.mesh.deployment.data_centres[0].region;
         let publishing =
             publication::publish_and_hint(&store, "experiment", Some(region), records, version);
@@ -264,8 +274,8 @@
         self.wait_enforced(publication.committed_unix_us).await
     }
 
-    /// Kills every node, starts all again, and waits until each enforces what it did before.
-    /// Gives the time from the kill until each enforced.
+    /// Kills all nodes, starts them again, and waits until each enforces the published version.
+    /// Returns the time from the kill for each node.
     pub(crate) async fn restart_all(&mut self) -> Result<Vec<Duration>> {
         while self.log_lines.try_recv().is_ok() {}
         let start_us = unix_time_us();
@@ -281,7 +291,8 @@
         self.wait_enforced(start_us).await
     }
 
-    /// Reads log lines until every node has enforced the published version.
+    /// Reads log lines until every node has logged that it enforces the published version. Returns
+    /// the time from `start_us` (Unix time) for each node.
     async fn wait_enforced(&mut self, start_us: u64) -> Result<Vec<Duration>> {
         let nodes = self.mesh.vms.len();
         let deadline = tokio::time::Instant::now() + ENFORCE_TIMEOUT;
@@ -309,7 +320,7 @@
         Ok(times.into_values().collect())
     }
 
-    /// Counts up to now.
+    /// Reads all counters.
     pub(crate) fn sample(&self) -> Sample {
         let processes = self.process_ids();
         Sample {
@@ -324,14 +335,14 @@
         }
     }
 
-    /// What happens while nothing is done, for `time`.
+    /// Measures the mesh for `time`, without publications or announcements.
     pub(crate) async fn sample_idle(&self, time: Duration) -> Interval {
         let before = self.sample();
         tokio::time::sleep(time).await;
         before.interval_to(&self.sample())
     }
 
-    /// Memory of every node.
+    /// Memory of each running node.
     pub(crate) fn memory(&self) -> Vec<Memory> {
         self.process_ids()
             .filter_map(process_stats::memory)
@@ -344,13 +355,16 @@
     }
 }
 
-/// From one moment to a time of day, which may be a little before it: then 0.
+/// Microseconds from `start_us` to the next such time of day. A node may enforce a version shortly
+/// before the answer to the commit arrives here, which is `start_us`: such an earlier time of day
+/// gives 0, not almost a day.
 fn elapsed_us(start_us: u64, time_of_day_us: u64) -> u64 {
     let after = (time_of_day_us + US_PER_DAY - start_us % US_PER_DAY) % US_PER_DAY;
     if after > US_PER_DAY / 2 { 0 } else { after }
 }
 
-/// Version and time of day (UTC, microseconds) of a log line that says "enforced".
+/// Parses a log line in JSON. Returns version and time of day (UTC, in microseconds) if the line has
+/// [`ENFORCED_MESSAGE`].
 fn parse_enforced_line(line: &str) -> Option<(u64, u64)> {
     let line: serde_json::Value = serde_json::from_str(line).ok()?;
     if line["message"] != ENFORCED_MESSAGE {
@@ -360,7 +374,7 @@
     Some((version, time_of_day_us(line["timestamp"].as_str()?)?))
 }
 
-/// Reads `2026-01-31T22:44:57.172051+02:00`.
+/// Parses a time stamp such as `2026-01-31T22:44:57.172051+02:00`. Returns the time of day in UTC.
 fn time_of_day_us(timestamp: &str) -> Option<u64> {
     let (_, time) = timestamp.split_once('T')?;
     let zone_start = time.find(['+', '-', 'Z', '['])?;
--- a/crates/experiment/src/observed_mesh/tests.rs
+++ b/crates/experiment/src/observed_mesh/tests.rs
@@ -15,9 +15,10 @@
     assert_eq!(time_of_day_us("2026-01-31T00:00:01.5Z"), Some(1_500_000));
 }
 
-/// A run over midnight, or a node a moment ahead of the commit's answer, must not read as a day.
+/// Only the time of day of a log line is compared. A run that passes midnight, and a node that
+/// enforces a version shortly before the commit's answer arrives, must not count as almost a day.
 #[test]
-fn elapsed_time_handles_midnight_and_clock_skew() {
+fn elapsed_time_handles_midnight_and_earlier_times() {
     assert_eq!(elapsed_us(3 * US_PER_DAY - 10, 20), 30);
     assert_eq!(elapsed_us(3 * US_PER_DAY + 100, 40), 0);
 }
@@ -28,10 +29,10 @@
     use dragonflywall::core::routing::RouteTable;
     for services in [2, 7, 14] {
         let mut configuration = Configuration::default();
-        for record in team_records(services, 2_000).expect("every file is accepted") {
+        for record in team_records(services, 2_000).expect("every team file is valid") {
             configuration.teams.insert(record.team.clone(), record);
         }
         assert_eq!(configuration.services().count(), services);
-        RouteTable::compile(&configuration).expect("the set closes");
+        RouteTable::compile(&configuration).expect("every called service is configured");
     }
 }
--- a/crates/experiment/src/options.rs
+++ b/crates/experiment/src/options.rs
@@ -1,4 +1,4 @@
-//! Flags that the measuring commands share.
+//! Command line flags that all benchmark commands share.
 
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -7,17 +7,17 @@
 
 use crate::error::Result;
 
-/// How much to run.
+/// How many sizes a benchmark covers, and for how long it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Scale {
-    /// Small sizes: shows that everything runs.
+    /// Small sizes and short runs, to check that the benchmark works.
     Quick,
-    /// All sizes: the figures of the documentation.
+    /// All sizes; gives the numbers that the documentation publishes.
     Full,
 }
 
 impl Scale {
-    /// The flag that asks for it.
+    /// The command line flag that selects this scale.
     pub(crate) fn flag(self) -> &'static str {
         match self {
             Self::Quick => "--quick",
@@ -26,18 +26,19 @@
     }
 }
 
-/// Flags of a measuring command.
+/// Parsed flags of a benchmark command.
 #[derive(Debug)]
 pub(crate) struct Options {
     pub(crate) scale: Scale,
-    /// The directory of the documentation that results are written into.
+    /// Documentation directory; results are written below it.
     pub(crate) docs: PathBuf,
-    /// Only this size, where sizes are measured.
+    /// Measures only this number of nodes; used by `convergence`.
     pub(crate) nodes: Option<usize>,
 }
 
 impl Options {
-    /// Parses `--quick`, `--full`, `--docs DIR`, `--nodes N`.
+    /// Parses `--quick`, `--full`, `--docs DIR` and `--nodes N`. Without flags: quick, and the
+    /// `docs` directory of this repository.
     pub(crate) fn parse(arguments: Vec<OsString>) -> Result<Self> {
         let mut options = Self {
             scale: Scale::Quick,
--- a/crates/experiment/src/publication.rs
+++ b/crates/experiment/src/publication.rs
@@ -1,4 +1,4 @@
-//! Publications as an operator makes them, through the product's own operations.
+//! Publishes configurations in the same way as the command `dragonflywall publish`.
 
 use std::time::Instant;
 
@@ -14,30 +14,33 @@
 use crate::error::{Error, PublishSnafu, Result};
 use crate::wall_clock::unix_time_us;
 
-/// A publication that took effect.
+/// A version that has been committed, and the time of its commit.
 #[derive(Debug)]
 pub(crate) struct Publication {
-    /// What was published.
+    /// The outcome of the publish operation, with the version and its digest.
     pub(crate) published: Published,
-    /// When the commit had returned.
+    /// Monotonic time at which the commit returned.
     pub(crate) committed_at: Instant,
-    /// The same, in microseconds since the epoch, to compare with nodes' time stamps.
+    /// The same moment in microseconds since the Unix epoch, for comparison with the time stamps
+    /// that nodes log.
     pub(crate) committed_unix_us: u64,
-    /// Nodes that took a hint.
+    /// Number of nodes that accepted a hint about the new version.
     pub(crate) hinted_nodes: usize,
 }
 
-/// Parses team files that must be right.
+/// Parses the texts of team files. An invalid file is an error, because all files come from the
+/// examples or from this program.
 pub(crate) fn parse_team_files(files: &[String]) -> Result<Vec<TeamRecord>> {
     let parse_file = |text: &String| {
         team_file::parse(text).map_err(|findings| Error::Unexpected {
-            text: format!("an example file is refused: {findings:?}"),
+            text: format!("a team file is invalid: {findings:?}"),
         })
     };
     files.iter().map(parse_file).collect()
 }
 
-/// Publishes `records` and hints nodes, as `dragonflywall publish` does.
+/// Publishes `records` and then sends hints about the new version to nodes, first to those of
+/// `region`, the operator's own. Fails if the published version is not `expected_version`.
 pub(crate) async fn publish_and_hint(
     store: &HttpStore,
     operator: &str,
--- a/crates/experiment/src/report.rs
+++ b/crates/experiment/src/report.rs
@@ -1,4 +1,4 @@
-//! Where results go: tables as Markdown, the same rows as CSV, plots as SVG.
+//! Writes results: tables as Markdown, their rows as CSV, plots as SVG.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
@@ -8,9 +8,10 @@
 
 use crate::error::{Error, Result, WriteSnafu};
 
+/// Width and height of a plot in pixels.
 const PLOT_SIZE: (u32, u32) = (720, 420);
 
-/// A table with the command that gives it again.
+/// A table of results, and the command that produces it.
 #[derive(Clone, Debug)]
 pub(crate) struct Table {
     pub(crate) title: &'static str,
@@ -20,7 +21,7 @@
 }
 
 impl Table {
-    /// Rows and heading, without title.
+    /// Markdown text of the header and the rows, without the title.
     pub(crate) fn markdown(&self) -> String {
         let mut text = format!("| {} |\n", self.columns.join(" | "));
         text.push_str(&format!("|{}\n", "---|".repeat(self.columns.len())));
@@ -46,14 +47,14 @@
     }
 }
 
-/// A line of a plot.
+/// One line of a plot: its name in the legend and its (x, y) points.
 #[derive(Clone, Debug)]
 pub(crate) struct Series {
     pub(crate) name: String,
     pub(crate) points: Vec<(f64, f64)>,
 }
 
-/// What a plot shows besides its lines.
+/// Title of a plot and labels of its axes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Axes {
     pub(crate) title: &'static str,
@@ -61,14 +62,14 @@
     pub(crate) y: &'static str,
 }
 
-/// A page of results under `docs/measurements`.
+/// The directory `measurements`, into which result files are written.
 #[derive(Debug)]
 pub(crate) struct Report {
     directory: PathBuf,
 }
 
 impl Report {
-    /// Results go to `docs`, by default that of the repository.
+    /// Creates the directory `measurements` below `docs` if it does not exist.
     pub(crate) fn new(docs: &Path) -> Result<Self> {
         let directory = docs.join("measurements");
         std::fs::create_dir_all(&directory).context(WriteSnafu {
@@ -77,8 +78,8 @@
         Ok(Self { directory })
     }
 
-    /// Writes page `name`: an introduction, then each table with its command; each table's rows
-    /// also as `name-N.csv`.
+    /// Writes `NAME.md`, with the introduction and then each table with its command. Writes the rows
+    /// of table N also to `NAME-N.csv`.
     pub(crate) fn write_page(&self, name: &str, introduction: &str, tables: &[Table]) -> Result {
         let mut text = introduction.to_owned();
         for (index, table) in tables.iter().enumerate() {
@@ -99,7 +100,7 @@
         write_file(&self.directory.join(file), text)
     }
 
-    /// Draws lines over a common horizontal axis.
+    /// Draws all series into one SVG file, over common axes.
     pub(crate) fn write_plot(&self, file: &str, axes: Axes, series: &[Series]) -> Result {
         let path = self.directory.join(file);
         draw_plot(&path, axes, series).map_err(|error| Error::Unexpected {
@@ -110,7 +111,7 @@
     }
 }
 
-/// Writes a file whole.
+/// Writes a file, replacing its content, and prints its name.
 pub(crate) fn write_file(path: &Path, text: &str) -> Result {
     std::fs::write(path, text).context(WriteSnafu {
         path: path.display().to_string(),
@@ -158,7 +159,7 @@
     Ok(())
 }
 
-/// A number with about three digits that matter.
+/// Formats a number with about three significant digits, and NaN as `unknown`.
 pub(crate) fn format_number(value: f64) -> String {
     match value.abs() {
         size if size.is_nan() => "unknown".to_owned(),
--- a/crates/experiment/src/requests.rs
+++ b/crates/experiment/src/requests.rs
@@ -1,8 +1,13 @@
-//! `requests`: what the mesh adds to a call, what it does under overload, and how it drains.
+//! `requests`: measures the latency and CPU time that the mesh adds to a call, the goodput under
+//! overload, and how fast a backend server drains.
 //!
-//! Both deployments are measured with their own slots and connections. The plain policy beside
-//! them is a client that takes the backend servers in turn and sends whatever comes; its backend
-//! servers keep the same slots behind an unbounded queue.
+//! A call enters the mesh at an entry node, which selects an endpoint. The gate node on the
+//! endpoint's VM admits the call to a free slot of its backend server. Both example deployments are
+//! measured, each with its own number of slots and connections.
+//!
+//! For comparison, a client without the mesh sends calls to backend servers by round robin, without
+//! a limit. These have the same number of slots, and an unbounded queue before them. The pages call
+//! this the plain policy.
 
 mod connections;
 mod drain;
@@ -25,17 +30,18 @@
 use crate::publication;
 use crate::report::{Report, Table, format_number};
 
-/// What is called: an interactive, idempotent read.
+/// The route that the benchmark calls: an interactive, idempotent read.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MeasuredRoute {
     pub(crate) service: &'static str,
     pub(crate) path: &'static str,
-    /// Its timeout in the example's team file; a caller waits no longer.
+    /// Timeout in the example's team file, and of the callers.
     pub(crate) timeout_ms: u64,
+    /// Requests that each backend server runs at a time.
     pub(crate) slots: usize,
 }
 
-/// A deployment with its example configuration in force.
+/// A running deployment whose nodes enforce its example configuration.
 #[derive(Debug)]
 pub(crate) struct RunningDeployment {
     pub(crate) name: &'static str,
@@ -62,40 +68,41 @@
         })
     }
 
-    /// VMs of the subject's service.
+    /// VMs of the measured service.
     pub(crate) fn serving_vms(&self) -> impl Iterator<Item = &Vm> {
         let service = self.route.service;
         self.mesh.vms.iter().filter(move |vm| vm.service == service)
     }
 
-    /// A node of another service, in the first data centre.
+    /// The first VM of another service. Its node is the entry node of the measured calls.
     pub(crate) fn entry_vm(&self) -> &Vm {
         let service = self.route.service;
         let other = self.mesh.vms.iter().find(|vm| vm.service != service);
-        other.expect("a deployment has several services")
+        other.expect("a deployment has at least two services")
     }
 
-    /// Where callers connect, at every node.
+    /// Addresses at which the nodes listen for callers, one for each node.
     pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         let vms = self.mesh.vms.iter();
         vms.map(|vm| vm.node().addresses.caller).collect()
     }
 }
 
-/// All that was measured at one deployment.
+/// Results of one deployment.
 #[derive(Debug)]
 pub(crate) struct DeploymentResults {
     pub(crate) name: &'static str,
     pub(crate) slots: usize,
     pub(crate) added_latency: Vec<AddedLatency>,
     pub(crate) cost: CallCost,
-    /// Kilobytes of an entry against its callers' kept connections.
+    /// Anonymous memory of the entry node in kilobytes, over the number of open connections from
+    /// callers.
     pub(crate) connection_kb: LinearFit,
     pub(crate) goodput: Vec<Goodput>,
     pub(crate) drain: drain::DrainResults,
 }
 
-/// Runs the command.
+/// Runs the command: measures both deployments and writes the page.
 pub(crate) async fn run(arguments: Vec<OsString>) -> Result {
     let options = Options::parse(arguments)?;
     let report = Report::new(&options.docs)?;
@@ -155,7 +162,7 @@
     policy is round robin without bound, to backend servers with the same slots and an unbounded\n\
     queue.\n\n![goodput](requests-goodput.svg)\n";
 
-/// Writes page, rows and plot.
+/// Writes `requests.md`, its CSV files and the goodput plot.
 pub(crate) fn write(report: &Report, measured: &[DeploymentResults], scale: Scale) -> Result {
     let command = format!(
         "cargo run --release -p experiment -- requests {}",
--- a/crates/experiment/src/requests/connections.rs
+++ b/crates/experiment/src/requests/connections.rs
@@ -1,4 +1,4 @@
-//! Memory of a caller's idle connection.
+//! Measures the memory that a node needs for an idle connection from a caller.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,11 +11,12 @@
 use crate::fit::LinearFit;
 use crate::process_stats;
 
-/// Connections held open in each step.
+/// Number of connections open at each step.
 const CONNECTION_COUNTS: [usize; 4] = [10, 40, 70, 100];
 const SETTLE_TIME: Duration = Duration::from_millis(200);
 
-/// Kilobytes of the entry node against the number of kept connections, each used once.
+/// Fits the anonymous memory of the entry node, in kilobytes, over the number of open connections.
+/// Each connection carries one request and then stays idle.
 pub(crate) async fn memory_fit(deployment: &RunningDeployment) -> Result<LinearFit> {
     let entry = deployment.entry_vm().node();
     let process = entry.id().unwrap_or(0);
@@ -25,7 +26,7 @@
         while open.len() < count {
             let connection = open_and_use(entry.addresses.caller, deployment).await;
             open.push(connection.map_err(|error| Error::Unexpected {
-                text: format!("connection {} was refused: {error}", open.len() + 1),
+                text: format!("connection {} failed: {error}", open.len() + 1),
             })?);
         }
         tokio::time::sleep(SETTLE_TIME).await;
@@ -33,7 +34,7 @@
         points.push((count as f64, memory.anonymous_kb as f64));
     }
     LinearFit::through(&points).ok_or_else(|| Error::Unexpected {
-        text: "the steps give no slope".to_owned(),
+        text: "no line can be fitted to the measured connection counts".to_owned(),
     })
 }
 
--- a/crates/experiment/src/requests/drain.rs
+++ b/crates/experiment/src/requests/drain.rs
@@ -1,4 +1,4 @@
-//! Time until a draining backend server gets its last new request.
+//! Measures how long a draining backend server still receives new requests.
 
 use std::time::{Duration, Instant};
 
@@ -10,22 +10,25 @@
 
 const WORK_MS: u64 = 100;
 const TIME_BEFORE_DRAIN: Duration = Duration::from_millis(1_000);
-/// Share of capacity offered: three of four endpoints can take it alone.
+/// Offered load as a share of capacity. Three of the four endpoints can handle it without the one
+/// that drains.
 const OFFERED_LOAD: f64 = 0.5;
 
-/// What a drain under load looked like.
+/// Results of a drain under load.
 #[derive(Debug)]
 pub(crate) struct DrainResults {
     pub(crate) offered_per_s: f64,
-    /// From the announcement's answer to the last request that the backend server began.
+    /// From the answer to the announcement until the backend server starts its last new request; 0
+    /// if it starts none after the answer.
     pub(crate) last_new_request_ms: f64,
-    /// Requests that it had begun and did not finish.
+    /// Requests that the backend server started and that were cancelled before it finished them.
     pub(crate) unfinished_requests: u64,
     pub(crate) answered_calls: u64,
     pub(crate) unanswered_calls: u64,
 }
 
-/// Drains the first endpoint in the middle of a steady load, then lets it serve again.
+/// Announces under a steady load that the first endpoint drains, and after the load that it serves
+/// again.
 pub(crate) async fn measure(deployment: &RunningDeployment, scale: Scale) -> Result<DrainResults> {
     let duration = match scale {
         Scale::Quick => Duration::from_secs(2),
--- a/crates/experiment/src/requests/goodput.rs
+++ b/crates/experiment/src/requests/goodput.rs
@@ -1,4 +1,5 @@
-//! Goodput from half of capacity to five times it, beside the plain policy.
+//! Measures goodput at loads from half of the capacity to five times the capacity, through the mesh
+//! and with round robin to backend servers that have unbounded queues.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,10 +17,10 @@
 use crate::options::Scale;
 use crate::report::{Axes, Report, Series, Table, format_number};
 
-/// Time that a backend server takes for a call; with the slots it makes the capacity.
+/// Time that a backend server takes for a call. The capacity is the number of slots divided by it.
 const WORK_TIME: Duration = Duration::from_millis(100);
 
-/// One load, by both policies.
+/// Results at one load, through the mesh and with round robin.
 #[derive(Debug)]
 pub(crate) struct Goodput {
     /// Offered load as a multiple of capacity.
@@ -31,13 +32,14 @@
 }
 
 impl Goodput {
-    /// Answers in time as a share of capacity, in percent.
+    /// Calls answered before the caller's timeout, in percent of capacity.
     pub(crate) fn goodput_percent(&self, summary: &LoadSummary) -> f64 {
         100.0 * summary.answered as f64 / self.duration.as_secs_f64() / self.capacity_per_s
     }
 }
 
-/// Backend server of the plain policy: the same slots and work, an unbounded queue before them.
+/// Backend server of the round robin comparison: the same number of slots and the same work time,
+/// with an unbounded queue before the slots. It stops when dropped.
 struct UnboundedQueueBackend {
     address: SocketAddr,
     stop: CancellationToken,
@@ -67,7 +69,7 @@
     }
 }
 
-/// Runs each load by both policies, one after the other.
+/// Runs each load first through the mesh and then with round robin.
 pub(crate) async fn compare(deployment: &RunningDeployment, scale: Scale) -> Result<Vec<Goodput>> {
     let (loads, duration): (&[f64], Duration) = match scale {
         Scale::Quick => (&[1.0, 5.0], Duration::from_secs(2)),
@@ -105,7 +107,7 @@
     Ok(results)
 }
 
-/// Offers calls to `addresses` in turn; each caller waits as long as the treatment's timeout.
+/// Sends calls to `addresses` by round robin. Each has the timeout of the measured route.
 async fn run_load(
     deployment: &RunningDeployment,
     arrivals: Arrivals,
--- a/crates/experiment/src/requests/latency.rs
+++ b/crates/experiment/src/requests/latency.rs
@@ -1,4 +1,4 @@
-//! Latency that both hops add, and processor time of a call.
+//! Measures the latency that the entry and gate nodes add to a call, and the CPU time of a call.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -11,10 +11,11 @@
 use crate::process_stats::processor_time;
 use crate::report::{Table, format_number};
 
+/// Timeout of each call; a call that takes longer counts as not answered.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 const WARM_UP_TIME: Duration = Duration::from_millis(500);
 
-/// Direct and meshed calls of one run.
+/// Latencies of direct calls to a backend server and of calls through the mesh in one run.
 #[derive(Debug)]
 pub(crate) struct AddedLatency {
     pub(crate) per_s: f64,
@@ -27,13 +28,13 @@
 }
 
 impl AddedLatency {
-    /// What the mesh adds for 99 in 100.
+    /// Difference between the 99th percentiles of calls through the mesh and of direct calls.
     pub(crate) fn p99_ms(&self) -> f64 {
         self.mesh_p99_ms - self.direct_p99_ms
     }
 }
 
-/// Measures at several rates; every other arrival is a direct call.
+/// Measures the added latency at several rates. Half of the calls of each rate are direct.
 pub(crate) async fn added_latency(
     deployment: &RunningDeployment,
     scale: Scale,
@@ -61,7 +62,7 @@
     results
 }
 
-/// Sends even arrivals directly and odd ones through the mesh.
+/// Sends half of `per_s` calls a second directly to a backend server and half through the mesh.
 async fn measure_direct_and_mesh(
     deployment: &RunningDeployment,
     per_s: f64,
@@ -73,7 +74,8 @@
         .expect("the service is deployed");
     let direct = direct.backend.address;
     let entry = deployment.entry_vm().node().addresses.caller;
-    // Each way is an open loop of its own, both at the same time in the same process.
+    // Each half has its own open loop. Both run at the same time, so that the load of the machine
+    // affects them equally.
     let run_load = |address, seed| {
         let caller = Caller::new();
         let route = deployment.route;
@@ -98,23 +100,28 @@
     [direct, mesh]
 }
 
-/// Processor time of one call at each node that it passes.
+/// CPU time of a call at the entry node and at the gate nodes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallCost {
-    /// Calls a second for each core of the entry.
+    /// CPU time of the entry node in microseconds a second, over calls a second: the slope is the CPU
+    /// time of a call in microseconds.
     pub(crate) entry_fit: LinearFit,
+    /// The same for all gate nodes of the service together.
     pub(crate) gate_fit: LinearFit,
-    /// Calls a second at saturation, and the processor time per call there, in microseconds.
+    /// Calls a second at saturation.
     pub(crate) saturated_per_s: f64,
+    /// CPU time of a call at the entry node at saturation, in microseconds.
     pub(crate) entry_us: f64,
+    /// CPU time of a call at the gate nodes at saturation, in microseconds.
     pub(crate) gate_us: f64,
-    /// Caller and backend server together, for a direct call, in microseconds.
+    /// CPU time of a direct call at saturation, in microseconds, of caller and backend server
+    /// together.
     pub(crate) direct_us: f64,
-    /// Direct calls a second by the same number of callers.
+    /// Direct calls a second at saturation, with the same number of callers.
     pub(crate) direct_per_s: f64,
 }
 
-/// Processor time of entry and gate against the rate, and at saturation.
+/// Measures the CPU time of entry and gate nodes at several rates and at saturation.
 pub(crate) async fn call_cost(deployment: &RunningDeployment, scale: Scale) -> Result<CallCost> {
     let (rates, duration): (&[f64], Duration) = match scale {
         Scale::Quick => (&[200.0, 800.0], Duration::from_secs(1)),
@@ -129,7 +136,7 @@
         gate_points.push((calls / seconds, 1e6 * gate_s / seconds));
     }
     let no_fit = || Error::Unexpected {
-        text: "the rates give no slope".to_owned(),
+        text: "no line can be fitted to the measured rates".to_owned(),
     };
     let direct_address = deployment.serving_vms().next().map(|vm| vm.backend.address);
     let direct_address = direct_address.expect("the service is deployed");
@@ -149,7 +156,7 @@
     })
 }
 
-/// The entry's process, then those of all gates of the service.
+/// Process id of the entry node, followed by those of all gate nodes of the service.
 fn process_ids(deployment: &RunningDeployment) -> Vec<u32> {
     let entry = deployment.entry_vm().node().id();
     let gates = deployment.serving_vms().filter_map(|vm| vm.node().id());
@@ -199,10 +206,12 @@
 
 struct Saturated {
     per_s: f64,
+    /// CPU time of each process for one call, in microseconds.
     processor_us: Vec<f64>,
 }
 
-/// As many callers as the service has slots, each calling again as soon as it is answered.
+/// Runs a closed loop for `duration`, with one caller fewer than a backend server has slots. Each
+/// caller sends its next call as soon as the previous one has ended.
 async fn saturate(
     deployment: &RunningDeployment,
     address: std::net::SocketAddr,
--- a/crates/experiment/src/slopes.rs
+++ b/crates/experiment/src/slopes.rs
@@ -1,7 +1,8 @@
-//! `slopes`: what the state machines cost by themselves, measured in this process.
+//! `slopes`: measures the CPU time and memory of a node's state machines, inside this process.
 //!
-//! The mesh of processes shows the cost of whole nodes at sizes that fit on one machine; here the
-//! same code runs at the design size itself, without sockets.
+//! The other benchmarks run whole nodes, at sizes that fit on one machine. This one runs the code
+//! that holds a node's configuration and its view of all members, without sockets and up to the
+//! design size.
 
 mod membership;
 
@@ -21,24 +22,29 @@
 use crate::process_stats;
 use crate::report::{Report, Table, format_number};
 
-/// Copies that are held at once: their memory together is far above a page.
+/// Copies that are in memory at the same time. Together they need far more than a page, which is the
+/// unit in which the kernel counts memory.
 const COPIES: usize = 64;
+/// Repetitions over which times are averaged.
 const REPEATS: u32 = 200;
 
-/// What a node's configuration costs with so many services.
+/// Cost of the configuration that a node holds, for a given number of services.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HolderCost {
     pub(crate) services: usize,
     pub(crate) canonical_bytes: usize,
     pub(crate) snapshot_bytes: usize,
     pub(crate) delta_bytes: usize,
-    /// Verify, check for closure, compile, swap.
+    /// Time to verify a snapshot, check that every service that it refers to exists, compile it and
+    /// replace the current configuration.
     pub(crate) apply_snapshot_us: f64,
+    /// The same for a delta that changes one team.
     pub(crate) apply_delta_us: f64,
+    /// Anonymous memory of a holder with a snapshot and a delta applied.
     pub(crate) memory_kb: f64,
 }
 
-/// Runs the command.
+/// Runs the command: measures the state machines and writes the page.
 pub(crate) async fn run(arguments: Vec<OsString>) -> Result {
     let options = Options::parse(arguments)?;
     let report = Report::new(&options.docs)?;
@@ -46,14 +52,15 @@
     write(&report, &measured, options.scale)
 }
 
-/// Everything that this command measures.
+/// Costs of all state machines that this command measures.
 #[derive(Debug)]
 pub(crate) struct StateMachineCosts {
     pub(crate) holder: Vec<HolderCost>,
     membership: Vec<MembershipCost>,
 }
 
-/// Measures the configuration holder with 2 to 14 services and the view of 65 to 520 members.
+/// Measures the configuration holder with 2 to 14 services, and the membership view with 65 to 520
+/// members.
 pub(crate) fn measure(scale: Scale) -> Result<StateMachineCosts> {
     let services: &[usize] = match scale {
         Scale::Quick => &[2, 14],
@@ -124,7 +131,8 @@
         holders.push(holder);
     }
     let memory_kb = (own_anonymous_kb() - before_kb).max(0.0) / COPIES as f64;
-    // Kept beyond the next size, or its growth would come out of what this one gives back.
+    // Leaks the copies on purpose: if they were freed, the next size would reuse their memory and
+    // its growth would not be measured.
     std::mem::forget(holders);
     Ok(HolderCost {
         services,
@@ -144,7 +152,7 @@
 const INTRODUCTION: &str = "# State machines by themselves\n\n\
     Measured inside one process, without sockets, at the sizes of the design.\n";
 
-/// Writes the page.
+/// Writes `slopes.md` and its CSV files.
 pub(crate) fn write(report: &Report, measured: &StateMachineCosts, scale: Scale) -> Result {
     let command = format!(
         "cargo run --release -p experiment -- slopes {}",
--- a/crates/experiment/src/slopes/membership.rs
+++ b/crates/experiment/src/slopes/membership.rs
@@ -1,4 +1,4 @@
-//! Cost of one node's view of all members, up to the design size itself.
+//! Measures the cost of one node's view of all members, up to the design size.
 
 use std::hint::black_box;
 use std::net::SocketAddr;
@@ -15,22 +15,26 @@
 use crate::report::{Table, format_number};
 use crate::requirements;
 
-/// Views that are held at once: their memory together is far above a page.
+/// Views that are in memory at the same time. Together they need far more than a page, which is the
+/// unit in which the kernel counts memory.
 const COPIES: usize = 16;
+/// Repetitions over which times are averaged.
 const REPEATS: u32 = 500;
-/// Time between ticks of the driver.
+/// Simulated time between two ticks of the view.
 const TICK_MS: u64 = 250;
 
-/// What a view of so many members costs.
+/// Cost of a view, for a given number of members.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MembershipCost {
     members: usize,
     memory_kb: f64,
-    /// To take in one statement that is news, and answer.
+    /// Time to process a message with one changed member and to create the answer.
     receive_update_us: f64,
-    /// To take in a message without news, and answer.
+    /// Time to process a message without changes and to create the answer.
     receive_heartbeat_us: f64,
+    /// Time of a periodic tick, which expires suspicions and creates the messages that are due.
     tick_us: f64,
+    /// Members that the node gossips with.
     neighbours: usize,
 }
 
@@ -44,7 +48,7 @@
     measured
 }
 
-/// A member in one of 6 data centres of 2 regions.
+/// Returns a member that differs by `number`, in one of 6 data centres of 2 regions.
 fn numbered_member(number: usize) -> Member {
     let data_centres = requirements::DATA_CENTRES as usize;
     let data_centre = number % data_centres;
@@ -117,7 +121,8 @@
         now_ms += TICK_MS;
     }
     let neighbours = view.neighbours().count();
-    // Kept beyond the next size, or its growth would come out of what this one gives back.
+    // Leaks the views on purpose: if they were freed, the next size would reuse their memory and its
+    // growth would not be measured.
     std::mem::forget(views);
     let repeats = f64::from(REPEATS);
     MembershipCost {
--- a/crates/experiment/tests/demo.rs
+++ b/crates/experiment/tests/demo.rs
@@ -1,11 +1,11 @@
-//! The README's first command.
+//! Runs the `experiment` program: the demo, which is the first command of the README, and errors.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A newcomer runs the README's first command: it ends by itself, succeeds, and shows both
-/// versions at all four data centres and the callers' answers.
+/// The demo ends without further input and succeeds. Its output shows that a data centre enforces
+/// both versions at all of its nodes, and the number of answers that callers received.
 #[test]
 fn demo_succeeds_for_each_deployment() {
     for (name, data_centre) in [("chatarras", "leon"), ("marinhas", "olhao-b")] {
@@ -23,7 +23,7 @@
     }
 }
 
-/// A mistyped command names the mistake and exits with the code for usage.
+/// For an unknown command the error names the command, and the exit code is that of usage errors.
 #[test]
 fn unknown_command_is_a_usage_error() {
     let output = Command::new(env!("CARGO_BIN_EXE_experiment"))
@@ -35,9 +35,8 @@
     assert!(text.contains("`dmeo` is not a command"), "{text}");
 }
 
-/// Whoever started an experiment kills it with a signal that it cannot handle: its nodes lose the
-/// one that would stop them, and without a guard go on for ever. They notice that their parent is
-/// another one and end.
+/// An experiment that is killed with SIGKILL cannot stop its node processes, and they would keep
+/// running. They must detect that their parent process has ended, and exit.
 #[test]
 fn killed_experiment_leaves_no_nodes() {
     let mut demo = Command::new(env!("CARGO_BIN_EXE_experiment"))
@@ -47,21 +46,27 @@
         .expect("the program runs");
     let stdout = demo.stdout.take().expect("stdout is piped");
     let started = BufReader::new(stdout).lines().next();
-    let started = started.expect("a line").expect("text");
+    let started = started
+        .expect("the demo prints a line")
+        .expect("the line is UTF-8");
     assert!(started.starts_with("Started chatarras"), "{started}");
     let nodes = children(demo.id());
     assert_eq!(nodes.len(), 16, "{nodes:?}");
-    demo.kill().expect("it still runs");
-    demo.wait().expect("it ended");
+    demo.kill().expect("the demo is still running");
+    demo.wait().expect("the demo has been killed");
     let deadline = Instant::now() + Duration::from_secs(60);
     while nodes.iter().any(|node| is_node(*node)) {
-        assert!(Instant::now() < deadline, "a node outlived its experiment");
+        assert!(
+            Instant::now() < deadline,
+            "a node still runs after its experiment was killed"
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
 fn children(parent: u32) -> Vec<u32> {
-    let threads = std::fs::read_dir(format!("/proc/{parent}/task")).expect("it still runs");
+    let threads =
+        std::fs::read_dir(format!("/proc/{parent}/task")).expect("the parent process is running");
     let lists = threads.filter_map(|thread| {
         let list = thread.ok()?.path().join("children");
         std::fs::read_to_string(list).ok()
