--- a/crates/experiment/src/all.rs
+++ b/crates/experiment/src/all.rs
@@ -14,7 +14,7 @@
 pub(crate) async fn run(arguments: Vec<OsString>) -> Result {
     let options = Options::parse(arguments)?;
     let scale = options.scale;
-    let begin = Instant::now();
+    let started = Instant::now();
     let report = Report::new(&options.docs)?;
     let slopes = slopes::measure(scale)?;
     slopes::write(&report, &slopes, scale)?;
@@ -33,7 +33,7 @@
         holder: slopes.holder,
     };
     capacity::update_page(&options.docs, &results, scale)?;
-    println!("Finished in {:.0} s", begin.elapsed().as_secs_f64());
+    println!("Finished in {:.0} s", started.elapsed().as_secs_f64());
     requests_result.and(convergence_result)
 }
 
--- a/crates/experiment/src/baseline.rs
+++ b/crates/experiment/src/baseline.rs
@@ -64,7 +64,7 @@
     }
     wait_for_version(&mut received, nodes, 1).await?;
 
-    let begin = Instant::now();
+    let started = Instant::now();
     let bytes = forwarder.bytes();
     let link_bytes = network.bytes_between_regions();
     let reads = platform.counts().reads;
@@ -79,7 +79,7 @@
                 .push(received_at.duration_since(committed_at));
         }
     }
-    let seconds = begin.elapsed().as_secs_f64();
+    let seconds = started.elapsed().as_secs_f64();
     results.bytes_per_s = (forwarder.bytes() - bytes) as f64 / seconds;
     results.link_bytes_per_s = (network.bytes_between_regions() - link_bytes) as f64 / seconds;
     results.reads_per_s = (platform.counts().reads - reads) as f64 / seconds;
--- a/crates/experiment/src/capacity.rs
+++ b/crates/experiment/src/capacity.rs
@@ -76,8 +76,10 @@
     fn from_sizes(measured: &[convergence::SizeResults]) -> Result<Self> {
         let fitted = fitted_sizes(measured);
         let slope = |label, limit, cost: &dyn Fn(&convergence::SizeResults) -> f64| {
-            let points: Vec<(f64, f64)> =
-                fitted.iter().map(|m| (m.nodes as f64, cost(m))).collect();
+            let points: Vec<(f64, f64)> = fitted
+                .iter()
+                .map(|size| (size.nodes as f64, cost(size)))
+                .collect();
             let fit = LinearFit::through(&points).ok_or_else(|| Error::Unexpected {
                 text: format!("fewer than two sizes to fit a line to: {label}"),
             })?;
@@ -87,83 +89,85 @@
             node_idle_bytes_per_s: slope(
                 "control bytes/s of a node, idle",
                 Some(requirements::CONTROL_BYTES_PER_S_MAX),
-                &|m| m.idle_interval.node_bytes_per_s(m.nodes),
+                &|size| size.idle_interval.node_bytes_per_s(size.nodes),
             )?,
             node_idle_core_percent: slope(
                 "processor of a node, idle, % of a core",
                 Some(requirements::CORE_PERCENT_MAX),
-                &|m| m.idle_interval.node_core_percent(m.nodes),
+                &|size| size.idle_interval.node_core_percent(size.nodes),
             )?,
             anonymous_mb: slope(
                 "memory of the largest node, its own, MB",
                 Some(requirements::MEMORY_MAX_MB),
-                &|m| m.anonymous_mb,
+                &|size| size.anonymous_mb,
             )?,
             resident_mb: slope(
                 "memory of the largest node, with the program file, MB",
                 Some(requirements::MEMORY_MAX_MB),
-                &|m| m.resident_mb,
+                &|size| size.resident_mb,
             )?,
             enforced_after_p99_ms: slope(
                 "acceptance to enforcing, p99 ms",
                 Some(requirements::ENFORCED_AFTER_MAX_MS),
-                &|m| m.enforced_after_ms.value_at_quantile(0.99) as f64,
+                &|size| size.enforced_after_ms.value_at_quantile(0.99) as f64,
             )?,
             idle_link_bytes_per_s: slope(
                 "regional link, idle, bytes/s both ways",
                 Some(2.0 * requirements::LINK_BYTES_PER_S),
-                &|m| m.idle_interval.link_bytes / m.idle_interval.seconds,
+                &|size| size.idle_interval.link_bytes / size.idle_interval.seconds,
             )?,
-            link_bytes_per_change: slope("regional link, bytes per change", None, &|m| {
-                m.link_bytes_per_change()
+            link_bytes_per_change: slope("regional link, bytes per change", None, &|size| {
+                size.link_bytes_per_change()
             })?,
-            node_bytes_per_change: slope("bytes per node and change", None, &|m| {
-                m.bytes_per_change() / m.nodes as f64
+            node_bytes_per_change: slope("bytes per node and change", None, &|size| {
+                size.bytes_per_change() / size.nodes as f64
             })?,
-            processor_ms_per_change: slope("processor ms per node and change", None, &|m| {
-                m.processor_ms_per_change() / m.nodes as f64
+            processor_ms_per_change: slope("processor ms per node and change", None, &|size| {
+                size.processor_ms_per_change() / size.nodes as f64
             })?,
-            node_bytes_per_announcement: slope("bytes per node and announcement", None, &|m| {
-                m.bytes_per_announcement() / m.nodes as f64
+            node_bytes_per_announcement: slope("bytes per node and announcement", None, &|size| {
+                size.bytes_per_announcement() / size.nodes as f64
             })?,
             idle_reads_per_s: slope(
                 "platform reads/s, idle",
                 Some(requirements::PLATFORM_READS_PER_S),
-                &|m| m.idle_interval.platform_reads / m.idle_interval.seconds,
+                &|size| size.idle_interval.platform_reads / size.idle_interval.seconds,
             )?,
             idle_writes_per_s: slope(
                 "platform writes/s, idle",
                 Some(requirements::PLATFORM_WRITES_PER_S),
-                &|m| m.idle_interval.platform_writes / m.idle_interval.seconds,
+                &|size| size.idle_interval.platform_writes / size.idle_interval.seconds,
             )?,
-            reads_per_change: slope("platform reads per change", None, &|m| m.reads_per_change())?,
-            writes_per_change: slope("platform writes per change", None, &|m| {
-                m.writes_per_change()
+            reads_per_change: slope("platform reads per change", None, &|size| {
+                size.reads_per_change()
             })?,
-            full_restart_p99_ms: slope("herd restart: kill to enforcing, p99 ms", None, &|m| {
-                m.full_restart_ms.value_at_quantile(0.99) as f64
+            writes_per_change: slope("platform writes per change", None, &|size| {
+                size.writes_per_change()
             })?,
-            full_restart_node_bytes: slope("herd restart: bytes per node", None, &|m| {
-                m.full_restart_interval.between_nodes_bytes / m.nodes as f64
+            full_restart_p99_ms: slope("herd restart: kill to enforcing, p99 ms", None, &|size| {
+                size.full_restart_ms.value_at_quantile(0.99) as f64
             })?,
-            full_restart_link_bytes: slope("herd restart: regional link, bytes", None, &|m| {
-                m.full_restart_interval.link_bytes
+            full_restart_node_bytes: slope("herd restart: bytes per node", None, &|size| {
+                size.full_restart_interval.between_nodes_bytes / size.nodes as f64
             })?,
-            full_restart_reads: slope("herd restart: platform reads", None, &|m| {
-                m.full_restart_interval.platform_reads
+            full_restart_link_bytes: slope("herd restart: regional link, bytes", None, &|size| {
+                size.full_restart_interval.link_bytes
             })?,
-            full_restart_writes: slope("herd restart: platform writes", None, &|m| {
-                m.full_restart_interval.platform_writes
+            full_restart_reads: slope("herd restart: platform reads", None, &|size| {
+                size.full_restart_interval.platform_reads
+            })?,
+            full_restart_writes: slope("herd restart: platform writes", None, &|size| {
+                size.full_restart_interval.platform_writes
             })?,
             full_restart_peak_reads: slope(
                 "herd restart: most platform reads in 1 s",
                 Some(requirements::PLATFORM_READS_PER_S),
-                &|m| m.full_restart_peaks.reads_per_s as f64,
+                &|size| size.full_restart_peaks.reads_per_s as f64,
             )?,
             full_restart_peak_writes: slope(
                 "herd restart: most platform writes in 1 s",
                 Some(requirements::PLATFORM_WRITES_PER_S),
-                &|m| m.full_restart_peaks.writes_per_s as f64,
+                &|size| size.full_restart_peaks.writes_per_s as f64,
             )?,
         })
     }
@@ -198,7 +202,7 @@
 /// The sizes that lines are fitted to: those from [`MIN_FITTED_NODES`] on, or all if fewer than two
 /// are that large. `measured` is in ascending order of nodes.
 fn fitted_sizes(measured: &[convergence::SizeResults]) -> &[convergence::SizeResults] {
-    let first_large = measured.partition_point(|m| m.nodes < MIN_FITTED_NODES);
+    let first_large = measured.partition_point(|size| size.nodes < MIN_FITTED_NODES);
     let large = &measured[first_large..];
     if large.len() < 2 { measured } else { large }
 }
@@ -233,7 +237,7 @@
     let nodes: Vec<String> = results
         .convergence
         .iter()
-        .map(|m| m.nodes.to_string())
+        .map(|size| size.nodes.to_string())
         .collect();
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     let fitted = fitted_sizes(&results.convergence);
@@ -242,7 +246,7 @@
          {cores} cores that all of them share. The lines go through the sizes from {} on.\n",
         scale.flag(),
         nodes.join(", "),
-        fitted.first().map_or(0, |m| m.nodes)
+        fitted.first().map_or(0, |size| size.nodes)
     )
 }
 
--- a/crates/experiment/src/capacity/roles.rs
+++ b/crates/experiment/src/capacity/roles.rs
@@ -176,7 +176,10 @@
 }
 
 fn object_store_row(slopes: &Slopes, results: &Results) -> Vec<String> {
-    let delta_bytes = results.convergence.last().map_or(0.0, |m| m.delta_bytes);
+    let delta_bytes = results
+        .convergence
+        .last()
+        .map_or(0.0, |size| size.delta_bytes);
     let snapshot_bytes = results
         .holder
         .last()
--- a/crates/experiment/src/convergence/pages.rs
+++ b/crates/experiment/src/convergence/pages.rs
@@ -55,24 +55,24 @@
 }
 
 fn enforced_after_table(measured: &[SizeResults], command: &str) -> Table {
-    let row = |m: &SizeResults| {
-        let [p50, p99, max] = quantiles(&m.enforced_after_ms);
+    let row = |size: &SizeResults| {
+        let [p50, p99, max] = quantiles(&size.enforced_after_ms);
         let [polling_p50, polling_p99, polling_max] =
-            quantiles(&time_histogram(&m.baseline.enforced_after));
-        let link = m.link_bytes_per_change();
+            quantiles(&time_histogram(&size.baseline.enforced_after));
+        let link = size.link_bytes_per_change();
         vec![
-            m.nodes.to_string(),
-            m.publication_count.to_string(),
+            size.nodes.to_string(),
+            size.publication_count.to_string(),
             p50,
             p99,
             max,
             polling_p50,
             polling_p99,
             polling_max,
-            format_number(m.delta_bytes),
+            format_number(size.delta_bytes),
             format_number(link),
-            format_number(link / m.delta_bytes),
-            format_number(m.bytes_per_change() / m.nodes as f64),
+            format_number(link / size.delta_bytes),
+            format_number(size.bytes_per_change() / size.nodes as f64),
         ]
     };
     Table {
@@ -97,20 +97,20 @@
 }
 
 fn cost_table(measured: &[SizeResults], command: &str) -> Table {
-    let row = |m: &SizeResults| {
+    let row = |size: &SizeResults| {
         vec![
-            m.nodes.to_string(),
-            format_number(m.idle_interval.node_bytes_per_s(m.nodes)),
-            format_number(m.baseline.bytes_per_s / m.nodes as f64),
-            format_number(m.idle_interval.link_bytes / m.idle_interval.seconds),
-            format_number(m.baseline.link_bytes_per_s),
-            format_number(m.idle_interval.platform_reads / m.idle_interval.seconds),
-            format_number(m.baseline.reads_per_s),
-            format_number(m.idle_interval.node_core_percent(m.nodes)),
-            format_number(m.processor_ms_per_change() / m.nodes as f64),
-            format_number(m.bytes_per_announcement() / m.nodes as f64),
-            format_number(m.anonymous_mb),
-            format_number(m.resident_mb),
+            size.nodes.to_string(),
+            format_number(size.idle_interval.node_bytes_per_s(size.nodes)),
+            format_number(size.baseline.bytes_per_s / size.nodes as f64),
+            format_number(size.idle_interval.link_bytes / size.idle_interval.seconds),
+            format_number(size.baseline.link_bytes_per_s),
+            format_number(size.idle_interval.platform_reads / size.idle_interval.seconds),
+            format_number(size.baseline.reads_per_s),
+            format_number(size.idle_interval.node_core_percent(size.nodes)),
+            format_number(size.processor_ms_per_change() / size.nodes as f64),
+            format_number(size.bytes_per_announcement() / size.nodes as f64),
+            format_number(size.anonymous_mb),
+            format_number(size.resident_mb),
         ]
     };
     Table {
@@ -135,20 +135,20 @@
 }
 
 fn full_restart_table(measured: &[SizeResults], command: &str) -> Table {
-    let row = |m: &SizeResults| {
-        let [p50, p99, max] = quantiles(&m.full_restart_ms);
+    let row = |size: &SizeResults| {
+        let [p50, p99, max] = quantiles(&size.full_restart_ms);
         vec![
-            m.nodes.to_string(),
+            size.nodes.to_string(),
             p50,
             p99,
             max,
-            format_number(m.full_restart_interval.between_nodes_bytes / m.nodes as f64),
-            format_number(m.full_restart_interval.link_bytes),
-            format_number(m.full_restart_interval.platform_reads),
-            format_number(m.full_restart_interval.platform_writes),
-            m.full_restart_peaks.reads_per_s.to_string(),
-            m.full_restart_peaks.writes_per_s.to_string(),
-            format_number(m.full_restart_interval.platform_refused),
+            format_number(size.full_restart_interval.between_nodes_bytes / size.nodes as f64),
+            format_number(size.full_restart_interval.link_bytes),
+            format_number(size.full_restart_interval.platform_reads),
+            format_number(size.full_restart_interval.platform_writes),
+            size.full_restart_peaks.reads_per_s.to_string(),
+            size.full_restart_peaks.writes_per_s.to_string(),
+            format_number(size.full_restart_interval.platform_refused),
         ]
     };
     Table {
@@ -178,7 +178,10 @@
 ) -> Series {
     Series {
         name: name.to_owned(),
-        points: measured.iter().map(|m| (m.nodes as f64, y(m))).collect(),
+        points: measured
+            .iter()
+            .map(|size| (size.nodes as f64, y(size)))
+            .collect(),
     }
 }
 
@@ -189,17 +192,17 @@
         y: "ms",
     };
     let series = [
-        series_over_nodes("p50", measured, |m| {
-            m.enforced_after_ms.value_at_quantile(0.5) as f64
+        series_over_nodes("p50", measured, |size| {
+            size.enforced_after_ms.value_at_quantile(0.5) as f64
         }),
-        series_over_nodes("p99", measured, |m| {
-            m.enforced_after_ms.value_at_quantile(0.99) as f64
+        series_over_nodes("p99", measured, |size| {
+            size.enforced_after_ms.value_at_quantile(0.99) as f64
         }),
-        series_over_nodes("polling p50", measured, |m| {
-            time_histogram(&m.baseline.enforced_after).value_at_quantile(0.5) as f64
+        series_over_nodes("polling p50", measured, |size| {
+            time_histogram(&size.baseline.enforced_after).value_at_quantile(0.5) as f64
         }),
-        series_over_nodes("polling p99", measured, |m| {
-            time_histogram(&m.baseline.enforced_after).value_at_quantile(0.99) as f64
+        series_over_nodes("polling p99", measured, |size| {
+            time_histogram(&size.baseline.enforced_after).value_at_quantile(0.99) as f64
         }),
     ];
     report.write_plot("convergence-time.svg", axes, &series)
@@ -212,11 +215,11 @@
         y: "bytes/s per node",
     };
     let series = [
-        series_over_nodes("dragonflywall", measured, |m| {
-            m.idle_interval.node_bytes_per_s(m.nodes)
+        series_over_nodes("dragonflywall", measured, |size| {
+            size.idle_interval.node_bytes_per_s(size.nodes)
         }),
-        series_over_nodes("polling", measured, |m| {
-            m.baseline.bytes_per_s / m.nodes as f64
+        series_over_nodes("polling", measured, |size| {
+            size.baseline.bytes_per_s / size.nodes as f64
         }),
         series_over_nodes("users' limit", measured, |_| 2_000.0),
     ];
--- a/crates/experiment/src/demo.rs
+++ b/crates/experiment/src/demo.rs
@@ -117,7 +117,10 @@
     version: u64,
 ) -> Result<Publication> {
     let records = publication::parse_team_files(files)?;
-    let teams: Vec<String> = records.iter().map(|r| r.team.to_string()).collect();
+    let teams: Vec<String> = records
+        .iter()
+        .map(|record| record.team.to_string())
+        .collect();
     let publication = publication::publish_and_hint(store, "demo", None, records, version).await?;
     println!(
         "Published: version {} with {}; hinted {} nodes",
--- a/crates/experiment/src/requests.rs
+++ b/crates/experiment/src/requests.rs
@@ -179,14 +179,14 @@
 }
 
 fn drain_table(measured: &[DeploymentResults], command: &str) -> Table {
-    let row = |m: &DeploymentResults| {
+    let row = |results: &DeploymentResults| {
         vec![
-            m.name.to_owned(),
-            format_number(m.drain.offered_per_s),
-            format_number(m.drain.last_new_request_ms),
-            m.drain.unfinished_requests.to_string(),
-            m.drain.answered_calls.to_string(),
-            m.drain.unanswered_calls.to_string(),
+            results.name.to_owned(),
+            format_number(results.drain.offered_per_s),
+            format_number(results.drain.last_new_request_ms),
+            results.drain.unfinished_requests.to_string(),
+            results.drain.answered_calls.to_string(),
+            results.drain.unanswered_calls.to_string(),
         ]
     };
     Table {
--- a/crates/experiment/src/requests/goodput.rs
+++ b/crates/experiment/src/requests/goodput.rs
@@ -94,7 +94,7 @@
                 text: error.to_string(),
             })?);
         }
-        let addresses = backends.iter().map(|b| b.address).collect();
+        let addresses = backends.iter().map(|backend| backend.address).collect();
         let round_robin = run_load(deployment, arrivals, addresses, &path).await;
         results.push(Goodput {
             load,
@@ -136,20 +136,23 @@
 }
 
 pub(super) fn table(measured: &[DeploymentResults], command: &str) -> Table {
-    let row = |m: &DeploymentResults, g: &Goodput| {
+    let row = |deployment_results: &DeploymentResults, goodput: &Goodput| {
         vec![
-            m.name.to_owned(),
-            m.slots.to_string(),
-            format!("{}x", g.load),
-            format_number(g.load * g.capacity_per_s),
-            format_number(g.goodput_percent(&g.mesh)),
-            format_number(g.goodput_percent(&g.round_robin)),
-            format_number(g.mesh.latency_ms(0.5)),
-            format_number(g.mesh.latency_ms(0.99)),
-            format_number(g.round_robin.latency_ms(0.99)),
-            g.mesh.refused.to_string(),
-            format!("{} / {}", g.mesh.timed_out, g.mesh.failed),
-            format!("{} / {}", g.round_robin.timed_out, g.round_robin.failed),
+            deployment_results.name.to_owned(),
+            deployment_results.slots.to_string(),
+            format!("{}x", goodput.load),
+            format_number(goodput.load * goodput.capacity_per_s),
+            format_number(goodput.goodput_percent(&goodput.mesh)),
+            format_number(goodput.goodput_percent(&goodput.round_robin)),
+            format_number(goodput.mesh.latency_ms(0.5)),
+            format_number(goodput.mesh.latency_ms(0.99)),
+            format_number(goodput.round_robin.latency_ms(0.99)),
+            goodput.mesh.refused.to_string(),
+            format!("{} / {}", goodput.mesh.timed_out, goodput.mesh.failed),
+            format!(
+                "{} / {}",
+                goodput.round_robin.timed_out, goodput.round_robin.failed
+            ),
         ]
     };
     Table {
@@ -171,7 +174,12 @@
         ],
         rows: measured
             .iter()
-            .flat_map(|m| m.goodput.iter().map(move |g| row(m, g)))
+            .flat_map(|deployment_results| {
+                deployment_results
+                    .goodput
+                    .iter()
+                    .map(move |goodput| row(deployment_results, goodput))
+            })
             .collect(),
     }
 }
@@ -183,17 +191,22 @@
         y: "answers in time, % of capacity",
     };
     let mut series = Vec::new();
-    for m in measured {
+    for deployment_results in measured {
         let series_of = |name: String, percent_of: &dyn Fn(&Goodput) -> f64| Series {
             name,
-            points: m.goodput.iter().map(|g| (g.load, percent_of(g))).collect(),
+            points: deployment_results
+                .goodput
+                .iter()
+                .map(|goodput| (goodput.load, percent_of(goodput)))
+                .collect(),
         };
-        series.push(series_of(m.name.to_owned(), &|g| {
-            g.goodput_percent(&g.mesh)
-        }));
-        series.push(series_of(format!("{}, plain", m.name), &|g| {
-            g.goodput_percent(&g.round_robin)
+        series.push(series_of(deployment_results.name.to_owned(), &|goodput| {
+            goodput.goodput_percent(&goodput.mesh)
         }));
+        series.push(series_of(
+            format!("{}, plain", deployment_results.name),
+            &|goodput| goodput.goodput_percent(&goodput.round_robin),
+        ));
     }
     report.write_plot("requests-goodput.svg", axes, &series)
 }
--- a/crates/experiment/src/requests/latency.rs
+++ b/crates/experiment/src/requests/latency.rs
@@ -196,7 +196,11 @@
     })
     .await;
     let after = processor_seconds(&processes);
-    let spent: Vec<f64> = before.iter().zip(&after).map(|(b, a)| a - b).collect();
+    let spent: Vec<f64> = before
+        .iter()
+        .zip(&after)
+        .map(|(b, added)| added - b)
+        .collect();
     (
         summary.answered as f64,
         spent[0],
@@ -251,18 +255,18 @@
 }
 
 pub(super) fn added_latency_table(measured: &[DeploymentResults], command: &str) -> Table {
-    let row = |name: &str, a: &AddedLatency| {
+    let row = |name: &str, added: &AddedLatency| {
         vec![
             name.to_owned(),
-            format_number(a.per_s),
-            format_number(a.direct_p50_ms),
-            format_number(a.mesh_p50_ms),
-            format_number(a.mesh_p50_ms - a.direct_p50_ms),
-            format_number(a.direct_p99_ms),
-            format_number(a.mesh_p99_ms),
-            format_number(a.p99_ms()),
-            a.answered_calls.to_string(),
-            a.unanswered_calls.to_string(),
+            format_number(added.per_s),
+            format_number(added.direct_p50_ms),
+            format_number(added.mesh_p50_ms),
+            format_number(added.mesh_p50_ms - added.direct_p50_ms),
+            format_number(added.direct_p99_ms),
+            format_number(added.mesh_p99_ms),
+            format_number(added.p99_ms()),
+            added.answered_calls.to_string(),
+            added.unanswered_calls.to_string(),
         ]
     };
     Table {
@@ -282,16 +286,21 @@
         ],
         rows: measured
             .iter()
-            .flat_map(|m| m.added_latency.iter().map(|a| row(m.name, a)))
+            .flat_map(|deployment_results| {
+                deployment_results
+                    .added_latency
+                    .iter()
+                    .map(|added| row(deployment_results.name, added))
+            })
             .collect(),
     }
 }
 
 pub(super) fn cost_table(measured: &[DeploymentResults], command: &str) -> Table {
-    let row = |m: &DeploymentResults| {
-        let cost = &m.cost;
+    let row = |deployment_results: &DeploymentResults| {
+        let cost = &deployment_results.cost;
         vec![
-            m.name.to_owned(),
+            deployment_results.name.to_owned(),
             format_number(cost.saturated_per_s),
             format_number(cost.direct_per_s),
             format_number(cost.entry_us),
@@ -311,8 +320,8 @@
             ),
             format!(
                 "{} ± {}",
-                format_number(m.connection_kb.slope),
-                format_number(m.connection_kb.residual_std)
+                format_number(deployment_results.connection_kb.slope),
+                format_number(deployment_results.connection_kb.residual_std)
             ),
         ]
     };
