--- a/src/node/run.rs
+++ b/src/node/run.rs
@@ -145,7 +145,7 @@
         configuration.clone(),
         shutdown.all.clone(),
     ));
-    let disabled_mechanisms = node.proxy.without();
+    let disabled_mechanisms = node.proxy.mechanisms();
     if !disabled_mechanisms.all_enabled() {
         log::warn!(disabled_mechanisms:%; "mechanisms are switched off");
     }
@@ -248,7 +248,7 @@
         let _ = self
             .membership
             .cast(MembershipMsg::SetBackend(service, BackendState::Draining));
-        let drain_timeout_ms = self.node.proxy.tunable.load().drain_timeout_ms;
+        let drain_timeout_ms = self.node.proxy.reloadable.load().drain_timeout_ms;
         let drain_timeout = Duration::from_millis(drain_timeout_ms);
         if tokio::time::timeout(drain_timeout, self.wait_for_requests())
             .await
@@ -272,7 +272,8 @@
         // Callers are served for this time at least. Each response in it tells the caller that the
         // connection closes, so that few connections are left to be closed while idle: a caller that
         // sends a request on a connection that is being closed cannot tell whether it was received.
-        let min_serving_time = Duration::from_millis(self.node.proxy.tunable.load().stop_least_ms);
+        let min_serving_time =
+            Duration::from_millis(self.node.proxy.reloadable.load().stop_least_ms);
         // Admission is closed and refuses every new request at once. So no request can start after the
         // tracker has become empty, and the wait misses none.
         self.node.proxy.gate_requests.close();
--- a/src/proxy/entry/routed_request.rs
+++ b/src/proxy/entry/routed_request.rs
@@ -1,4 +1,4 @@
-//! The attempts of one routed request.
+//! Attempts of a routed request: choice of an endpoint, sending, and retries.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -30,14 +30,14 @@
 use crate::proxy::{gate, headers, uploads};
 use crate::util::clock;
 
-/// A routed request.
+/// A request that matched a route, with the limits that apply to it.
 pub(super) struct RoutedRequest<'a> {
     pub(super) node: &'a Arc<ProxyState>,
     pub(super) parts: &'a Parts,
-    /// What the caller named as the host.
+    /// Host that the caller requested.
     pub(super) host: &'a Authority,
-    pub(super) branch: &'a ResolvedTarget,
-    pub(super) slots: u32,
+    pub(super) target: &'a ResolvedTarget,
+    pub(super) default_slots: u32,
     pub(super) body_bytes: u64,
     pub(super) started_at: Instant,
     pub(super) deadline: Instant,
@@ -46,7 +46,7 @@
 
 impl RoutedRequest<'_> {
     fn service(&self) -> &ServiceName {
-        &self.branch.service
+        &self.target.service
     }
 
     pub(super) async fn run(
@@ -56,7 +56,7 @@
     ) -> Result<Response<Body>, Failure> {
         self.node.retry_tokens().for_service(self.service()).earn();
         let mut tried: Vec<NodeId> = Vec::new();
-        let mut search = FreeSlotSearch::new(self.node.without());
+        let mut search = FreeSlotSearch::new(self.node.mechanisms());
         let mut verdict = Verdict::NotRun;
         let mut last_failure = None;
         loop {
@@ -74,15 +74,15 @@
                 search.record_busy(endpoint.node);
                 continue;
             }
-            // One attempt that may have run taints all that follow: a later refusal proves
-            // nothing of the earlier attempt.
+            // Once one attempt may have run, the request may have run: a later refusal says nothing
+            // about the earlier attempt.
             if failure.verdict != Verdict::NotRun {
                 verdict = Verdict::MayHaveRun;
             }
-            let retry_kind = failure.retry_kind();
+            let attempt_failure = failure.attempt_failure();
             let retry = {
                 let mut tokens = self.node.retry_tokens();
-                attempts.take_retry(retry_kind, tokens.for_service(self.service()))
+                attempts.take_retry(attempt_failure, tokens.for_service(self.service()))
             };
             let retry = retry && body.can_replay() && Instant::now() < self.deadline;
             self.log_attempt_failed(&endpoint, &failure, retry);
@@ -95,19 +95,19 @@
         }
     }
 
-    /// Whether a request that is running elsewhere waits for the answer.
+    /// Whether this is a nested call, for whose response a request of a backend server waits.
     fn is_nested(&self) -> bool {
         self.depth > 0
     }
 
-    /// Until when an answer is worth most.
+    /// When the target latency has passed.
     fn due(&self) -> Instant {
-        let target_ms = self.branch.treatment.target_latency_ms;
-        let target_ms = target_ms.unwrap_or(self.branch.treatment.timeout_ms);
+        let target_ms = self.target.treatment.target_latency_ms;
+        let target_ms = target_ms.unwrap_or(self.target.treatment.timeout_ms);
         self.started_at + Duration::from_millis(u64::from(target_ms))
     }
 
-    /// Until when an answer is of use, from now.
+    /// Time left until the target latency and until the deadline.
     fn time_limits(&self) -> TimeLimits {
         let remaining_us = |until: Instant| {
             let remaining = until.saturating_duration_since(Instant::now());
@@ -123,26 +123,27 @@
     fn choose_endpoint(&self, tried: &[NodeId]) -> Option<Endpoint> {
         let view = self.node.view.load();
         let Some(ranked) = view.endpoints.get(self.service()) else {
-            self.log_not_placed(0, tried.len());
+            self.log_no_endpoint(0, tried.len());
             return None;
         };
-        let need = Requirements {
-            spill: self.branch.treatment.spill,
-            default_slots: self.slots,
-            resource: &self.branch.resource,
+        let requirements = Requirements {
+            spill: self.target.treatment.spill,
+            default_slots: self.default_slots,
+            resource: &self.target.resource,
             limits: self.time_limits(),
             body_bytes: self.body_bytes,
             tried,
         };
         let now_us = clock::since_us(self.node.started);
         let mut balancer = self.node.balancer();
-        let Some(endpoint) = balancer.choose(now_us, ranked, &need, &mut rand::rng()) else {
-            self.log_not_placed(ranked.iter().count(), tried.len());
+        let Some(endpoint) = balancer.choose(now_us, ranked, &requirements, &mut rand::rng())
+        else {
+            self.log_no_endpoint(ranked.iter().count(), tried.len());
             return None;
         };
-        self.log_placed(
+        self.log_endpoint_chosen(
             &endpoint,
-            &balancer.estimate(now_us, &endpoint, &need),
+            &balancer.estimate(now_us, &endpoint, &requirements),
             tried.len(),
         );
         balancer.record_start(now_us, &endpoint);
@@ -159,27 +160,32 @@
         u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn log_placed(&self, endpoint: &Endpoint, believed: &EndpointEstimate, tried_endpoints: usize) {
+    fn log_endpoint_chosen(
+        &self,
+        endpoint: &Endpoint,
+        estimate: &EndpointEstimate,
+        tried_endpoints: usize,
+    ) {
         if !self.node.log_limiter.may_log(LogClass::Routine) {
             return;
         }
         log::info!(
             request_id = self.request_id(),
             service:% = self.service(),
-            resource:% = self.branch.resource,
+            resource:% = self.target.resource,
             node:% = endpoint.node,
             tried_endpoints,
-            in_hand = believed.in_flight,
-            slots = believed.slots,
-            held_us:? = believed.service_time_us,
-            failing = believed.failure_rate,
-            report_age_us:? = believed.report_age_us,
+            in_flight = estimate.in_flight,
+            slots = estimate.slots,
+            service_time_us:? = estimate.service_time_us,
+            failure_rate = estimate.failure_rate,
+            report_age_us:? = estimate.report_age_us,
             remaining_ms = self.remaining_ms();
-            "placed the request"
+            "chose an endpoint for the request"
         );
     }
 
-    fn log_not_placed(&self, known_endpoints: usize, tried_endpoints: usize) {
+    fn log_no_endpoint(&self, known_endpoints: usize, tried_endpoints: usize) {
         if !self.node.log_limiter.may_log(LogClass::Notable) {
             return;
         }
@@ -190,7 +196,7 @@
             tried_endpoints,
             store_age_ms:? = self.node.store_age_ms(),
             remaining_ms = self.remaining_ms();
-            "no endpoint to place the request at"
+            "no endpoint available for the request"
         );
     }
 
@@ -204,29 +210,30 @@
             node:% = endpoint.node,
             verdict = failure.verdict.as_str(),
             reason = failure.reason.code(),
-            idempotent = self.branch.treatment.idempotent,
+            idempotent = self.target.treatment.idempotent,
             retry,
             remaining_ms = self.remaining_ms();
             "an attempt failed: {}", failure.reason.as_str()
         );
     }
 
-    /// What goes with the request to a gate, where it waits for a slot or takes one that is free.
+    /// Metadata of an attempt for the gate. With `waits`, the request may queue there for a slot;
+    /// otherwise it is refused unless a slot is free.
     fn hop(&self, retries: u32, waits: bool) -> Hop {
-        let treatment = &self.branch.treatment;
-        let patience = match waits {
+        let treatment = &self.target.treatment;
+        let max_wait = match waits {
             true if self.is_nested() => max_wait::for_nested_call(treatment),
-            true => max_wait::for_caller_request(treatment, self.node.without()),
+            true => max_wait::for_caller_request(treatment, self.node.mechanisms()),
             false => Duration::ZERO,
         };
         let now = Instant::now();
         Hop {
             service: self.service().clone(),
-            resource: self.branch.resource.clone(),
+            resource: self.target.resource.clone(),
             class: treatment.class,
             rank: treatment.priority,
             idempotent: treatment.idempotent,
-            patience,
+            max_wait,
             received_at: now,
             due_in: self.due().saturating_duration_since(now),
             deadline: self.deadline,
@@ -261,7 +268,7 @@
             let bytes = response.body().size_hint().lower();
             self.node
                 .balancer()
-                .record_response_size(&self.branch.resource, bytes);
+                .record_response_size(&self.target.resource, bytes);
         }
         result
             .map(|response| response.map(|inner| body::boxed(GuardedBody::new(inner, outstanding))))
@@ -269,10 +276,13 @@
 
     fn is_large(&self) -> bool {
         self.body_bytes > SMALL_BODY_MAX_BYTES
-            && self.node.without().is_enabled(Mechanism::UploadScheduling)
+            && self
+                .node
+                .mechanisms()
+                .is_enabled(Mechanism::UploadScheduling)
     }
 
-    /// Asks for a turn, and sends the request once it has been given.
+    /// Requests an upload permit, and sends the request with its body once the permit is granted.
     async fn send_large(
         &self,
         endpoint: &Endpoint,
@@ -290,7 +300,7 @@
         if let Some(permit) = permit {
             request.headers_mut().insert(headers::TURN, permit);
         }
-        // Once the body has used the link it is worth a wait.
+        // The request may now wait for a slot, because its body has already used the link.
         let hop = self.hop(hop.retries, true);
         self.send(endpoint, &hop, request).await
     }
@@ -311,11 +321,11 @@
             .await
             .map_err(|_| Failure::may_have_run(Reason::Deadline))??;
         let Some(load) = headers::parse_load(response.headers()) else {
-            log::warn!(peer:% = endpoint.node; "an answer came from no gate: look at the mesh token");
+            log::warn!(peer:% = endpoint.node; "response without a load header: the peer refused the mesh token or is not a node");
             return Err(failure_without_load(response.headers()));
         };
         self.record_load(endpoint, load);
-        self.record_hold_times(endpoint, response.headers());
+        self.record_service_times(endpoint, response.headers());
         match Failure::from_headers(response.headers()) {
             None => Ok(response.map(body::boxed)),
             Some(failure) => Err(failure),
@@ -324,22 +334,22 @@
 
     fn record_load(&self, endpoint: &Endpoint, load: LoadReport) {
         let now_us = clock::since_us(self.node.started);
-        let resource = &self.branch.resource;
+        let resource = &self.target.resource;
         let mut balancer = self.node.balancer();
         balancer.record_load(now_us, endpoint.node, resource, load);
     }
 
-    fn record_hold_times(&self, endpoint: &Endpoint, headers: &HeaderMap) {
+    fn record_service_times(&self, endpoint: &Endpoint, headers: &HeaderMap) {
         let now_us = clock::since_us(self.node.started);
         let mut balancer = self.node.balancer();
-        for (resource, held_us) in headers::parse_hold_times(headers) {
-            balancer.record_service_time(now_us, endpoint.node, &resource, held_us);
+        for (resource, service_time_us) in headers::parse_service_times(headers) {
+            balancer.record_service_time(now_us, endpoint.node, &resource, service_time_us);
         }
     }
 
-    /// Tells the balancer what this attempt has shown of its endpoint.
+    /// Reports to the balancer what this attempt showed about its endpoint.
     fn record_outcome(&self, endpoint: &Endpoint, result: &Result<Response<Body>, Failure>) {
-        let observed = match result {
+        let outcome = match result {
             Ok(response) => AttemptOutcome::Answered {
                 server_error: response.status().is_server_error(),
             },
@@ -354,7 +364,7 @@
         let now_us = clock::since_us(self.node.started);
         self.node
             .balancer()
-            .record_outcome(now_us, endpoint.node, observed);
+            .record_outcome(now_us, endpoint.node, outcome);
     }
 
     fn build_request(&self, body: Body) -> Request<Body> {
@@ -368,9 +378,10 @@
     }
 }
 
-/// Only a gate says its load. An answer without it is a peer listener's refusal of the mesh token, which says itself
-/// that nothing ran, or comes from a program that is no node: a VM's address may have passed to one. Only the
-/// mesh's own words prove "not run".
+/// Failure for a response without a load header, which a gate sends with each response to a valid
+/// request. Such a response comes from a node that refused the mesh token before the request
+/// reached the gate, or from a program that is not a node, because the VM's address was reassigned.
+/// Only a `not-run` verdict from the mesh proves that the request did not run.
 fn failure_without_load(headers: &HeaderMap) -> Failure {
     match Failure::from_headers(headers) {
         Some(failure) if failure.verdict == Verdict::NotRun => {
@@ -388,10 +399,11 @@
         .authority(host.clone())
         .path_and_query(path)
         .build();
-    uri.expect("authority and path were parsed before")
+    uri.expect("authority and path are already valid")
 }
 
-/// Counts one request at its endpoint until its answer has been passed on or given up.
+/// Counts a request as outstanding at its endpoint until the response has been forwarded or the
+/// request is abandoned.
 struct OutstandingRequest {
     node: Arc<ProxyState>,
     endpoint: NodeId,
--- a/src/proxy/listener/peers.rs
+++ b/src/proxy/listener/peers.rs
@@ -23,16 +23,16 @@
 use crate::proxy::{gate, headers};
 use crate::util::clock;
 
-/// Largest control message: a snapshot with its envelope.
+/// Largest control message: a configuration snapshot with its envelope.
 const CONTROL_MESSAGE_MAX_BYTES: usize = 9 << 20;
-/// Requests at a time on one connection between nodes: above slots and queue of any endpoint, so
-/// that the gate refuses a request, and not the transport delays it.
+/// Concurrent requests on one connection between nodes. More than the slots and queue of any
+/// endpoint, so that excess requests are refused by the gate instead of delayed by HTTP/2.
 const PEER_STREAMS_MAX: u32 = 1_024;
-/// As much as all streams together, so that one stalled upload never holds up another.
+/// The sum of all stream windows, so that a stalled upload does not block other uploads.
 const PEER_WINDOW_BYTES: u32 = PEER_STREAMS_MAX * REQUEST_WINDOW_BYTES;
 
-/// Serves other nodes until `graceful_stop`, after which each connection ends with its last answer. A
-/// draining node still gossips, so its peers' connections stay until the end.
+/// Serves other nodes until `graceful_stop`. Each connection then closes after its current
+/// responses. A draining node still takes part in gossip, so this listener stops last.
 pub(crate) async fn serve<C: Control>(
     listener: TcpListener,
     node: Arc<ProxyState>,
@@ -43,15 +43,15 @@
     let control = ControlServer::new(control)
         .max_decoding_message_size(CONTROL_MESSAGE_MAX_BYTES)
         .max_encoding_message_size(CONTROL_MESSAGE_MAX_BYTES);
-    let builder = builder(node.link_share.window_bytes);
+    let builder = builder(node.upload_limits.window_bytes);
     let tasks = TaskTracker::new();
     while let Some((stream, _)) = accept(&listener, &graceful_stop, &hard_stop).await {
         let node = Arc::clone(&node);
         let control = control.clone();
-        let transit = Arc::new(Mutex::new(DelayEstimator::default()));
+        let delay_estimator = Arc::new(Mutex::new(DelayEstimator::default()));
         let handler = infallible(move |request| {
             let (node, control) = (Arc::clone(&node), control.clone());
-            serve_peer_request(node, control, Arc::clone(&transit), request)
+            serve_peer_request(node, control, Arc::clone(&delay_estimator), request)
         });
         let connection = builder.serve_connection(TokioIo::new(stream), service_fn(handler));
         let serving = run_connection(connection, graceful_stop.clone());
@@ -62,7 +62,7 @@
     tasks.wait().await;
 }
 
-/// `window_bytes` of each request's body come without being asked for.
+/// `window_bytes` is the stream window: how much of a request body is sent before it is read.
 fn builder(window_bytes: u32) -> Builder<TokioExecutor> {
     let mut builder = Builder::new(TokioExecutor::new());
     builder
@@ -77,23 +77,25 @@
 async fn serve_peer_request<C: Control>(
     node: Arc<ProxyState>,
     mut control: ControlServer<C>,
-    transit: Arc<Mutex<DelayEstimator>>,
+    delay_estimator: Arc<Mutex<DelayEstimator>>,
     request: Request<Incoming>,
 ) -> Response<Body> {
     if !has_valid_token(&node, &request) {
         return unauthorized();
     }
-    // Only nodes set this header: an entry drops it from what callers send.
+    // Only nodes send this header; an entry node removes it from callers' requests.
     let Some(sent_us) = headers::get_u64(request.headers(), &headers::DATA) else {
         return match control.call(request).await {
             Ok(response) => response.map(body::boxed),
             Err(never) => match never {},
         };
     };
-    let check_enabled = node.without().is_enabled(Mechanism::TransitDelayCheck);
+    let check_enabled = node.mechanisms().is_enabled(Mechanism::TransitDelayCheck);
     let delay = {
-        let mut transit = transit.lock().unwrap_or_else(PoisonError::into_inner);
-        let delay_us = transit.delay_us(clock::boot_us(), sent_us);
+        let mut delay_estimator = delay_estimator
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let delay_us = delay_estimator.delay_us(clock::boot_us(), sent_us);
         Duration::from_micros(if check_enabled { delay_us } else { 0 })
     };
     let token = node.gate_requests.token();
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -1,7 +1,8 @@
-//! Slots of the local backend server: taken, waited for, given back.
+//! Slots of the local backend server: requests acquire one, wait for one, and release it.
 //!
-//! A waiting request parks on a channel whose other end the admission state holds. Whoever
-//! changes that state calls [`notify_queued`], which wakes those whose turn has come.
+//! A queued request waits on a channel. The admission state holds the sender. Every change of the
+//! admission state must be followed by [`notify_queued`], which notifies the requests whose wait
+//! has ended, with a slot or a refusal.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -18,10 +19,11 @@
 use crate::proxy::state::ProxyState;
 use crate::util::clock;
 
-/// Wakes a waiting request.
-pub(crate) type DecisionSender = oneshot::Sender<WaitOutcome>;
+/// Sends the outcome of its wait to a queued request.
+pub(crate) type WaitOutcomeSender = oneshot::Sender<WaitOutcome>;
 
-/// A slot of the backend server, given back when the answer has been passed on or given up.
+/// A slot of the backend server. It is released when dropped, after the response has been forwarded
+/// or the request was abandoned.
 pub(crate) struct Slot {
     node: Arc<ProxyState>,
     class: Class,
@@ -41,24 +43,24 @@
         }
     }
 
-    /// The backend server has answered the request that holds the slot.
+    /// Records that the backend server has answered the request that holds the slot.
     pub(crate) fn mark_answered(&mut self) {
         self.answered = true;
     }
 
-    /// Takes a slot, waiting for it as long as the deadline allows.
+    /// Acquires a slot, waiting for it until the queue deadline of `hop`.
     pub(crate) async fn acquire(node: &Arc<ProxyState>, hop: &Hop) -> Result<Self, Failure> {
         let deadline = hop.queue_deadline();
         let mut receiver = None;
         let new_sender = || {
-            let (sender, decision) = oneshot::channel();
-            receiver = Some(decision);
+            let (sender, outcome) = oneshot::channel();
+            receiver = Some(outcome);
             sender
         };
         let now_us = clock::since_us(node.started);
         let admitted = {
             let mut admission = node.admission();
-            let request = admission_request(node, &admission, hop);
+            let request = slot_request(node, &admission, hop);
             admission.admit(now_us, &request, new_sender)
         };
         let ticket = match admitted {
@@ -66,19 +68,19 @@
             AdmitOutcome::Refused(refusal) => return Err(refusal_failure(refusal)),
             AdmitOutcome::Queued(ticket) => ticket,
         };
-        // Another class may have been put out of the queue to make room.
+        // Admission may have evicted a queued request of another class to make room for this one.
         notify_queued(node);
         let mut queued = QueuedRequest {
             node,
             hop,
             ticket,
-            decision: receiver.expect("a queued request has a channel"),
+            outcome: receiver.expect("a queued request has a channel"),
         };
-        let decision = tokio::time::timeout_at(deadline.into(), &mut queued.decision).await;
-        match decision {
+        let outcome = tokio::time::timeout_at(deadline.into(), &mut queued.outcome).await;
+        match outcome {
             Ok(Ok(WaitOutcome::Slot)) => Ok(Self::new(node, hop)),
             Ok(Ok(WaitOutcome::Refused(refusal))) => Err(refusal_failure(refusal)),
-            // The drop of `queued` takes it out of the queue: it will not run.
+            // Dropping `queued` removes the request from the queue, so it will not run.
             Ok(Err(_)) | Err(_) => Err(Failure::not_run(Reason::TooLate)),
         }
     }
@@ -98,14 +100,16 @@
     }
 }
 
-/// A request in the queue. If its caller hangs up, this is dropped at an await, and a slot may have been granted at
-/// the same moment. The turn is sent under the admission lock, so after `cancel` says that it was too late the turn
-/// is in the channel, and the slot is given back.
+/// A request in the admission queue.
+///
+/// If the caller disconnects, this is dropped while it waits, possibly just after a slot was
+/// granted. Outcomes are sent under the admission lock. If `cancel` finds that the request is no
+/// longer queued, its outcome is therefore already in the channel, and a granted slot is released.
 struct QueuedRequest<'a> {
     node: &'a Arc<ProxyState>,
     hop: &'a Hop,
     ticket: Ticket,
-    decision: oneshot::Receiver<WaitOutcome>,
+    outcome: oneshot::Receiver<WaitOutcome>,
 }
 
 impl Drop for QueuedRequest<'_> {
@@ -113,42 +117,43 @@
         if self.node.admission().cancel(self.ticket) {
             return;
         }
-        // Nothing is there if the turn was received; then the slot has its owner.
-        if let Ok(WaitOutcome::Slot) = self.decision.try_recv() {
+        // The channel is empty if the outcome was received. The slot then belongs to its receiver.
+        if let Ok(WaitOutcome::Slot) = self.outcome.try_recv() {
             drop(Slot::new(self.node, self.hop));
         }
     }
 }
 
-/// The failure of a request that would be refused if it asked for a slot now.
+/// The failure that the request would get if it requested a slot now; `None` if it would be
+/// admitted or queued.
 pub(crate) fn would_refuse(node: &ProxyState, hop: &Hop) -> Option<Failure> {
     let now_us = clock::since_us(node.started);
     let admission = node.admission();
-    let request = admission_request(node, &admission, hop);
+    let request = slot_request(node, &admission, hop);
     admission
         .would_refuse(now_us, &request)
         .map(refusal_failure)
 }
 
-/// What a request asks, with what its gate knows of others like it.
-fn admission_request(
+/// The slot request for `hop`, with the service time that this gate has measured for its resource.
+fn slot_request(
     node: &ProxyState,
-    admission: &Admission<DecisionSender>,
+    admission: &Admission<WaitOutcomeSender>,
     hop: &Hop,
 ) -> SlotRequest {
     SlotRequest {
         service_time_us: admission.known_service_time_us(&hop.resource),
-        ..hop.admission_request(node.started)
+        ..hop.slot_request(node.started)
     }
 }
 
-/// Wakes the waiting requests whose turn has come.
+/// Notifies the queued requests whose wait has ended, with a slot or a refusal.
 pub(crate) fn notify_queued(node: &ProxyState) {
     let now_us = clock::since_us(node.started);
     let mut admission = node.admission();
-    while let Some((sender, decision)) = admission.end_next_wait(now_us) {
-        // The receiver outlives its place in the queue, see `QueuedRequest`.
-        let _ = sender.send(decision);
+    while let Some((sender, outcome)) = admission.end_next_wait(now_us) {
+        // Sending fails only if the request is being dropped; see `QueuedRequest`.
+        let _ = sender.send(outcome);
     }
 }
 
