--- a/crates/experiment/src/report.rs
+++ b/crates/experiment/src/report.rs
@@ -1,4 +1,4 @@
-//! Where results go: tables as Markdown, the same rows as CSV, plots as SVG.
+//! Writes results: tables as Markdown, their rows as CSV, plots as SVG.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
@@ -8,9 +8,10 @@
 
 use crate::error::{Error, Result, WriteSnafu};
 
+/// Width and height of a plot in pixels.
 const PLOT_SIZE: (u32, u32) = (720, 420);
 
-/// A table with the command that gives it again.
+/// A table of results, and the command that produces it.
 #[derive(Clone, Debug)]
 pub(crate) struct Table {
     pub(crate) title: &'static str,
@@ -20,7 +21,7 @@
 }
 
 impl Table {
-    /// Rows and heading, without title.
+    /// Markdown text of the header and the rows, without the title.
     pub(crate) fn markdown(&self) -> String {
         let mut text = format!("| {} |\n", self.columns.join(" | "));
         text.push_str(&format!("|{}\n", "---|".repeat(self.columns.len())));
@@ -31,29 +32,29 @@
     }
 
     fn csv(&self) -> String {
-        let quoted = |cells: Vec<String>| {
+        let csv_row = |cells: Vec<String>| {
             let cells: Vec<String> = cells
                 .iter()
                 .map(|cell| format!("\"{}\"", cell.replace('"', "\"\"")))
                 .collect();
             cells.join(",") + "\n"
         };
-        let mut text = quoted(self.columns.iter().map(|&name| name.to_owned()).collect());
+        let mut text = csv_row(self.columns.iter().map(|&name| name.to_owned()).collect());
         for row in &self.rows {
-            text.push_str(&quoted(row.clone()));
+            text.push_str(&csv_row(row.clone()));
         }
         text
     }
 }
 
-/// A line of a plot.
+/// One line of a plot: its name in the legend and its (x, y) points.
 #[derive(Clone, Debug)]
 pub(crate) struct Series {
     pub(crate) name: String,
     pub(crate) points: Vec<(f64, f64)>,
 }
 
-/// What a plot shows besides its lines.
+/// Title of a plot and labels of its axes.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Axes {
     pub(crate) title: &'static str,
@@ -61,14 +62,14 @@
     pub(crate) y: &'static str,
 }
 
-/// A page of results under `docs/measurements`.
+/// The directory `measurements`, into which result files are written.
 #[derive(Debug)]
 pub(crate) struct Report {
     directory: PathBuf,
 }
 
 impl Report {
-    /// Results go to `docs`, by default that of the repository.
+    /// Creates the directory `measurements` below `docs` if it does not exist.
     pub(crate) fn new(docs: &Path) -> Result<Self> {
         let directory = docs.join("measurements");
         std::fs::create_dir_all(&directory).context(WriteSnafu {
@@ -77,12 +78,12 @@
         Ok(Self { directory })
     }
 
-    /// Writes page `name`: an introduction, then each table with its command; each table's rows
-    /// also as `name-N.csv`.
-    pub(crate) fn page(&self, name: &str, introduction: &str, tables: &[Table]) -> Result {
+    /// Writes `NAME.md`, with the introduction and then each table with its command. Writes the rows
+    /// of table N also to `NAME-N.csv`.
+    pub(crate) fn write_page(&self, name: &str, introduction: &str, tables: &[Table]) -> Result {
         let mut text = introduction.to_owned();
-        for (number, table) in tables.iter().enumerate() {
-            let csv = format!("{name}-{}.csv", number + 1);
+        for (index, table) in tables.iter().enumerate() {
+            let csv = format!("{name}-{}.csv", index + 1);
             let _ = write!(
                 text,
                 "\n## {}\n\n    {}\n\n{}\n([rows as CSV]({csv}))\n",
@@ -90,19 +91,19 @@
                 table.command,
                 table.markdown()
             );
-            self.write(&csv, &table.csv())?;
+            self.write_in_directory(&csv, &table.csv())?;
         }
-        self.write(&format!("{name}.md"), &text)
+        self.write_in_directory(&format!("{name}.md"), &text)
     }
 
-    fn write(&self, file: &str, text: &str) -> Result {
+    fn write_in_directory(&self, file: &str, text: &str) -> Result {
         write_file(&self.directory.join(file), text)
     }
 
-    /// Draws lines over a common horizontal axis.
-    pub(crate) fn plot(&self, file: &str, axes: Axes, lines: &[Series]) -> Result {
+    /// Draws all series into one SVG file, over common axes.
+    pub(crate) fn write_plot(&self, file: &str, axes: Axes, series: &[Series]) -> Result {
         let path = self.directory.join(file);
-        draw(&path, axes, lines).map_err(|error| Error::Unexpected {
+        draw_plot(&path, axes, series).map_err(|error| Error::Unexpected {
             text: format!("drawing {file}: {error}"),
         })?;
         println!("Wrote {file}");
@@ -110,7 +111,7 @@
     }
 }
 
-/// Writes a file whole.
+/// Writes a file, replacing its content, and prints its name.
 pub(crate) fn write_file(path: &Path, text: &str) -> Result {
     std::fs::write(path, text).context(WriteSnafu {
         path: path.display().to_string(),
@@ -120,13 +121,15 @@
     Ok(())
 }
 
-fn draw(path: &Path, axes: Axes, lines: &[Series]) -> Result<(), Box<dyn std::error::Error>> {
-    let all = || lines.iter().flat_map(|line| &line.points);
-    let x_max = all().map(|(x, _)| *x).fold(1.0, f64::max);
-    let y_max = all().map(|(_, y)| *y).fold(f64::MIN_POSITIVE, f64::max);
-    let area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
-    area.fill(&WHITE)?;
-    let mut chart = ChartBuilder::on(&area)
+fn draw_plot(path: &Path, axes: Axes, series: &[Series]) -> Result<(), Box<dyn std::error::Error>> {
+    let all_points = || series.iter().flat_map(|one_series| &one_series.points);
+    let x_max = all_points().map(|(x, _)| *x).fold(1.0, f64::max);
+    let y_max = all_points()
+        .map(|(_, y)| *y)
+        .fold(f64::MIN_POSITIVE, f64::max);
+    let drawing_area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
+    drawing_area.fill(&WHITE)?;
+    let mut chart = ChartBuilder::on(&drawing_area)
         .caption(axes.title, ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(40)
@@ -137,13 +140,13 @@
         .x_desc(axes.x)
         .y_desc(axes.y)
         .draw()?;
-    for (number, line) in lines.iter().enumerate() {
-        let colour = Palette99::pick(number).to_rgba();
+    for (index, one_series) in series.iter().enumerate() {
+        let colour = Palette99::pick(index).to_rgba();
         chart
-            .draw_series(LineSeries::new(line.points.iter().copied(), &colour))?
-            .label(&line.name)
+            .draw_series(LineSeries::new(one_series.points.iter().copied(), &colour))?
+            .label(&one_series.name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
-        let dots = line.points.iter();
+        let dots = one_series.points.iter();
         chart.draw_series(dots.map(|point| Circle::new(*point, 3, colour.filled())))?;
     }
     chart
@@ -152,12 +155,12 @@
         .border_style(BLACK)
         .position(SeriesLabelPosition::UpperLeft)
         .draw()?;
-    area.present()?;
+    drawing_area.present()?;
     Ok(())
 }
 
-/// A number with about three digits that matter.
-pub(crate) fn figure(value: f64) -> String {
+/// Formats a number with about three significant digits, and NaN as `unknown`.
+pub(crate) fn format_number(value: f64) -> String {
     match value.abs() {
         size if size.is_nan() => "unknown".to_owned(),
         size if size >= 100.0 => format!("{value:.0}"),
--- a/crates/experiment/src/requests.rs
+++ b/crates/experiment/src/requests.rs
@@ -1,8 +1,13 @@
-//! `requests`: what the mesh adds to a call, what it does under overload, and how it drains.
+//! `requests`: measures the latency and CPU time that the mesh adds to a call, the goodput under
+//! overload, and how fast a backend server drains.
 //!
-//! Both deployments are measured with their own slots and connections. The plain policy beside
-//! them is a client that takes the backend servers in turn and sends whatever comes; its backend
-//! servers keep the same slots behind an unbounded queue.
+//! A call enters the mesh at an entry node, which selects an endpoint. The gate node on the
+//! endpoint's VM admits the call to a free slot of its backend server. Both example deployments are
+//! measured, each with its own number of slots and connections.
+//!
+//! For comparison, a client without the mesh sends calls to backend servers by round robin, without
+//! a limit. These have the same number of slots, and an unbounded queue before them. The pages call
+//! this the plain policy.
 
 mod connections;
 mod drain;
@@ -16,86 +21,88 @@
 use testkit::mesh::{Mesh, Vm};
 
 pub(crate) use goodput::Goodput;
-pub(crate) use latency::{Added, CallCost};
+pub(crate) use latency::{AddedLatency, CallCost};
 
 use crate::error::{Error, Result};
 use crate::examples::{Example, chatarras, marinhas};
-use crate::fit::Fit;
+use crate::fit::LinearFit;
 use crate::options::{Options, Scale};
 use crate::publication;
-use crate::report::{Report, Table, figure};
+use crate::report::{Report, Table, format_number};
 
-/// What is called: an interactive, idempotent read.
+/// The route that the benchmark calls: an interactive, idempotent read.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Subject {
+pub(crate) struct MeasuredRoute {
     pub(crate) service: &'static str,
     pub(crate) path: &'static str,
-    /// Its timeout in the example's team file; a caller waits no longer.
+    /// Timeout in the example's team file, and of the callers.
     pub(crate) timeout_ms: u64,
+    /// Requests that each backend server runs at a time.
     pub(crate) slots: usize,
 }
 
-/// A deployment with its example configuration in force.
+/// A running deployment whose nodes enforce its example configuration.
 #[derive(Debug)]
-pub(crate) struct Running {
+pub(crate) struct RunningDeployment {
     pub(crate) name: &'static str,
-    pub(crate) subject: Subject,
+    pub(crate) route: MeasuredRoute,
     pub(crate) mesh: Mesh,
 }
 
-impl Running {
-    async fn start(example: &Example, subject: Subject) -> Result<Self> {
+impl RunningDeployment {
+    async fn start(example: &Example, route: MeasuredRoute) -> Result<Self> {
         let program = std::env::current_exe().map_err(|error| Error::Start {
             text: error.to_string(),
         })?;
         let mesh = Mesh::start(&program, &["node"], example.deployment.clone()).await;
         let mesh = mesh.map_err(|text| Error::Start { text })?;
-        let platform = HttpStore::new(&mesh.platform.url(), None);
-        let records = publication::records(&example.files)?;
-        publication::accept(&platform, "experiment", None, records, 1).await?;
+        let store = HttpStore::new(&mesh.platform.url(), None);
+        let records = publication::parse_team_files(&example.files)?;
+        publication::publish_and_hint(&store, "experiment", None, records, 1).await?;
         mesh.wait_enforced(1).await;
         mesh.wait_joined().await;
         Ok(Self {
             name: example.name,
-            subject,
+            route,
             mesh,
         })
     }
 
-    /// VMs of the subject's service.
-    pub(crate) fn serving(&self) -> impl Iterator<Item = &Vm> {
-        let service = self.subject.service;
+    /// VMs of the measured service.
+    pub(crate) fn serving_vms(&self) -> impl Iterator<Item = &Vm> {
+        let service = self.route.service;
         self.mesh.vms.iter().filter(move |vm| vm.service == service)
     }
 
-    /// A node of another service, in the first data centre.
-    pub(crate) fn entry(&self) -> &Vm {
-        let service = self.subject.service;
+    /// The first VM of another service. Its node is the entry node of the measured calls.
+    pub(crate) fn entry_vm(&self) -> &Vm {
+        let service = self.route.service;
         let other = self.mesh.vms.iter().find(|vm| vm.service != service);
-        other.expect("a deployment has several services")
+        other.expect("a deployment has at least two services")
     }
 
-    /// Where callers connect, at every node.
-    pub(crate) fn callers(&self) -> Vec<SocketAddr> {
+    /// Addresses at which the nodes listen for callers, one for each node.
+    pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         let vms = self.mesh.vms.iter();
         vms.map(|vm| vm.node().addresses.caller).collect()
     }
 }
 
-/// All that was measured at one deployment.
+/// Results of one deployment.
 #[derive(Debug)]
-pub(crate) struct Measured {
+pub(crate) struct DeploymentResults {
     pub(crate) name: &'static str,
     pub(crate) slots: usize,
-    pub(crate) added: Vec<Added>,
+    pub(crate) added_latency: Vec<AddedLatency>,
     pub(crate) cost: CallCost,
-    /// Kilobytes of an entry against its callers' kept connections.
-    pub(crate) connection_kb: Fit,
+    /// Anonymous memory of the entry node in kilobytes, over the number of open connections from
+    /// callers.
+    pub(crate) connection_kb: LinearFit,
     pub(crate) goodput: Vec<Goodput>,
-    pub(crate) drain: drain::Drained,
+    pub(crate) drain: drain::DrainResults,
 }
 
-/// Runs the command.
+/// Runs the command: measures both deployments and writes the page.
 pub(crate) async fn run(arguments: Vec<OsString>) -> Result {
     let options = Options::parse(arguments)?;
     let report = Report::new(&options.docs)?;
@@ -104,11 +111,11 @@
 }
 
 /// Measures both deployments, one after the other.
-pub(crate) async fn measure(scale: Scale) -> Result<Vec<Measured>> {
+pub(crate) async fn measure(scale: Scale) -> Result<Vec<DeploymentResults>> {
     let deployments = [
         (
             chatarras(),
-            Subject {
+            MeasuredRoute {
                 service: "tablon",
                 path: "/prices/copper",
                 timeout_ms: 800,
@@ -117,7 +124,7 @@
         ),
         (
             marinhas(),
-            Subject {
+            MeasuredRoute {
                 service: "armazem",
                 path: "/stock/7",
                 timeout_ms: 1_500,
@@ -125,26 +132,26 @@
             },
         ),
     ];
-    let mut all = Vec::new();
-    for (example, subject) in deployments {
-        let running = Running::start(&example, subject).await?;
-        let connection_kb = connections::memory(&running).await?;
-        let added = latency::added(&running, scale).await;
-        let cost = latency::call_cost(&running, scale).await?;
-        let goodput = goodput::compare(&running, scale).await?;
-        let drain = drain::measure(&running, scale).await?;
-        println!("Measured requests at {}", running.name);
-        all.push(Measured {
-            name: running.name,
-            slots: subject.slots,
-            added,
+    let mut results = Vec::new();
+    for (example, route) in deployments {
+        let deployment = RunningDeployment::start(&example, route).await?;
+        let connection_kb = connections::memory_fit(&deployment).await?;
+        let added_latency = latency::added_latency(&deployment, scale).await;
+        let cost = latency::call_cost(&deployment, scale).await?;
+        let goodput = goodput::compare(&deployment, scale).await?;
+        let drain = drain::measure(&deployment, scale).await?;
+        println!("Measured requests at {}", deployment.name);
+        results.push(DeploymentResults {
+            name: deployment.name,
+            slots: route.slots,
+            added_latency,
             cost,
             connection_kb,
             goodput,
             drain,
         });
     }
-    Ok(all)
+    Ok(results)
 }
 
 const INTRODUCTION: &str = "# Requests\n\n\
@@ -155,31 +162,31 @@
     policy is round robin without bound, to backend servers with the same slots and an unbounded\n\
     queue.\n\n![goodput](requests-goodput.svg)\n";
 
-/// Writes page, rows and plot.
-pub(crate) fn write(report: &Report, measured: &[Measured], scale: Scale) -> Result {
+/// Writes `requests.md`, its CSV files and the goodput plot.
+pub(crate) fn write(report: &Report, measured: &[DeploymentResults], scale: Scale) -> Result {
     let command = format!(
         "cargo run --release -p experiment -- requests {}",
         scale.flag()
     );
     let tables = [
-        latency::added_table(measured, &command),
+        latency::added_latency_table(measured, &command),
         latency::cost_table(measured, &command),
         goodput::table(measured, &command),
         drain_table(measured, &command),
     ];
-    report.page("requests", INTRODUCTION, &tables)?;
+    report.write_page("requests", INTRODUCTION, &tables)?;
     goodput::plot(report, measured)
 }
 
-fn drain_table(measured: &[Measured], command: &str) -> Table {
-    let row = |m: &Measured| {
+fn drain_table(measured: &[DeploymentResults], command: &str) -> Table {
+    let row = |results: &DeploymentResults| {
         vec![
-            m.name.to_owned(),
-            figure(m.drain.offered_per_s),
-            figure(m.drain.last_new_ms),
-            m.drain.cut.to_string(),
-            m.drain.answered.to_string(),
-            m.drain.not_answered.to_string(),
+            results.name.to_owned(),
+            format_number(results.drain.offered_per_s),
+            format_number(results.drain.last_new_request_ms),
+            results.drain.unfinished_requests.to_string(),
+            results.drain.answered_calls.to_string(),
+            results.drain.unanswered_calls.to_string(),
         ]
     };
     Table {
