--- a/src/core/mechanism.rs
+++ b/src/core/mechanism.rs
@@ -26,47 +26,50 @@
 pub enum Mechanism {
     /// A request asks several endpoints for a free slot before it waits in the queue of one.
     FreeSlotProbes,
-    /// Queued requests of equal priority are admitted in the order of their deadlines; if disabled,
-    /// in the order of their arrival.
-    DeadlineOrder,
+    /// Queued requests of equal priority are admitted in the order of their due times, at which their
+    /// target latencies end; if disabled, in the order of their arrival.
+    DueTimeOrder,
     /// Admission control admits queued requests of a higher priority first.
     PriorityOrder,
     /// Admission control admits calls that a running request makes before requests of callers.
     NestedCallsFirst,
-    /// A request waits for a slot at most for a fraction of its target latency; if disabled, until
-    /// its deadline.
+    /// A caller's request waits for a slot at most for a fraction of its target latency, if it has
+    /// one; if disabled, at most for its timeout.
     QueueWaitLimit,
-    /// Admission control reserves some slots for interactive requests.
+    /// Admission control reserves some slots for interactive requests, so that bulk requests cannot
+    /// use all of them.
     BulkReserve,
     /// An entry node uses a subset of a service's endpoints at each distance; if disabled, all of
     /// them.
     Subset,
     /// Endpoints that fail are excluded from load balancing for a while.
     Ejection,
-    /// The cost of an endpoint includes the requests in its queue.
+    /// The cost of an endpoint includes the wait in its queue and for the upload of a large body.
     CostQueued,
     /// The cost of an endpoint includes its slots in use.
     CostSlotsInUse,
     /// The cost of an endpoint includes its recent failures.
     CostFailures,
-    /// The cost of an endpoint whose load is unknown includes the entry node's outstanding requests
-    /// to it.
+    /// The cost of an endpoint whose service time is unknown includes the entry node's outstanding
+    /// requests to it.
     CostOutstanding,
-    /// The cost of an endpoint includes the bytes that would leave the data centre.
-    CostCrossZone,
+    /// The cost of an endpoint includes the bytes that would be transferred to and from another data
+    /// centre.
+    CostCrossDataCentre,
     /// Admission control refuses requests that were delayed too long between two nodes.
     TransitDelayCheck,
-    /// A pipelined request is started before the requests ahead of it are answered.
+    /// A pipelined request is started before the earlier requests on its connection are answered.
     PipelinedStart,
     /// Large request bodies are received a few at a time, before their requests occupy a slot.
     UploadScheduling,
     /// Retries to a service are limited in proportion to the requests to it.
     RetryBudget,
-    /// Unused retries accumulate, so that a burst of failures can be retried.
+    /// Unused retries accumulate in a reserve, so that a burst of failures can be retried.
     RetryBurst,
     /// A connection to a backend server is not reused after it has been idle for some time.
-    IdleConnectionLimit,
-    /// One node of each data centre reads the store on behalf of the others.
+    IdleConnectionTimeout,
+    /// One node of each data centre, its lead, reads the store on behalf of the others; if disabled,
+    /// every node reads it.
     StoreReader,
 }
 
@@ -74,7 +77,7 @@
     /// All mechanisms, in the order in which messages list them.
     pub const ALL: [Self; 20] = [
         Self::FreeSlotProbes,
-        Self::DeadlineOrder,
+        Self::DueTimeOrder,
         Self::PriorityOrder,
         Self::NestedCallsFirst,
         Self::QueueWaitLimit,
@@ -85,13 +88,13 @@
         Self::CostSlotsInUse,
         Self::CostFailures,
         Self::CostOutstanding,
-        Self::CostCrossZone,
+        Self::CostCrossDataCentre,
         Self::TransitDelayCheck,
         Self::PipelinedStart,
         Self::UploadScheduling,
         Self::RetryBudget,
         Self::RetryBurst,
-        Self::IdleConnectionLimit,
+        Self::IdleConnectionTimeout,
         Self::StoreReader,
     ];
 
@@ -99,7 +102,7 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::FreeSlotProbes => "free-slot-looks",
-            Self::DeadlineOrder => "due-order",
+            Self::DueTimeOrder => "due-order",
             Self::PriorityOrder => "ranks",
             Self::NestedCallsFirst => "calls-first",
             Self::QueueWaitLimit => "patience-cut",
@@ -110,13 +113,13 @@
             Self::CostSlotsInUse => "cost-busy",
             Self::CostFailures => "cost-failing",
             Self::CostOutstanding => "cost-asked",
-            Self::CostCrossZone => "cost-crossing",
+            Self::CostCrossDataCentre => "cost-crossing",
             Self::TransitDelayCheck => "transit-check",
             Self::PipelinedStart => "early-start",
             Self::UploadScheduling => "upload-turns",
             Self::RetryBudget => "retry-tokens",
             Self::RetryBurst => "retry-reserve",
-            Self::IdleConnectionLimit => "short-rests",
+            Self::IdleConnectionTimeout => "short-rests",
             Self::StoreReader => "leads",
         }
     }
--- a/src/core/status.rs
+++ b/src/core/status.rs
@@ -1,4 +1,5 @@
-//! Messages at the operator listener: the status of a node, and announcements of backend servers.
+//! Messages between a node and its operators and backend server: the status of the node, and
+//! announcements of the backend server.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,7 +22,7 @@
     /// Services of the enforced configuration without an endpoint that this node can reach.
     #[serde(default, rename = "lacking")]
     pub unreachable_services: Vec<ServiceName>,
-    /// The node that announces new versions to this one; `None` if this node reads the store itself.
+    /// The lead from which this node gets new versions; `None` if this node reads the store itself.
     #[serde(default)]
     pub follows: Option<NodeId>,
     /// All members that the node knows, including itself.
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -2,9 +2,9 @@
 //!
 //! All requests to a backend server pass through the node on its VM, so the node's count of slots
 //! in use is exact. A request asks for a slot with [`Admission::admit`] and releases it with
-//! [`Admission::release`]. After every change of state the caller of this module drains
-//! [`Admission::end_next_wait`] and wakes the requests that it returns. The state does not change
-//! in between, so nothing has to poll.
+//! [`Admission::release`]. After every change of state the proxy calls
+//! [`Admission::end_next_wait`] until it returns `None`, and wakes the requests that it returns. The
+//! state does not change in between, so nothing has to poll.
 //!
 //! Requests come from entry nodes, the nodes at which they enter the mesh. Entry nodes choose backend
 //! servers by the load that is reported with each response.
@@ -96,7 +96,7 @@
                 rank: PRIORITY_DEFAULT,
             },
         };
-        let due_us = match switches.is_enabled(Mechanism::DeadlineOrder) {
+        let due_us = match switches.is_enabled(Mechanism::DueTimeOrder) {
             true => self.due_us,
             false => 0,
         };
@@ -163,7 +163,7 @@
 struct WaitingRequest<W> {
     wake: W,
     request: SlotRequest,
-    /// Sequence number in the queue of its class.
+    /// Arrival number in the queue of its class, from [`ClassQueue::push`].
     arrival: u64,
 }
 
@@ -312,8 +312,9 @@
         AdmitOutcome::Queued(ticket)
     }
 
-    /// Returns the refusal that a new request would get, without queueing it. It lets a node refuse
-    /// a request before its body is transferred.
+    /// Returns the refusal that a new request would get because the backend server is closed or the
+    /// wait would be too long, without queueing the request. A full queue is not considered. It lets
+    /// a node refuse a request before its body is transferred.
     pub fn would_refuse(&self, now_us: u64, request: &SlotRequest) -> Option<Refusal> {
         if self.closed || self.limits.slots == 0 {
             return Some(self.refusal(RefusalCause::Closed, request));
@@ -565,8 +566,9 @@
     }
 
     /// Makes room in the queue for one more request of `class`; returns false if there is none. Each
-    /// class is entitled to half of the queue. If the other class exceeds its half, its last
-    /// request is evicted.
+    /// class is entitled to half of the queue and may use more while the other does not need it. If
+    /// the queue is full, `class` uses less than its half and the other class more than its own, the
+    /// last request of the other class is evicted.
     fn make_room(&mut self, class: Class) -> bool {
         if self.waiting() < self.limits.queue_len {
             return true;
--- a/tests/testsuite/decide_load_balancing.rs
+++ b/tests/testsuite/decide_load_balancing.rs
@@ -40,10 +40,10 @@
     }
 }
 
-fn ranked(entry: u16, members: &[Member]) -> RankedEndpoints {
+fn ranked(entry_node: u16, members: &[Member]) -> RankedEndpoints {
     let mut ranked = RankedEndpoints::default();
     for member in members {
-        ranked.add(node(entry), &place("cantabrico", "gijon"), member);
+        ranked.add(node(entry_node), &place("cantabrico", "gijon"), member);
     }
     ranked
 }
@@ -107,7 +107,8 @@
 
 /// Guards against needless use of billed links, of which the one between regions costs several times as
 /// much as the one between data centres. A small request leaves its data centre only if it would queue
-/// there, and its region only if it would queue for long in all of it and its treatment allows it.
+/// there, and its region only if it would queue for long in all of the region and its treatment allows
+/// another region.
 #[test]
 fn billed_links_are_used_only_when_nearer_endpoints_queue() {
     let prices = requirements(Spill::Mesh);
@@ -144,8 +145,9 @@
     assert_eq!(choose_with_load([1_000, 1_000, 0], &bundle, 0), node(3));
 }
 
-/// Guards against late responses in one data centre only: its endpoint is much slower than the one a
-/// millisecond away. With the nearest endpoint first, a fifth of its responses would be late.
+/// Guards against late responses to callers near a slow endpoint: another endpoint, in a data centre a
+/// millisecond away, is much faster. If the nearest endpoint always went first, a fifth of its responses
+/// would be late.
 #[test]
 fn fast_endpoint_further_away_is_preferred_to_a_slow_near_one() {
     let ranked = ranked(9, &members_at_each_distance());
@@ -178,7 +180,7 @@
 /// Guards against entry nodes with few requests that send most of them to unmeasured endpoints, which may
 /// be slow.
 #[test]
-fn an_entry_with_few_requests_keeps_to_fast_endpoints() {
+fn entry_node_with_few_requests_keeps_to_fast_endpoints() {
     const REQUESTS: u64 = 120;
     let here = place("cantabrico", "gijon");
     let members: Vec<Member> = (1..=8).map(|number| member(number, &here)).collect();
@@ -361,8 +363,8 @@
 fn subsets_are_small_and_stable() {
     let here = place("cantabrico", "gijon");
     let members: Vec<Member> = (1..=37).map(|number| member(number, &here)).collect();
-    let subset = |me: u16, members: &[Member]| -> Vec<NodeId> {
-        let ranked = ranked(me, members);
+    let subset = |entry_node: u16, members: &[Member]| -> Vec<NodeId> {
+        let ranked = ranked(entry_node, members);
         ranked
             .iter()
             .take(8)
@@ -371,9 +373,9 @@
     };
     let mut changed = 0;
     let mut used = std::collections::BTreeMap::new();
-    for me in 1_000..1_520 {
-        let before = subset(me, &members);
-        let after = subset(me, &members[1..]);
+    for entry_node in 1_000..1_520 {
+        let before = subset(entry_node, &members);
+        let after = subset(entry_node, &members[1..]);
         let kept = after.iter().filter(|node| before.contains(node)).count();
         assert!(
             kept >= 7,
