--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -46,11 +46,11 @@
     pub(crate) watcher_rank: Option<usize>,
     pub(crate) neighbours: Vec<Peer>,
     /// Highest version of this node whose receipt enough peers have confirmed. It is not lost if this node restarts.
-    pub(crate) witnessed_version: Version,
+    pub(crate) acknowledged_version: Version,
     /// Whether no other node is known to be alive.
     pub(crate) alone: bool,
     /// Whether no other node of the data centre is known, alive or dead, except nodes that have left.
-    pub(crate) last_in_data_centre: bool,
+    pub(crate) only_node_of_data_centre: bool,
 }
 
 #[derive(Debug)]
@@ -165,7 +165,7 @@
     ) -> Result<State, ActorProcessingErr> {
         myself.send_interval(TICK_INTERVAL, || ConfigurationMsg::Tick);
         let now_ms = clock::since_ms(node.proxy.started);
-        let floor_origin = match origin {
+        let version_source = match origin {
             ConfigurationOrigin::Published(_) => floor::VersionSource::Acknowledged,
             ConfigurationOrigin::Feed(_) => floor::VersionSource::Followed,
         };
@@ -176,7 +176,7 @@
             holder: Holder::default(),
             held_accepted_ms: now_ms,
             max_enforcement_age_ms: 0,
-            floor: Floor::new(now_ms, floor_origin),
+            floor: Floor::new(now_ms, version_source),
             role: Role::default(),
             refresh: None,
             next_head_poll_ms: now_ms + rand::random_range(0..FIRST_HEAD_POLL_SPREAD_MS),
@@ -266,7 +266,7 @@
         let previous_ranks = (self.role.gateway_rank, self.role.watcher_rank);
         self.role = role;
         self.floor
-            .set_only_node_of_data_centre(self.role.last_in_data_centre);
+            .set_only_node_of_data_centre(self.role.only_node_of_data_centre);
         if previous_ranks != (self.role.gateway_rank, self.role.watcher_rank) {
             self.set_gateway_rank(now_ms);
             self.next_head_poll_ms = self
@@ -320,7 +320,7 @@
             self.announced_held_version = stamp.version;
             self.send_to_membership(MembershipMsg::SetHeld(stamp));
         }
-        if !self.is_witnessed(now_ms, stamp) {
+        if !self.is_acknowledged(now_ms, stamp) {
             return;
         }
         if let Some(applied) = self.holder.enforce() {
@@ -339,11 +339,11 @@
 
     /// Whether enough peers have recorded that this node is about to enforce the version. A restarted node asks its
     /// peers for this record, so that it never enforces an older version than before.
-    fn is_witnessed(&self, now_ms: u64, stamp: Stamp) -> bool {
+    fn is_acknowledged(&self, now_ms: u64, stamp: Stamp) -> bool {
         match self.origin {
             ConfigurationOrigin::Published(_) => {
                 let alone = self.role.alone && now_ms >= ALONE_AFTER_MS;
-                self.role.witnessed_version >= stamp.version || alone
+                self.role.acknowledged_version >= stamp.version || alone
             }
             // No peer needs to record it: the row in the store is at least as new as any enforced version, and a
             // restarted node reads it first.
--- a/src/node/configuration/head.rs
+++ b/src/node/configuration/head.rs
@@ -76,7 +76,7 @@
         self.fetcher.record_store_latency(took_ms);
         self.floor.record_head(head.version);
         if let Some(refresh) = &mut self.refresh {
-            refresh.head_read = true;
+            refresh.store_read = true;
         }
         self.handle_announced(now_ms, head, None);
         self.send_to_membership(MembershipMsg::SetHead(head));
--- a/src/node/configuration/peers.rs
+++ b/src/node/configuration/peers.rs
@@ -24,7 +24,7 @@
     /// Peers that have answered a floor query.
     peers: Vec<NodeId>,
     /// Whether the store has been read.
-    pub(super) head_read: bool,
+    pub(super) store_read: bool,
 }
 
 impl State {
@@ -74,7 +74,7 @@
         self.refresh = Some(Refresh {
             deadline_ms: now_ms + REFRESH_TIMEOUT_MS,
             peers: Vec::new(),
-            head_read: false,
+            store_read: false,
         });
         self.fetcher.resume_after_freeze(now_ms);
         self.reading_head = false;
@@ -89,7 +89,7 @@
     /// [`REFRESH_TIMEOUT_MS`].
     pub(super) fn try_end_refresh(&mut self, now_ms: u64) {
         let Some(refresh) = &self.refresh else { return };
-        let has_quorum = refresh.head_read || refresh.peers.len() >= REFRESH_QUORUM;
+        let has_quorum = refresh.store_read || refresh.peers.len() >= REFRESH_QUORUM;
         let caught_up = self.holder.stamp().version >= self.fetcher.head().version;
         if (has_quorum && caught_up) || now_ms >= refresh.deadline_ms {
             self.refresh = None;
--- a/src/node/configuration/versions.rs
+++ b/src/node/configuration/versions.rs
@@ -23,7 +23,7 @@
     ) {
         self.record_store_read(true);
         if let Some(refresh) = &mut self.refresh {
-            refresh.head_read = true;
+            refresh.store_read = true;
         }
         let Some(configuration) = configuration else {
             return;
--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -74,21 +74,21 @@
     }
 
     async fn poll_once(&mut self) {
-        let ask = self.next_ask();
-        let follows = match &ask {
+        let next_read = self.next_read();
+        let follows = match &next_read {
             NextRead::Store => None,
             NextRead::Lead { lead, .. } => Some(lead.node),
         };
         self.node.followed_node.send_replace(follows);
-        match ask {
+        match next_read {
             NextRead::Store => self.read_store().await,
             NextRead::Lead {
                 lead,
                 wait_ms,
-                answer_timeout_ms: answer_ms,
+                answer_timeout_ms,
             } => {
                 let wait = Duration::from_millis(wait_ms);
-                self.ask_lead(lead, wait, Duration::from_millis(answer_ms))
+                self.poll_lead(lead, wait, Duration::from_millis(answer_timeout_ms))
                     .await;
             }
         }
@@ -98,7 +98,7 @@
         });
     }
 
-    fn next_ask(&mut self) -> NextRead {
+    fn next_read(&mut self) -> NextRead {
         let now_ms = self.node.proxy.uptime_ms();
         self.lead_choice.set_leads(self.leads());
         self.lead_choice
@@ -123,7 +123,7 @@
         }
     }
 
-    async fn ask_lead(&mut self, lead: Peer, wait: Duration, answer_timeout: Duration) {
+    async fn poll_lead(&mut self, lead: Peer, wait: Duration, answer_timeout: Duration) {
         let base_version = *self.node.held_version.borrow();
         let Some(mut client) = self.node.control_pool.client(lead.address) else {
             return self
--- a/src/node/liveness_log.rs
+++ b/src/node/liveness_log.rs
@@ -11,7 +11,7 @@
 /// Suspicions are routine, since every short pause of a VM causes one, and so are joins, since a starting node sees
 /// all members as new. Deaths, departures and returns are notable.
 pub(crate) fn log_liveness(
-    decisions: &LogLimiter,
+    log_limiter: &LogLimiter,
     before: &MembershipView,
     after: &MembershipView,
 ) {
@@ -21,7 +21,7 @@
         .map(|member| (member.node, member.liveness))
         .collect();
     for member in &after.members {
-        let (weight, event) = match (known.get(&member.node), member.liveness) {
+        let (class, event) = match (known.get(&member.node), member.liveness) {
             (Some(before), now) if *before == now => continue,
             (None, _) => (LogClass::Routine, "member joined"),
             (Some(_), Liveness::Suspect) => (LogClass::Routine, "member is suspect"),
@@ -32,7 +32,7 @@
             (Some(_), Liveness::Dead) => (LogClass::Notable, "member is dead"),
             (Some(_), Liveness::Left) => (LogClass::Notable, "member left"),
         };
-        if decisions.may_log(weight) {
+        if log_limiter.may_log(class) {
             log_member(member, event);
         }
     }
--- a/src/node/membership.rs
+++ b/src/node/membership.rs
@@ -48,7 +48,7 @@
     SetEnforced(Version),
     /// Returns the highest version that the given node has reported, also before a restart. A restarted node
     /// asks its peers for it, since it stores nothing on disk.
-    GetRecordedVersion(NodeId, RpcReplyPort<Version>),
+    GetReportedVersion(NodeId, RpcReplyPort<Version>),
     /// Announces to the neighbours that this node leaves, and replies once these exchanges have ended.
     Leave(RpcReplyPort<()>),
 }
@@ -124,7 +124,7 @@
             MembershipMsg::SetHead(stamp) => state.membership.set_head(stamp),
             MembershipMsg::SetHeld(stamp) => state.membership.set_held(stamp),
             MembershipMsg::SetEnforced(version) => state.membership.set_enforced(version),
-            MembershipMsg::GetRecordedVersion(node, reply) => {
+            MembershipMsg::GetReportedVersion(node, reply) => {
                 let _ = reply.send(state.membership.highest_reported(node));
             }
             MembershipMsg::Leave(reply) => {
@@ -205,9 +205,9 @@
             gateway_rank: self.membership.gateway_rank(),
             watcher_rank: self.membership.watcher_rank(),
             neighbours: neighbours.filter_map(|(node, _)| self.peer(node)).collect(),
-            witnessed_version: self.membership.acknowledged_version(),
+            acknowledged_version: self.membership.acknowledged_version(),
             alone: self.membership.is_alone(),
-            last_in_data_centre: self.membership.is_only_node_of_data_centre(),
+            only_node_of_data_centre: self.membership.is_only_node_of_data_centre(),
         };
         let leads = self.leads();
         self.node.leads.send_if_modified(|stored| {
--- a/src/node/operator.rs
+++ b/src/node/operator.rs
@@ -90,7 +90,7 @@
         let services = enforced
             .iter()
             .flat_map(|applied| applied.configuration.services());
-        let lacking = services
+        let unreachable_services = services
             .map(|(service, _)| service)
             .filter(|service| !view.endpoints.contains_key(*service))
             .cloned()
@@ -99,7 +99,7 @@
             node: self.node.proxy.local_id,
             enforced: stamp.unwrap_or(Stamp::NONE),
             ready: self.not_ready_reason().is_none(),
-            unreachable_services: lacking,
+            unreachable_services,
             follows: *self.node.followed_node.borrow(),
             members: view.members.clone(),
             data_centres: view.data_centres.clone(),
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -49,8 +49,8 @@
 impl NodeState {
     pub(crate) fn new(settings: Settings, local_node: NodeId) -> Arc<Self> {
         let control_pool = PeerPool::new(settings.dial_options());
-        let vocabulary = vocabulary_of(settings.dialect);
-        let proxy = Arc::new(ProxyState::new(settings, vocabulary, local_node));
+        let profile = header_profile_of(settings.dialect);
+        let proxy = Arc::new(ProxyState::new(settings, profile, local_node));
         let announcements = match proxy.header_profile.instance {
             Some(_) => Announcements::requiring_confirmation(),
             None => Announcements::default(),
@@ -107,7 +107,7 @@
     }
 }
 
-fn vocabulary_of(dialect: Dialect) -> &'static HeaderProfile {
+fn header_profile_of(dialect: Dialect) -> &'static HeaderProfile {
     match dialect {
         Dialect::Native => &header_profile::DEFAULT,
         Dialect::Platform => &platform::headers::PROFILE,
--- a/src/node/store.rs
+++ b/src/node/store.rs
@@ -25,10 +25,10 @@
     (head.ok().map(|head| head.stamp), clock::since_ms(started))
 }
 
-/// Reads the content of `want`: the deltas since `held` if there are at most [`MAX_DELTA_CHAIN`], else the
+/// Reads the content of `wanted`: the deltas since `held` if there are at most [`MAX_DELTA_CHAIN`], else the
 /// snapshot. The store does not say when a version was accepted, so the age of the offer is 0.
-pub(crate) async fn read_offer(store: &HttpStore, held: Stamp, want: Stamp) -> Option<Offer> {
-    let newest = accepted::version_row(store, want.version).await.ok()?;
+pub(crate) async fn read_offer(store: &HttpStore, held: Stamp, wanted: Stamp) -> Option<Offer> {
+    let newest = accepted::version_row(store, wanted.version).await.ok()?;
     let stamp = newest.stamp;
     let snapshot = newest.snapshot_object;
     let steps = match rows_since(store, held, newest).await {
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -125,7 +125,7 @@
             convert::parse_address(&request.get_ref().node).map_err(|e| invalid_argument(&e))?;
         let reported = ractor::call_t!(
             self.membership,
-            MembershipMsg::GetRecordedVersion,
+            MembershipMsg::GetReportedVersion,
             ACTOR_TIMEOUT_MS,
             NodeId(node)
         );
--- a/tests/testsuite/publish_in_flight.rs
+++ b/tests/testsuite/publish_in_flight.rs
@@ -24,7 +24,7 @@
     /// Number of transactions to hold, whose answers are lost.
     transactions_to_hold: AtomicU32,
     /// Number of calls that are refused because of the rate limit.
-    busy_answers: AtomicU32,
+    rate_limited_calls: AtomicU32,
     /// Number of reads and stored objects whose answers are lost.
     lost_answers: AtomicU32,
     /// Number of reads of the head before which the held transaction is delivered.
@@ -39,7 +39,7 @@
             inner: HttpStore::new(&platform.url(), None),
             held_transaction: Mutex::new(None),
             transactions_to_hold: AtomicU32::new(0),
-            busy_answers: AtomicU32::new(0),
+            rate_limited_calls: AtomicU32::new(0),
             lost_answers: AtomicU32::new(0),
             deliveries_before_head_read: AtomicU32::new(0),
             competing_publication: None,
@@ -68,8 +68,8 @@
         }
     }
 
-    fn fail_if_busy(&self) -> Result<()> {
-        match decrement(&self.busy_answers) {
+    fn fail_if_rate_limited(&self) -> Result<()> {
+        match decrement(&self.rate_limited_calls) {
             true => Err(store::Error::RateLimited),
             false => Ok(()),
         }
@@ -86,7 +86,7 @@
 
 impl Table for FaultyPlatform {
     async fn transact(&self, transaction: &Transaction) -> Result<Outcome> {
-        self.fail_if_busy()?;
+        self.fail_if_rate_limited()?;
         if decrement(&self.transactions_to_hold) {
             *self
                 .held_transaction
@@ -104,7 +104,7 @@
     }
 
     async fn row(&self, key: &str) -> Result<Option<Row>> {
-        self.fail_if_busy()?;
+        self.fail_if_rate_limited()?;
         self.fail_if_answer_lost()?;
         if key == HEAD_KEY && decrement(&self.deliveries_before_head_read) {
             self.deliver_held().await;
@@ -274,7 +274,7 @@
 #[tokio::test]
 async fn publication_retries_while_rate_limited() {
     let (_stand_in, platform) = start().await;
-    platform.busy_answers.store(2, Ordering::SeqCst);
+    platform.rate_limited_calls.store(2, Ordering::SeqCst);
     let published = publish(&Retrying(platform), &options("busy", 60_000)).await;
     let published = published.expect("refused calls are retried");
     assert_eq!(published.stamp.version, Version(1));
--- a/tests/testsuite/users_configuration.rs
+++ b/tests/testsuite/users_configuration.rs
@@ -202,7 +202,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn node_switching_to_the_store_reads_only_the_newest_version() {
     const LAST: u64 = 30;
-    const LEAST_ROWS_OF_HISTORY: usize = 10;
+    const MIN_ROWS_WITH_HISTORY: usize = 10;
     let mut plan = Plan::new(&SERVICES);
     plan.data_centres.truncate(1);
     let mesh = start_serving_users_mesh(plan).await;
@@ -222,7 +222,7 @@
     write_routes(&mesh, LAST + 1, &users_routes(), &SERVICES);
     mesh.wait_enforced(LAST + 1).await;
     let rows = mesh.store.counts().max_feed_rows;
-    assert!(rows < LEAST_ROWS_OF_HISTORY, "{rows} rows in one answer");
+    assert!(rows < MIN_ROWS_WITH_HISTORY, "{rows} rows in one answer");
 }
 
 /// The store drops its history between two versions. Guards against nodes that miss the second version.
