--- a/src/bin/dragonflywall/commands/drain.rs
+++ b/src/bin/dragonflywall/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `drain`: makes a node refuse new requests and complete those it has.
+//! `drain`: makes a node refuse new requests to its backend server and complete those in flight.
 
 use std::ffi::OsString;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,10 +2,11 @@
 //!
 //! Each service team keeps a short configuration file next to its code. The `publish` command merges
 //! team files into a new version of the configuration and commits it in one transaction on the
-//! platform's table. A node process runs on each backend server VM. It learns of a new version by
-//! gossip, fetches the content from a peer or the object store, verifies it, and replaces the
-//! enforced configuration as a whole. The same node is a proxy: it routes requests of callers on its
-//! VM, and all requests to the VM's backend server pass through its admission control.
+//! platform's table. A node process runs on each backend server VM. It is notified of a new version
+//! by gossip, fetches the content from a peer or the object store, verifies it, and replaces the
+//! enforced configuration as a whole. The same node is a proxy: as an entry node it routes the
+//! requests of the callers that connect to it, and all requests to the VM's backend server pass
+//! through its admission control, the gate.
 //!
 //! The modules:
 //!
@@ -17,6 +18,7 @@
 //!   sockets and read no clock.
 //! - [`peer`]: the gRPC protocol between nodes.
 //! - [`node`]: the actors that run these state machines and provide their sockets and time.
+//! - `proxy`: the path of requests from a caller to a backend server and back.
 
 pub mod core;
 pub mod decide;
--- a/src/node/backend_announcements.rs
+++ b/src/node/backend_announcements.rs
@@ -69,7 +69,7 @@
             match health::check(&self.proxy, announcement).await {
                 Health::Serving(instance) => return self.handle_confirmation(&instance),
                 Health::NotServing => {
-                    log::info!(instance:? = announcement.instance; "the announced backend server refuses requests");
+                    log::info!(instance:? = announcement.instance; "the announced backend server failed its health check");
                     return;
                 }
                 Health::Unknown => tokio::time::sleep(HEALTH_CHECK_INTERVAL).await,
@@ -84,7 +84,7 @@
             Some(announcement) if !self.is_stopping() => self.apply_announcement(&announcement),
             Some(_) => (),
             None => {
-                log::info!(instance:%; "the health check was answered by another backend server than the one announced last");
+                log::info!(instance:%; "the health check does not confirm the latest announcement, which is of another instance or not ready");
             }
         }
     }
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -34,18 +34,21 @@
 const FLOOR_QUERY_INTERVAL_MS: u64 = 500;
 
 /// Time after the start from which a node that has found no peer counts as alone. Its first contacts with peers take
-/// a moment, and a node that counts as alone enforces versions without confirmation by a peer.
+/// a moment, and a node that counts as alone enforces versions without acknowledgement by a peer.
 const ALONE_AFTER_MS: u64 = 3_000;
 
 /// The role of this node in the mesh, as the membership actor computes it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Role {
-    /// Rank among the gateways of the region, which fetch content across regions; 0 is the active one.
+    /// Position among the gateways of the region, which fetch content from other regions and from the store earlier
+    /// than other nodes do; the gateway with rank 0 fetches first.
     pub(crate) gateway_rank: Option<usize>,
-    /// Rank among the watchers of the data centre, which poll the head row more often than other nodes.
+    /// Position among the watchers of the data centre. The watcher with rank 0 polls the head row more often than
+    /// other nodes.
     pub(crate) watcher_rank: Option<usize>,
     pub(crate) neighbours: Vec<Peer>,
-    /// Highest version of this node whose receipt enough peers have confirmed. It is not lost if this node restarts.
+    /// Highest version of this node that enough peers have acknowledged. They keep a record of it in case this node
+    /// restarts.
     pub(crate) acknowledged_version: Version,
     /// Whether no other node is known to be alive.
     pub(crate) alone: bool,
@@ -77,8 +80,8 @@
     /// A read of the configuration feed has succeeded. `configuration` is none if there is no new version.
     StoreRead {
         configuration: Option<Box<Configuration>>,
-        /// Time from the last successful read to the start of this one, so that a new version was accepted no
-        /// earlier than that.
+        /// Time from the last successful read to the start of this one. A version that only this read returns was
+        /// accepted after the last one.
         last_read_age_ms: u64,
     },
     /// A read of the configuration feed has failed.
@@ -124,7 +127,8 @@
     origin: ConfigurationOrigin,
     holder: Holder,
     fetcher: Fetcher,
-    /// Earliest time at which the version held can have been accepted, in milliseconds since the process started.
+    /// Estimate of when the version held was accepted, rather too early than too late, in milliseconds since the
+    /// process started.
     held_accepted_ms: u64,
     /// Longest time from the acceptance of a version to its enforcement, since the process started.
     max_enforcement_age_ms: u64,
@@ -297,8 +301,8 @@
         self.store_available = store_answered;
     }
 
-    /// Enforces the version held, if it is not below the floor and enough peers have recorded it. While the floor is
-    /// unknown or too high, readiness checks report why.
+    /// Enforces the version held, if it is not below the floor and enough peers have acknowledged it. While the floor
+    /// is unknown or above the version held, readiness checks report that.
     fn enforce_held(&mut self, now_ms: u64) {
         let newest = self.holder.held().version;
         let replace_held = |held: &mut Version| std::mem::replace(held, newest) != newest;
@@ -337,15 +341,15 @@
         }
     }
 
-    /// Whether enough peers have recorded that this node is about to enforce the version. A restarted node asks its
-    /// peers for this record, so that it never enforces an older version than before.
+    /// Whether enough peers have acknowledged that this node is about to enforce the version. A restarted node queries
+    /// its peers for their record of it, so that it never enforces an older version than before.
     fn is_acknowledged(&self, now_ms: u64, stamp: Stamp) -> bool {
         match self.origin {
             ConfigurationOrigin::Published(_) => {
                 let alone = self.role.alone && now_ms >= ALONE_AFTER_MS;
                 self.role.acknowledged_version >= stamp.version || alone
             }
-            // No peer needs to record it: the row in the store is at least as new as any enforced version, and a
+            // No acknowledgement is needed: the row in the store is at least as new as any enforced version, and a
             // restarted node reads it first.
             ConfigurationOrigin::Feed(_) => true,
         }
--- a/src/node/configuration/peers.rs
+++ b/src/node/configuration/peers.rs
@@ -1,5 +1,5 @@
 //! Floor queries to peers: below which version this node must not enforce after a restart, and which version is
-//! enforced elsewhere after a freeze.
+//! enforced elsewhere when the process resumes after a freeze.
 
 use std::sync::atomic::Ordering;
 
@@ -23,7 +23,7 @@
     deadline_ms: u64,
     /// Peers that have answered a floor query.
     peers: Vec<NodeId>,
-    /// Whether the store has been read.
+    /// Whether the store has been read since the freeze.
     pub(super) store_read: bool,
 }
 
--- a/src/node/liveness_log.rs
+++ b/src/node/liveness_log.rs
@@ -6,7 +6,8 @@
 use crate::proxy::log_limiter::{LogClass, LogLimiter};
 use crate::proxy::view::MembershipView;
 
-/// Logs each member whose liveness differs between the views `before` and `after`.
+/// Logs each member whose liveness differs between the views `before` and `after`, within the rate limits of
+/// `log_limiter`.
 ///
 /// Suspicions are routine, since every short pause of a VM causes one, and so are joins, since a starting node sees
 /// all members as new. Deaths, departures and returns are notable.
--- a/src/node/membership.rs
+++ b/src/node/membership.rs
@@ -163,7 +163,7 @@
                 }
                 Err(error) => {
                     count_exchange("failed");
-                    log::debug!(peer:% = exchange.address, error:%; "heartbeat failed");
+                    log::debug!(peer:% = exchange.address, error:%; "gossip exchange failed");
                     node.control_pool.discard(exchange.address);
                     MembershipMsg::ExchangeFailed(exchange)
                 }
--- a/src/node/registration.rs
+++ b/src/node/registration.rs
@@ -32,7 +32,7 @@
 use crate::store::{Result, Row, Table, Transaction};
 use crate::util::clock;
 
-/// Interval between renewals of the own row. 520 nodes together write about one row every two seconds.
+/// Longest interval between renewals of the own row. 520 nodes together write about one row every two seconds.
 const RENEWAL_INTERVAL: Duration = Duration::from_secs(1_200);
 /// Pauses before the first further reads of the watchers, by which they find nodes that started at the same time and
 /// have registered since.
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Rewrites the own row every [`RENEWAL_INTERVAL`], and whenever the announced state of the backend server
-    /// changes.
+    /// Rewrites the own row at least every [`RENEWAL_INTERVAL`], and whenever the announced state of the backend
+    /// server changes.
     async fn renew_row(&self) {
         loop {
             tokio::select! {
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -1,7 +1,8 @@
 //! Reloads the settings file of a running node, on SIGHUP or when the file has changed.
 //!
-//! Settings that can change without a restart take effect at once. Changes of listed settings that need a restart
-//! are named in the log. A file that cannot be read or has an invalid value changes nothing.
+//! Changes of [`ReloadableSettings`](super::settings::ReloadableSettings) take effect at once. Changes of the
+//! settings that [`needs_restart`] compares are only named in the log. A file that cannot be read or has an invalid
+//! value changes nothing.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -435,7 +435,7 @@
         if is_name(&name) {
             return Some(name);
         }
-        self.add_problem(flag, &format!("`{name}` is not a valid name: use lower-case letters, digits and dashes, and start with a letter"));
+        self.add_problem(flag, &format!("`{name}` is not a valid name: use at most 63 lower-case letters, digits and dashes, and start with a letter"));
         None
     }
 
--- a/src/node/store.rs
+++ b/src/node/store.rs
@@ -26,7 +26,7 @@
 }
 
 /// Reads the content of `wanted`: the deltas since `held` if there are at most [`MAX_DELTA_CHAIN`], else the
-/// snapshot. The store does not say when a version was accepted, so the age of the offer is 0.
+/// snapshot. The age of the offer is 0, because the time of acceptance is not known here.
 pub(crate) async fn read_offer(store: &HttpStore, held: Stamp, wanted: Stamp) -> Option<Offer> {
     let newest = accepted::version_row(store, wanted.version).await.ok()?;
     let stamp = newest.stamp;
@@ -47,8 +47,8 @@
     })
 }
 
-/// Reads the version rows after `held` up to `newest`, oldest first. Returns nothing if there are more than
-/// [`MAX_DELTA_CHAIN`], or if their parents do not lead back to `held`.
+/// Reads the version rows after `held` up to `newest`, oldest first. Returns nothing if no version is held, if
+/// there are more than [`MAX_DELTA_CHAIN`] rows, or if their parents do not lead back to `held`.
 async fn rows_since(store: &HttpStore, held: Stamp, newest: VersionRow) -> Option<Vec<VersionRow>> {
     let behind = newest.stamp.version.0.checked_sub(held.version.0)?;
     if held.version == Version::NONE || behind > MAX_DELTA_CHAIN as u64 {
--- a/src/ops/command/drain.rs
+++ b/src/ops/command/drain.rs
@@ -1,4 +1,4 @@
-//! Drains a node: it accepts no new requests and completes those it has.
+//! Drains the backend server of a node: the node admits no new requests to it and completes those in flight.
 
 use std::io::ErrorKind::ConnectionRefused;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 /// Progress of a drain, as the node answers it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainStatus {
-    /// Whether the node refuses new requests.
+    /// Whether the node refuses new requests to its backend server.
     pub draining: bool,
-    /// Number of requests that are still running.
+    /// Number of requests that the backend server is still running.
     pub in_flight: u64,
 }
 
@@ -47,8 +47,8 @@
         tokio::time::sleep(POLL_INTERVAL).await;
         let current = match drain(node).await {
             Ok(current) => current,
-            // The node stops when no requests are in flight, and then refuses connections. Without
-            // this case the command would wait for a node that has already stopped.
+            // The node was stopped in the meantime. It stops only when no requests are in flight, and
+            // then refuses connections. Without this case the command would wait for it in vain.
             Err(Error::Connect { source, .. }) if source.kind() == ConnectionRefused => {
                 DrainStatus {
                     draining: true,
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -4,10 +4,10 @@
 //! |---|---|
 //! | `ip`, `zone`, `region` | the VM's address, data centre and region |
 //! | `service`, `appAddr` | service and address of the VM's backend server |
-//! | `listen.outbound` | listens for requests of callers on the VM, including its backend server |
-//! | `listen.inbound` | not used by the platform itself; here it listens for other nodes |
-//! | `listen.ready` | listens for readiness probes |
-//! | `listen.control` | listens for announcements of the VM's backend server |
+//! | `listen.outbound` | address for requests of callers on the VM, including its backend server |
+//! | `listen.inbound` | address for connections of other nodes; the platform itself does not use it |
+//! | `listen.ready` | address for readiness probes |
+//! | `listen.control` | address for announcements of the VM's backend server |
 //! | `seeds` | `listen.control` addresses of other VMs; some may be outdated |
 //! | `platform.address` | address of the store |
 //! | `limits.linkMbps` | bandwidth of the VM's link in each direction, in Mbit/s |
--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -2,8 +2,8 @@
 //! server, and back.
 //!
 //! [`entry`] runs on the node that the caller is connected to. It matches the request to a route,
-//! chooses an endpoint and retries failed attempts. [`gate`] runs on the node beside the backend
-//! server. It admits requests and forwards them. If the chosen endpoint is the entry node's own
+//! chooses an endpoint and retries failed attempts. [`gate`] runs on the node of the backend
+//! server's VM. It admits requests and forwards them. If the chosen endpoint is the entry node's own
 //! backend server, the entry calls the gate directly, without a network connection. Bodies are
 //! streamed in both directions. Every failure carries a verdict that says whether the request may
 //! have run ([`failure::Failure`]).
--- a/src/store/http.rs
+++ b/src/store/http.rs
@@ -29,7 +29,7 @@
 /// is blocked while it waits for the response, so it gives up and tries again later instead.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Client of a platform that speaks dragonflywall's own protocol.
+/// Client of a platform that implements dragonflywall's own protocol.
 #[derive(Clone, Debug)]
 pub struct HttpStore {
     transport: Transport,
--- a/tests/testsuite/logs.rs
+++ b/tests/testsuite/logs.rs
@@ -84,7 +84,7 @@
     plan.log_lines = Some(sender);
     let mesh = start_serving_users_mesh(plan).await;
     let mut sources = BTreeSet::new();
-    // A node reads the store itself after its start, until it knows its lead. So the first versions may come from
+    // A node reads the store itself after its start, until it has found its lead. So the first versions may come from
     // the store alone.
     for version in 2.. {
         write_routes(&mesh, version, &users_routes(), &SERVICES);
--- a/tests/testsuite/support.rs
+++ b/tests/testsuite/support.rs
@@ -63,7 +63,7 @@
     "examples/chatarras/bascula.toml",
 ];
 
-/// Starts a deployment, publishes [`CHATARRAS_TEAM_FILES`], and waits until all nodes enforce them and know
+/// Starts a deployment, publishes [`CHATARRAS_TEAM_FILES`], and waits until all nodes enforce them and list
 /// all members.
 pub(crate) async fn start_chatarras(deployment: Deployment) -> Mesh {
     let mesh = start_mesh(deployment).await;
@@ -148,7 +148,7 @@
 }
 
 /// Starts a mesh on the stand-in of the users' platform, and waits until all nodes enforce
-/// [`users_routes`] and know all backend servers.
+/// [`users_routes`] and have received the state of all backend servers.
 pub(crate) async fn start_serving_users_mesh(plan: users::mesh::Plan) -> users::mesh::Mesh {
     let services = plan.services.clone();
     let mesh = start_users_mesh(plan).await;
--- a/tests/testsuite/users_stops.rs
+++ b/tests/testsuite/users_stops.rs
@@ -249,7 +249,7 @@
     found.unwrap_or_default()
 }
 
-/// A node is killed and restarted while the store is unavailable, so it does not know its backend server before the
+/// A node is killed and restarted while the store is unavailable, so it has no state of its backend server before the
 /// next announcement and sends it no requests. Guards against a node that still reports it as serving: other nodes
 /// would be refused there and would then avoid the endpoint for seconds, although it could serve.
 #[tokio::test(flavor = "multi_thread")]
@@ -376,7 +376,7 @@
 }
 
 /// A backend server leaves, and its node acknowledges that. The node is then killed and restarted while the store is
-/// unavailable, so the new process does not know of the departure. Guards against a delayed "ready" announcement that
+/// unavailable, so the new process has no record of the departure. Guards against a delayed "ready" announcement that
 /// makes the new process send requests to this backend server.
 #[tokio::test(flavor = "multi_thread")]
 async fn delayed_ready_announcement_does_not_open_admission_after_restart() {
