--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -74,13 +74,13 @@
     }
 
     async fn poll_once(&mut self) {
-        let next_read = self.next_read();
-        let follows = match &next_read {
+        let read = self.next_read();
+        let follows = match &read {
             NextRead::Store => None,
             NextRead::Lead { lead, .. } => Some(lead.node),
         };
         self.node.followed_node.send_replace(follows);
-        match next_read {
+        match read {
             NextRead::Store => self.read_store().await,
             NextRead::Lead {
                 lead,
