--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -36,7 +36,7 @@
     pub(crate) control_pool: PeerPool,
     /// Why no configuration may be enforced yet, or none that is new enough; readiness checks report it.
     pub(crate) blocked_reason: ArcSwap<Option<&'static str>>,
-    /// Newest version whose content this node holds. Calls from nodes that follow this one wait for it.
+    /// Newest version whose content this node holds. Long polls of followers wait for it to change.
     pub(crate) held_version: watch::Sender<Version>,
     /// The ranked lead nodes of this data centre, which read the store for the others.
     pub(crate) leads: watch::Sender<Leads>,
--- a/src/ops/command/drain.rs
+++ b/src/ops/command/drain.rs
@@ -12,7 +12,7 @@
 /// Interval at which a draining node is queried.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Progress of a drain, as the node answers it.
+/// Progress of a drain, as the node reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainStatus {
     /// Whether the node refuses new requests to its backend server.
--- a/src/platform/node_requests.rs
+++ b/src/platform/node_requests.rs
@@ -46,18 +46,18 @@
 #[derive(Debug, Deserialize)]
 struct AnnouncementBody {
     service: String,
-    /// Socket address that it listens on.
+    /// Socket address that the backend server listens on.
     address: String,
     /// `ready` or `draining`.
     state: String,
-    /// Number of requests that it runs concurrently.
+    /// Number of requests that the backend server runs concurrently.
     slots: u32,
-    /// Remaining, not elapsed, time of its warm-up, during which it is slow.
+    /// Remaining, not elapsed, warm-up time of the backend server, in which it is slow.
     #[serde(rename = "coldRemaining")]
     cold_remaining: Option<String>,
     /// Increases with each announcement, and starts again when the backend server restarts.
     seq: u64,
-    /// Time of its start, in milliseconds since the Unix epoch.
+    /// Start time of the backend server, in milliseconds since the Unix epoch.
     born: Option<u64>,
 }
 
