--- a/crates/experiment/src/all.rs
+++ b/crates/experiment/src/all.rs
@@ -1,4 +1,4 @@
-//! `all`: every measurement, every table and plot, and the numbers of the capacity page.
+//! `all`: runs every benchmark, writes all pages, and updates the tables of `docs/CAPACITY.md`.
 
 use std::ffi::OsString;
 use std::time::Instant;
@@ -9,20 +9,21 @@
 use crate::report::Report;
 use crate::{convergence, requests, slopes};
 
-/// Runs the command. One measurement after the other: side by side they would disturb each other.
+/// Runs the command. The benchmarks run one after the other, because they would slow each other
+/// down if they ran at the same time.
 pub(crate) async fn run(arguments: Vec<OsString>) -> Result {
     let options = Options::parse(arguments)?;
     let scale = options.scale;
-    let begin = Instant::now();
+    let started = Instant::now();
     let report = Report::new(&options.docs)?;
     let slopes = slopes::measure(scale)?;
     slopes::write(&report, &slopes, scale)?;
-    // A failure is told at the end, so that it does not take the other measurements with it.
+    // A failure is returned after the other benchmarks have run and their pages are written.
     let requests = measure_requests(&report, scale).await;
     let sizes = convergence::measure(&convergence::Plan::of(scale)).await?;
     convergence::write(&report, &sizes, scale)?;
-    let failed_sizes = sizes.checked();
-    let (requests, failed_requests) = match requests {
+    let convergence_result = sizes.ensure_all_measured();
+    let (requests, requests_result) = match requests {
         Ok(requests) => (requests, Ok(())),
         Err(error) => (Vec::new(), Err(error)),
     };
@@ -31,12 +32,15 @@
         requests,
         holder: slopes.holder,
     };
-    capacity::write(&options.docs, &results, scale)?;
-    println!("Finished in {:.0} s", begin.elapsed().as_secs_f64());
-    failed_requests.and(failed_sizes)
+    capacity::update_page(&options.docs, &results, scale)?;
+    println!("Finished in {:.0} s", started.elapsed().as_secs_f64());
+    requests_result.and(convergence_result)
 }
 
-async fn measure_requests(report: &Report, scale: Scale) -> Result<Vec<requests::Measured>> {
+async fn measure_requests(
+    report: &Report,
+    scale: Scale,
+) -> Result<Vec<requests::DeploymentResults>> {
     let measured = requests::measure(scale).await?;
     requests::write(report, &measured, scale)?;
     Ok(measured)
