--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -1,8 +1,11 @@
-//! The actor that distributes and enforces configurations on this node. It does the network calls and provides the
+//! The actor that distributes and enforces configurations on this node. It makes the network calls and provides the
 //! time for the state machines [`Holder`], [`Fetcher`] and [`Floor`].
 //!
-//! The floor is the lowest version that this node may enforce. It keeps a restarted node from enforcing an older
-//! version than before its restart.
+//! - The head is the newest accepted version. A stamp identifies a version by its number and digest.
+//! - A node holds a version once it has the content, and enforces it once requests are routed by it. In between, peers
+//!   may have to acknowledge the version.
+//! - The floor is the lowest version that this node may enforce. It keeps a restarted node from enforcing an older
+//!   version than before its restart.
 
 mod head;
 mod peers;
@@ -61,7 +64,8 @@
     Tick,
     /// The time for which the fetcher scheduled its next action has come.
     FetchDue,
-    /// A version was announced by gossip or by a hint. `holder` is the sender if it holds the content.
+    /// A version was announced by gossip, or by a hint of the `publish` command. `holder` is the sender if it holds the
+    /// content.
     Announced {
         stamp: Stamp,
         holder: Option<Peer>,
@@ -91,8 +95,8 @@
         offer: Offer,
         base_version: Version,
     },
-    /// A peer has answered a floor query. `reported` is the highest version that it knows this node to have
-    /// reported, also before a restart; `enforced` is the version that the peer enforces.
+    /// A peer has answered a floor query. `reported` is the highest version that the peer has on record for this
+    /// node, also from before a restart; `enforced` is the version that the peer enforces.
     FloorAnswered {
         peer: Peer,
         reported: Version,
--- a/src/node/configuration/head.rs
+++ b/src/node/configuration/head.rs
@@ -1,4 +1,5 @@
-//! Polls the head row of the store, as a fallback if hints and gossip about published versions are lost.
+//! Polls the head row of the store, which names the newest accepted version, as a fallback if hints and gossip about
+//! published versions are lost.
 
 use ractor::ActorRef;
 
--- a/src/node/registration.rs
+++ b/src/node/registration.rs
@@ -10,8 +10,8 @@
 //!   rows in the page.
 //! - Each node reads the rows that follow its own key, so that the seeds of all nodes are spread over the mesh.
 //! - Half of the nodes reach the table across the link between the regions, which is billed by volume. So pages are
-//!   short, rows are renewed seldom, and after the start only the watchers of each data centre read further pages,
-//!   which finds nodes that have formed a separate mesh.
+//!   short, rows are renewed seldom, and after the start only the watchers, two nodes of each data centre, read further
+//!   pages, which finds nodes that have formed a separate mesh.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/src/ops/command/publish.rs
+++ b/src/ops/command/publish.rs
@@ -33,7 +33,7 @@
 
 pub use error::Error;
 
-/// Result of this module.
+/// A result whose error is [`Error`] by default.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// Maximum length of a publication's id in bytes.
--- a/src/ops/command/publish/plan.rs
+++ b/src/ops/command/publish/plan.rs
@@ -169,5 +169,5 @@
 }
 
 fn to_json(value: &impl Serialize) -> String {
-    serde_json::to_string(value).expect("rows always encode")
+    serde_json::to_string(value).expect("the value can be encoded as JSON")
 }
--- a/src/ops/operator_client.rs
+++ b/src/ops/operator_client.rs
@@ -13,7 +13,7 @@
 use crate::core::token::{MeshToken, TOKEN_HEADER};
 use crate::util::dial::dial;
 
-/// Result of this module.
+/// A result whose error is [`Error`] by default.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// Timeout of a request. A node answers from memory, so one that takes longer hangs or cannot be
--- a/src/ops/query/accepted.rs
+++ b/src/ops/query/accepted.rs
@@ -7,7 +7,7 @@
 use crate::store::rows::{HEAD_KEY, HeadRow, VERSION_PREFIX, VersionRow, version_key};
 use crate::store::{self, ObjectStore, Table};
 
-/// Result of this module.
+/// A result whose error is [`Error`] by default.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// Number of rows that are read at a time from the audit trail.
--- a/src/ops/query/check.rs
+++ b/src/ops/query/check.rs
@@ -10,7 +10,7 @@
 use crate::core::routing::RouteTable;
 use crate::core::team_file::{self, Finding, SourceLines};
 
-/// Result of this module.
+/// A result whose error, by default, lists the findings of each invalid file.
 pub type Result<T, E = Vec<FileFindings>> = std::result::Result<T, E>;
 
 /// All findings of one file.
--- a/src/ops/query/diff.rs
+++ b/src/ops/query/diff.rs
@@ -11,7 +11,7 @@
 use crate::ops::query::accepted;
 use crate::store::{ObjectStore, Table};
 
-/// Result of this module.
+/// A result whose error is [`Error`] by default.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// Why a comparison failed.
