--- a/src/bin/dragonflywall/commands/publish.rs
+++ b/src/bin/dragonflywall/commands/publish.rs
@@ -257,13 +257,13 @@
         });
         return;
     }
-    let done = if published.already_published {
+    let outcome = if published.already_published {
         "Already published"
     } else {
         "Published"
     };
     println!(
-        "{done}: version {} by {} (publication {})",
+        "{outcome}: version {} by {} (publication {})",
         published.stamp, options.operator, options.publish_id
     );
     print!("{}", difference::to_text(&published.changes));
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -389,9 +389,10 @@
         (!text.is_empty()).then(|| text.to_owned())
     }
 
-    fn add_problem(&mut self, flag: &str, what: &str) {
+    fn add_problem(&mut self, flag: &str, problem: &str) {
         let variable = Spec::for_flag(flag).variable();
-        self.problems.push(format!("--{flag} ({variable}): {what}"));
+        self.problems
+            .push(format!("--{flag} ({variable}): {problem}"));
     }
 
     fn optional<T: FromStr>(&mut self, flag: &str) -> Option<T>
@@ -425,8 +426,8 @@
         if bytes >= MIN_CALLER_HEADER_BYTES {
             return Some(bytes);
         }
-        let what = format!("{bytes} is below the minimum of {MIN_CALLER_HEADER_BYTES}");
-        self.add_problem(flag, &what);
+        let problem = format!("{bytes} is below the minimum of {MIN_CALLER_HEADER_BYTES}");
+        self.add_problem(flag, &problem);
         None
     }
 
--- a/src/ops/command/publish.rs
+++ b/src/ops/command/publish.rs
@@ -202,7 +202,7 @@
     let row = table.row(&key).await;
     let row = row
         .context(accepted::PlatformSnafu {
-            what: format!("publication `{publish_id}`"),
+            item: format!("publication `{publish_id}`"),
         })
         .context(ReadSnafu)?;
     let Some(row) = row else {
--- a/src/ops/query/accepted.rs
+++ b/src/ops/query/accepted.rs
@@ -18,10 +18,10 @@
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// The platform did not answer, or answered with an error.
-    #[snafu(display("cannot read {what}"))]
+    #[snafu(display("cannot read {item}"))]
     Platform {
         /// Description of the row or object.
-        what: String,
+        item: String,
         /// The error of the platform.
         source: store::Error,
     },
@@ -34,10 +34,10 @@
         source: serde_json::Error,
     },
     /// A row or object that must exist does not.
-    #[snafu(display("{what} is missing from the platform"))]
+    #[snafu(display("{item} is missing from the platform"))]
     Missing {
         /// Description of the row or object.
-        what: String,
+        item: String,
     },
     /// The stored content of a version is damaged or is not the content of that version.
     #[snafu(display("the content of version {version} is invalid"))]
@@ -61,7 +61,7 @@
 /// Reads the head, which is the accepted version.
 pub async fn head(table: &impl Table) -> Result<Head> {
     let row = table.row(HEAD_KEY).await;
-    let row = row.context(PlatformSnafu { what: "the head" })?;
+    let row = row.context(PlatformSnafu { item: "the head" })?;
     let Some(row) = row else {
         return Ok(Head {
             stamp: Stamp::NONE,
@@ -79,10 +79,10 @@
 pub async fn version_row(table: &impl Table, version: Version) -> Result<VersionRow> {
     let key = version_key(version);
     let row = table.row(&key).await.context(PlatformSnafu {
-        what: format!("version {version}"),
+        item: format!("version {version}"),
     })?;
     let row = row.context(MissingSnafu {
-        what: format!("version {version}"),
+        item: format!("version {version}"),
     })?;
     serde_json::from_str(&row.value).context(RowSnafu { key })
 }
@@ -94,7 +94,7 @@
     loop {
         let page = table.rows(VERSION_PREFIX, &after_key, PAGE_ROWS).await;
         let page = page.context(PlatformSnafu {
-            what: "the audit trail",
+            item: "the audit trail",
         })?;
         let Some(last) = page.keys().next_back() else {
             return Ok(found);
@@ -122,8 +122,8 @@
 
 /// Reads one object that must exist.
 pub async fn object(store: &impl ObjectStore, digest: &Digest) -> Result<Vec<u8>> {
-    let what = || format!("object {}", digest.short());
+    let item = || format!("object {}", digest.short());
     let bytes = store.object(digest).await;
-    let bytes = bytes.context(PlatformSnafu { what: what() })?;
-    bytes.context(MissingSnafu { what: what() })
+    let bytes = bytes.context(PlatformSnafu { item: item() })?;
+    bytes.context(MissingSnafu { item: item() })
 }
