--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -1,8 +1,11 @@
-//! The actor that distributes and enforces configurations on this node. It does the network calls and provides the
+//! The actor that distributes and enforces configurations on this node. It makes the network calls and provides the
 //! time for the state machines [`Holder`], [`Fetcher`] and [`Floor`].
 //!
-//! The floor is the lowest version that this node may enforce. It keeps a restarted node from enforcing an older
-//! version than before its restart.
+//! - The head is the newest accepted version. A stamp identifies a version by its number and digest.
+//! - A node holds a version once it has the content, and enforces it once requests are routed by it. In between, peers
+//!   may have to acknowledge the version.
+//! - The floor is the lowest version that this node may enforce. It keeps a restarted node from enforcing an older
+//!   version than before its restart.
 
 mod head;
 mod peers;
@@ -34,23 +37,26 @@
 const FLOOR_QUERY_INTERVAL_MS: u64 = 500;
 
 /// Time after the start from which a node that has found no peer counts as alone. Its first contacts with peers take
-/// a moment, and a node that counts as alone enforces versions without confirmation by a peer.
+/// a moment, and a node that counts as alone enforces versions without acknowledgement by a peer.
 const ALONE_AFTER_MS: u64 = 3_000;
 
 /// The role of this node in the mesh, as the membership actor computes it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Role {
-    /// Rank among the gateways of the region, which fetch content across regions; 0 is the active one.
+    /// Position among the gateways of the region, which fetch content from other regions and from the store earlier
+    /// than other nodes do; the gateway with rank 0 fetches first.
     pub(crate) gateway_rank: Option<usize>,
-    /// Rank among the watchers of the data centre, which poll the head row more often than other nodes.
+    /// Position among the watchers of the data centre. The watcher with rank 0 polls the head row more often than
+    /// other nodes.
     pub(crate) watcher_rank: Option<usize>,
     pub(crate) neighbours: Vec<Peer>,
-    /// Highest version of this node whose receipt enough peers have confirmed. It is not lost if this node restarts.
-    pub(crate) witnessed_version: Version,
+    /// Highest version of this node that enough peers have acknowledged. They keep a record of it in case this node
+    /// restarts.
+    pub(crate) acknowledged_version: Version,
     /// Whether no other node is known to be alive.
     pub(crate) alone: bool,
     /// Whether no other node of the data centre is known, alive or dead, except nodes that have left.
-    pub(crate) last_in_data_centre: bool,
+    pub(crate) only_node_of_data_centre: bool,
 }
 
 #[derive(Debug)]
@@ -58,7 +64,8 @@
     Tick,
     /// The time for which the fetcher scheduled its next action has come.
     FetchDue,
-    /// A version was announced by gossip or by a hint. `holder` is the sender if it holds the content.
+    /// A version was announced by gossip, or by a hint of the `publish` command. `holder` is the sender if it holds the
+    /// content.
     Announced {
         stamp: Stamp,
         holder: Option<Peer>,
@@ -77,8 +84,8 @@
     /// A read of the configuration feed has succeeded. `configuration` is none if there is no new version.
     StoreRead {
         configuration: Option<Box<Configuration>>,
-        /// Time from the last successful read to the start of this one, so that a new version was accepted no
-        /// earlier than that.
+        /// Time from the last successful read to the start of this one. A version that only this read returns was
+        /// accepted after the last one.
         last_read_age_ms: u64,
     },
     /// A read of the configuration feed has failed.
@@ -88,8 +95,8 @@
         offer: Offer,
         base_version: Version,
     },
-    /// A peer has answered a floor query. `reported` is the highest version that it knows this node to have
-    /// reported, also before a restart; `enforced` is the version that the peer enforces.
+    /// A peer has answered a floor query. `reported` is the highest version that the peer has on record for this
+    /// node, also from before a restart; `enforced` is the version that the peer enforces.
     FloorAnswered {
         peer: Peer,
         reported: Version,
@@ -124,7 +131,8 @@
     origin: ConfigurationOrigin,
     holder: Holder,
     fetcher: Fetcher,
-    /// Earliest time at which the version held can have been accepted, in milliseconds since the process started.
+    /// Estimate of when the version held was accepted, rather too early than too late, in milliseconds since the
+    /// process started.
     held_accepted_ms: u64,
     /// Longest time from the acceptance of a version to its enforcement, since the process started.
     max_enforcement_age_ms: u64,
@@ -165,7 +173,7 @@
     ) -> Result<State, ActorProcessingErr> {
         myself.send_interval(TICK_INTERVAL, || ConfigurationMsg::Tick);
         let now_ms = clock::since_ms(node.proxy.started);
-        let floor_origin = match origin {
+        let version_source = match origin {
             ConfigurationOrigin::Published(_) => floor::VersionSource::Acknowledged,
             ConfigurationOrigin::Feed(_) => floor::VersionSource::Followed,
         };
@@ -176,7 +184,7 @@
             holder: Holder::default(),
             held_accepted_ms: now_ms,
             max_enforcement_age_ms: 0,
-            floor: Floor::new(now_ms, floor_origin),
+            floor: Floor::new(now_ms, version_source),
             role: Role::default(),
             refresh: None,
             next_head_poll_ms: now_ms + rand::random_range(0..FIRST_HEAD_POLL_SPREAD_MS),
@@ -266,7 +274,7 @@
         let previous_ranks = (self.role.gateway_rank, self.role.watcher_rank);
         self.role = role;
         self.floor
-            .set_only_node_of_data_centre(self.role.last_in_data_centre);
+            .set_only_node_of_data_centre(self.role.only_node_of_data_centre);
         if previous_ranks != (self.role.gateway_rank, self.role.watcher_rank) {
             self.set_gateway_rank(now_ms);
             self.next_head_poll_ms = self
@@ -297,8 +305,8 @@
         self.store_available = store_answered;
     }
 
-    /// Enforces the version held, if it is not below the floor and enough peers have recorded it. While the floor is
-    /// unknown or too high, readiness checks report why.
+    /// Enforces the version held, if it is not below the floor and enough peers have acknowledged it. While the floor
+    /// is unknown or above the version held, readiness checks report that.
     fn enforce_held(&mut self, now_ms: u64) {
         let newest = self.holder.held().version;
         let replace_held = |held: &mut Version| std::mem::replace(held, newest) != newest;
@@ -320,7 +328,7 @@
             self.announced_held_version = stamp.version;
             self.send_to_membership(MembershipMsg::SetHeld(stamp));
         }
-        if !self.is_witnessed(now_ms, stamp) {
+        if !self.is_acknowledged(now_ms, stamp) {
             return;
         }
         if let Some(applied) = self.holder.enforce() {
@@ -337,15 +345,15 @@
         }
     }
 
-    /// Whether enough peers have recorded that this node is about to enforce the version. A restarted node asks its
-    /// peers for this record, so that it never enforces an older version than before.
-    fn is_witnessed(&self, now_ms: u64, stamp: Stamp) -> bool {
+    /// Whether enough peers have acknowledged that this node is about to enforce the version. A restarted node queries
+    /// its peers for their record of it, so that it never enforces an older version than before.
+    fn is_acknowledged(&self, now_ms: u64, stamp: Stamp) -> bool {
         match self.origin {
             ConfigurationOrigin::Published(_) => {
                 let alone = self.role.alone && now_ms >= ALONE_AFTER_MS;
-                self.role.witnessed_version >= stamp.version || alone
+                self.role.acknowledged_version >= stamp.version || alone
             }
-            // No peer needs to record it: the row in the store is at least as new as any enforced version, and a
+            // No acknowledgement is needed: the row in the store is at least as new as any enforced version, and a
             // restarted node reads it first.
             ConfigurationOrigin::Feed(_) => true,
         }
--- a/src/node/configuration/head.rs
+++ b/src/node/configuration/head.rs
@@ -1,4 +1,5 @@
-//! Polls the head row of the store, as a fallback if hints and gossip about published versions are lost.
+//! Polls the head row of the store, which names the newest accepted version, as a fallback if hints and gossip about
+//! published versions are lost.
 
 use ractor::ActorRef;
 
@@ -76,7 +77,7 @@
         self.fetcher.record_store_latency(took_ms);
         self.floor.record_head(head.version);
         if let Some(refresh) = &mut self.refresh {
-            refresh.head_read = true;
+            refresh.store_read = true;
         }
         self.handle_announced(now_ms, head, None);
         self.send_to_membership(MembershipMsg::SetHead(head));
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -36,7 +36,7 @@
     pub(crate) control_pool: PeerPool,
     /// Why no configuration may be enforced yet, or none that is new enough; readiness checks report it.
     pub(crate) blocked_reason: ArcSwap<Option<&'static str>>,
-    /// Newest version whose content this node holds. Calls from nodes that follow this one wait for it.
+    /// Newest version whose content this node holds. Long polls of followers wait for it to change.
     pub(crate) held_version: watch::Sender<Version>,
     /// The ranked lead nodes of this data centre, which read the store for the others.
     pub(crate) leads: watch::Sender<Leads>,
@@ -49,8 +49,8 @@
 impl NodeState {
     pub(crate) fn new(settings: Settings, local_node: NodeId) -> Arc<Self> {
         let control_pool = PeerPool::new(settings.dial_options());
-        let vocabulary = vocabulary_of(settings.dialect);
-        let proxy = Arc::new(ProxyState::new(settings, vocabulary, local_node));
+        let profile = header_profile_of(settings.dialect);
+        let proxy = Arc::new(ProxyState::new(settings, profile, local_node));
         let announcements = match proxy.header_profile.instance {
             Some(_) => Announcements::requiring_confirmation(),
             None => Announcements::default(),
@@ -107,7 +107,7 @@
     }
 }
 
-fn vocabulary_of(dialect: Dialect) -> &'static HeaderProfile {
+fn header_profile_of(dialect: Dialect) -> &'static HeaderProfile {
     match dialect {
         Dialect::Native => &header_profile::DEFAULT,
         Dialect::Platform => &platform::headers::PROFILE,
