--- a/src/membership/discovery.rs
+++ b/src/membership/discovery.rs
@@ -76,13 +76,13 @@
         }
         let pause_ms = JOIN_BACKOFF.delay_ms(self.join_attempts);
         self.next_join_ms = now_ms + self.jittered(pause_ms, now_ms);
-        let nearest = self.join_attempts as usize % self.seeds.len();
+        let next_seed = self.join_attempts as usize % self.seeds.len();
         self.join_attempts += 1;
         let random_seed = node_hash(self.me.node, &self.join_attempts.to_string());
         let random_seed = random_seed as usize % self.seeds.len();
         let mut exchanges = Vec::new();
-        exchanges.extend(self.one_off_exchange(None, self.seeds[nearest], now_ms));
-        if random_seed != nearest {
+        exchanges.extend(self.one_off_exchange(None, self.seeds[next_seed], now_ms));
+        if random_seed != next_seed {
             let mut exchange = self.one_off_exchange(None, self.seeds[random_seed], now_ms);
             if let Some(exchange) = &mut exchange {
                 exchange.gossip.want_all = false;
--- a/src/membership/reports.rs
+++ b/src/membership/reports.rs
@@ -125,7 +125,7 @@
         place: &Place,
         live_members: impl Iterator<Item = &'a Member>,
     ) -> Option<String> {
-        let is_recent = |counted| now_ms.saturating_sub(counted) < COUNT_INTERVAL_MS;
+        let is_recent = |counted_ms| now_ms.saturating_sub(counted_ms) < COUNT_INTERVAL_MS;
         if self.counted_ms.is_some_and(is_recent) {
             return None;
         }
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -75,10 +75,10 @@
         let have = Version(request.have_version);
         let wait = Duration::from_millis(u64::from(request.wait_ms)).min(FOLLOW_WAIT_MAX);
         let mut held = self.node.held_version.subscribe();
-        let mut blind = self.node.store_failing.subscribe();
+        let mut store_failing = self.node.store_failing.subscribe();
         let is_newer = tokio::select! {
             newer = held.wait_for(|held| *held > have) => newer.is_ok(),
-            _ = blind.wait_for(|blind| *blind) => false,
+            _ = store_failing.wait_for(|failing| *failing) => false,
             () = tokio::time::sleep(wait) => false,
         };
         let offer = match is_newer {
--- a/tests/testsuite/decide_simulation.rs
+++ b/tests/testsuite/decide_simulation.rs
@@ -22,7 +22,7 @@
         work_us: SERVICE_TIME_US,
         timeout_us: 400 * MS,
         target_us: 400 * MS,
-        patience_us: 400 * MS,
+        max_wait_us: 400 * MS,
         from_us,
         until_us,
     }
@@ -35,7 +35,7 @@
         work_us,
         timeout_us: 60 * SECOND,
         target_us: 60 * SECOND,
-        patience_us: 60 * SECOND,
+        max_wait_us: 60 * SECOND,
         from_us: 0,
         until_us: 4 * SECOND,
     }
@@ -48,7 +48,7 @@
         servers: vec![Server::default(); servers],
         streams,
         entries: 8,
-        checks_free_slots: true,
+        probes_free_slots: true,
     }
 }
 
@@ -120,14 +120,14 @@
         let per_s = capacity_per_s(slots, 4) * 6 / 5;
         let mut on_time = Vec::new();
         let mut succeeded = Vec::new();
-        for patience_us in [400 * MS, 100 * MS / 3] {
+        for max_wait_us in [400 * MS, 100 * MS / 3] {
             let stream = Stream {
                 target_us: 100 * MS,
-                patience_us,
+                max_wait_us,
                 ..reads(per_s, 0, 4 * SECOND)
             };
             let scenario = scenario(slots, 10_000, 4, vec![stream]);
-            let name = format!("{name} {} ms", patience_us / MS);
+            let name = format!("{name} {} ms", max_wait_us / MS);
             let (mut product, _) = compare(&name, &scenario);
             let class_outcomes = interactive_outcomes(&mut product);
             println!(
@@ -323,12 +323,12 @@
             work_us: LONG_US,
             timeout_us: 1_200 * MS,
             target_us: 300 * MS,
-            patience_us: 100 * MS,
+            max_wait_us: 100 * MS,
             ..reads(per_s, 0, 8 * SECOND)
         };
         let mut scenario = scenario(6, 24, SERVERS, vec![stream]);
         scenario.entries = 80;
-        scenario.checks_free_slots = probes;
+        scenario.probes_free_slots = probes;
         let name = format!("many entries, probes {probes}");
         let (mut product, _) = compare(&name, &scenario);
         let class_outcomes = interactive_outcomes(&mut product);
--- a/tests/testsuite/simulation.rs
+++ b/tests/testsuite/simulation.rs
@@ -66,7 +66,7 @@
     /// Latency above which an answer counts as late.
     pub(crate) target_us: u64,
     /// Longest wait for a slot.
-    pub(crate) patience_us: u64,
+    pub(crate) max_wait_us: u64,
     /// Start of the stream; it ends at `until_us`.
     pub(crate) from_us: u64,
     pub(crate) until_us: u64,
@@ -81,7 +81,7 @@
     /// Number of nodes at which requests arrive.
     pub(crate) entries: usize,
     /// Whether requests look for a free slot before they wait in a queue.
-    pub(crate) checks_free_slots: bool,
+    pub(crate) probes_free_slots: bool,
 }
 
 /// Results of the calls of one class, as callers see them.
@@ -152,17 +152,17 @@
     tried: Vec<NodeId>,
     search: FreeSlotSearch,
     /// The current attempt only checks for a free slot, and does not wait.
-    checking_slot: bool,
+    is_free_slot_probe: bool,
     current_attempt: Option<(usize, AttemptState)>,
     ended: bool,
 }
 
 impl Stream {
     /// What a request that began at `began_us` requires of a gate.
-    fn ask(&self, began_us: u64) -> SlotRequest {
+    fn slot_request(&self, began_us: u64) -> SlotRequest {
         SlotRequest {
             due_us: began_us + self.target_us,
-            max_wait_us: self.patience_us,
+            max_wait_us: self.max_wait_us,
             ..SlotRequest::new(self.class, began_us + self.timeout_us)
         }
     }
@@ -323,7 +323,7 @@
             attempts: Attempts::new(&treatment, RETRIES_PER_TREE),
             tried: Vec::new(),
             search: FreeSlotSearch::default(),
-            checking_slot: false,
+            is_free_slot_probe: false,
             current_attempt: None,
             ended: false,
         });
@@ -348,7 +348,7 @@
             Policy::Product => {
                 let entry = &mut self.entries[call.entry];
                 let left_us = |until_us: u64| until_us.saturating_sub(self.now_us);
-                let need = Requirements {
+                let requirements = Requirements {
                     spill: Spill::Region,
                     default_slots: self.scenario.slots,
                     resource: &resource(call.stream.class),
@@ -361,11 +361,11 @@
                 };
                 let chosen = entry
                     .balancer
-                    .choose(self.now_us, &entry.ranked, &need, &mut self.rng)
+                    .choose(self.now_us, &entry.ranked, &requirements, &mut self.rng)
                     .expect("there is an endpoint");
                 entry.balancer.record_start(self.now_us, &chosen);
-                call.checking_slot =
-                    self.scenario.checks_free_slots && !call.search.queues_at(chosen.node);
+                call.is_free_slot_probe =
+                    self.scenario.probes_free_slots && !call.search.queues_at(chosen.node);
                 (server_of(&chosen), deadline_us)
             }
             Policy::Baseline => {
@@ -406,14 +406,14 @@
             return;
         }
         let call = &self.calls[number];
-        let mut ask = call.stream.ask(call.began_us);
-        if call.checking_slot {
-            ask.max_wait_us = 0;
+        let mut slot_request = call.stream.slot_request(call.began_us);
+        if call.is_free_slot_probe {
+            slot_request.max_wait_us = 0;
         }
         let wake = || (number, attempt);
         let admitted = self.gates[server]
             .product_admission
-            .admit(self.now_us, &ask, wake);
+            .admit(self.now_us, &slot_request, wake);
         match admitted {
             AdmitOutcome::Slot => self.start(number, attempt, server),
             AdmitOutcome::Queued(ticket) => {
@@ -507,11 +507,11 @@
     fn start_queued(&mut self, server: usize) {
         match self.policy {
             Policy::Product => {
-                while let Some(((call, attempt), turn)) = self.gates[server]
+                while let Some(((call, attempt), outcome)) = self.gates[server]
                     .product_admission
                     .end_next_wait(self.now_us)
                 {
-                    match turn {
+                    match outcome {
                         WaitOutcome::Slot => self.start(call, attempt, server),
                         WaitOutcome::Refused(_) => {
                             self.calls[call].current_attempt = None;
@@ -590,12 +590,12 @@
         let node = node(server as u16 + 1);
         entry.balancer.record_outcome(self.now_us, node, observed);
         entry.balancer.record_end(node);
-        let ask = self.calls[call].stream.ask(self.now_us);
+        let slot_request = self.calls[call].stream.slot_request(self.now_us);
         let gate = &self.gates[server].product_admission;
-        let resource = resource(ask.class);
+        let resource = resource(slot_request.class);
         // Body size of a small answer, in bytes.
         entry.balancer.record_response_size(&resource, 5_000);
-        let load = gate.load_report(self.now_us, &ask, &resource);
+        let load = gate.load_report(self.now_us, &slot_request, &resource);
         entry
             .balancer
             .record_load(self.now_us, node, &resource, load);
@@ -604,7 +604,7 @@
     fn failed(&mut self, number: usize, server: usize, failed: AttemptFailure) {
         let call = &mut self.calls[number];
         call.current_attempt = None;
-        if call.checking_slot {
+        if call.is_free_slot_probe {
             call.search.record_busy(node(server as u16 + 1));
             return self.attempt(number);
         }
--- a/tests/testsuite/spread_deployment.rs
+++ b/tests/testsuite/spread_deployment.rs
@@ -259,11 +259,14 @@
         let alive =
             (first..first + self.per_data_centre).filter(|other| self.processes[*other].is_up);
         let ranked: Vec<usize> = alive.take(LEADS).collect();
-        let own = ranked.iter().position(|lead| *lead == index);
-        let before = &ranked[..own.unwrap_or(ranked.len())];
+        let own_rank = ranked.iter().position(|lead| *lead == index);
+        let higher_ranked = &ranked[..own_rank.unwrap_or(ranked.len())];
         Leads {
-            higher_ranked: before.iter().map(|lead| self.peer(index, *lead)).collect(),
-            is_lead: own.is_some(),
+            higher_ranked: higher_ranked
+                .iter()
+                .map(|lead| self.peer(index, *lead))
+                .collect(),
+            is_lead: own_rank.is_some(),
             is_only_data_centre: self.data_centres == 1,
         }
     }
@@ -405,7 +408,7 @@
             NextRead::Lead {
                 lead,
                 wait_ms,
-                answer_timeout_ms: answer_ms,
+                answer_timeout_ms,
             } => {
                 let lead = position(lead.node);
                 let latency_ms = self.latency_ms(index, lead);
@@ -421,7 +424,7 @@
                     },
                 );
                 self.schedule(
-                    wait_ms + answer_ms,
+                    wait_ms + answer_timeout_ms,
                     Event::LeadFailed {
                         index,
                         request_id,
@@ -569,7 +572,7 @@
         process.store_read_ms = now_ms;
         if let Some(version) = version {
             process.fetcher.source_reported(now_ms, Version(version));
-            self.learn(index, version);
+            self.receive_version(index, version);
         }
         self.step(index);
     }
@@ -655,12 +658,12 @@
         process.store_read_ms = process.store_read_ms.max(read_ms);
         if held > process.held {
             process.fetcher.source_reported(now_ms, Version(held));
-            self.learn(index, held);
+            self.receive_version(index, held);
         }
         self.step(index);
     }
 
-    fn learn(&mut self, index: usize, version: u64) {
+    fn receive_version(&mut self, index: usize, version: u64) {
         let process = &mut self.processes[index];
         if version > process.held {
             process.held = version;
@@ -755,7 +758,7 @@
         process.fetching = None;
         process.fetcher.fetch_ended(now_ms, &fetch, held.is_some());
         match held {
-            Some(version) => self.learn(index, version),
+            Some(version) => self.receive_version(index, version),
             None => self.fetch(index),
         }
     }
--- a/tests/testsuite/spread_leads.rs
+++ b/tests/testsuite/spread_leads.rs
@@ -32,11 +32,11 @@
 }
 
 /// A `LeadChoice` that has made its first read, which goes to the store.
-fn started(before: &[u16], own: bool) -> LeadChoice {
+fn started(higher_ranked: &[u16], is_lead: bool) -> LeadChoice {
     let mut lead_choice = LeadChoice::default();
     lead_choice.set_leads(Leads {
-        higher_ranked: before.iter().map(|number| lead(*number)).collect(),
-        is_lead: own,
+        higher_ranked: higher_ranked.iter().map(|number| lead(*number)).collect(),
+        is_lead,
         is_only_data_centre: false,
     });
     assert_eq!(lead_choice.next_read(0, BUDGET), NextRead::Store);
@@ -77,12 +77,12 @@
 
 #[test]
 fn a_lead_with_stale_store_data_is_skipped() {
-    let old = LeadState {
+    let stale = LeadState {
         store_age_ms: BUDGET.store_age_max_ms() + 1,
         store_failing: false,
     };
     let mut lead_choice = started(&[1], true);
-    assert!(!lead_answers(&mut lead_choice, 0, 1, old));
+    assert!(!lead_answers(&mut lead_choice, 0, 1, stale));
     assert_eq!(queried_lead(&mut lead_choice, 0), None);
 }
 
