--- a/crates/model/src/distribution.rs
+++ b/crates/model/src/distribution.rs
@@ -1,8 +1,8 @@
-//! Specification of configuration distribution: nodes learn of versions, apply them, and restart.
+//! Specification of configuration distribution: nodes receive versions, apply them, and restart.
 //!
 //! Versions 1, 2, ... are accepted in order; [`crate::publish`] checks separately that `publish`
-//! keeps this order. Nodes learn of versions by gossip and by reading the head, fetch content from
-//! the platform or a peer, and apply it through the product's own holder.
+//! keeps this order. Nodes receive announcements by gossip and read the head, fetch content from the
+//! platform or a peer, and apply it through the product's own holder.
 //!
 //! A message that was sent may arrive at any time, in any order, several times or never. Content in
 //! flight may even reach a process that was started later at the same address. A node that crashes
--- a/crates/model/src/distribution/state.rs
+++ b/crates/model/src/distribution/state.rs
@@ -26,8 +26,8 @@
 /// How a node ensures that it enforces no version older than one enforced before at its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FloorRule {
-    /// Number of peers that must have recorded a version before the node enforces it. If the bounds
-    /// have fewer peers, all of them.
+    /// Number of peers, called witnesses, that must have recorded a version before the node enforces
+    /// it. If the bounds have fewer peers, all of them.
     pub witnesses: u32,
     /// Whether a node that can reach fewer than `witnesses` peers waits for more. If not, the
     /// reachable ones are enough, and without any the node enforces the version at once.
@@ -124,6 +124,7 @@
     pub(crate) phase: Phase,
     /// Id of the enforced configuration, see [`crate::configurations`].
     pub(crate) enforced_id: u8,
+    /// Lowest version that the process may enforce, because its address may have enforced it before.
     pub(crate) floor: u8,
     /// Version whose content has been verified but is not yet enforced; 0 if there is none.
     pub(crate) staged_version: u8,
@@ -135,6 +136,7 @@
     pub(crate) fetch_failed: bool,
     /// Highest version that each peer has reported to this node; the node's own entry stays 0.
     pub(crate) highest_reported: [u8; NODES_MAX],
+    /// Whether no messages pass between the node and its peers.
     pub(crate) cut_off: bool,
     /// Highest version ever enforced at this address, by any process. It serves to check properties
     /// and to determine which messages may be in flight. Nodes do not use it.
--- a/crates/model/src/operator.rs
+++ b/crates/model/src/operator.rs
@@ -51,8 +51,8 @@
     Published(u64),
     /// The change was refused, and nothing was changed.
     Refused,
-    /// The outcome is unknown. The version, if any, is the one that the operator has to expect when
-    /// resuming the publication.
+    /// The outcome is unknown. The version, if any, is the one that the operator has to pass as
+    /// `--expect` to resume the publication.
     Unknown(Option<u64>),
 }
 
--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -44,7 +44,7 @@
     LostConnectionMeansNotRun,
     /// A deadline that passes after forwarding began is reported as "not run".
     TimeoutMeansNotRun,
-    /// The gate hands a request that it has refused to the backend server.
+    /// The gate hands a request to the backend server although it has refused the request.
     RunRefusedRequest,
     /// The gate sends a request on a backend connection on which the answer to an earlier request is
     /// outstanding.
--- a/src/distribution.rs
+++ b/src/distribution.rs
@@ -1,7 +1,7 @@
 //! How a node obtains and switches to the newest accepted configuration, as state machines without
 //! sockets.
 //!
-//! [`Holder`] has the version that the node holds and the one that it enforces. [`Fetcher`] decides
+//! [`Holder`] stores the version that the node holds and the one that it enforces. [`Fetcher`] decides
 //! what to fetch, from where and when; its driver makes the fetches and passes the content to the
 //! holder. Content is verified, its references are checked, and it is compiled into a
 //! [`CompiledConfiguration`]. If any of this fails, the node keeps what it had. A version is only
--- a/src/distribution/budget.rs
+++ b/src/distribution/budget.rs
@@ -50,7 +50,7 @@
         self.share_ms(FOLLOW_WAIT)
     }
 
-    /// How long a lead's answer may take in addition to that wait.
+    /// How long a lead's answer may take in addition to [`Self::follow_wait_ms`].
     pub fn follow_answer_timeout_ms(self) -> u64 {
         self.share_ms(FOLLOW_ANSWER_TIMEOUT)
     }
@@ -60,8 +60,8 @@
         self.share_ms(PROBE_ANSWER_TIMEOUT)
     }
 
-    /// How long a read of the store waits for a newer version if no other source would deliver, in
-    /// time, a version that a stalled connection to the store hides.
+    /// How long a read of the store waits for a newer version if no other source would deliver that
+    /// version in time when the connection to the store stalls.
     pub fn short_store_wait_ms(self) -> u64 {
         self.share_ms(SHORT_STORE_WAIT)
     }
@@ -72,7 +72,7 @@
         self.share_ms(LONG_STORE_WAIT)
     }
 
-    /// How long the store may take to begin its answer, in addition to the wait.
+    /// How long the store may take to begin its answer, in addition to the wait for a newer version.
     pub fn store_answer_timeout_ms(self) -> u64 {
         self.share_ms(STORE_ANSWER_TIMEOUT)
     }
--- a/src/distribution/fetch.rs
+++ b/src/distribution/fetch.rs
@@ -1,8 +1,8 @@
 //! What to fetch, from where, and when to retry.
 //!
 //! Content is passed on between neighbours, so that a publication does not cause every node of a
-//! region to read from the store or across the billed link between regions. At first only a
-//! region's gateways use these, one after the other:
+//! region to read from the store or across the billed link between regions. At first only the
+//! gateways of a region read from the store and from other regions, one after the other:
 //!
 //! | source | used by | from when |
 //! |---|---|---|
@@ -32,10 +32,12 @@
 
 /// Delay between the gateways of a region: several round trips between regions.
 pub const RANK_DELAY_MS: u64 = 300;
-/// How long a node that is not a gateway waits before it reads from the store or across the link.
+/// How long a node that is not a gateway waits before it reads from the store or from another
+/// region.
 pub const NON_GATEWAY_DELAY_MS: u64 = 2_000;
-/// Span over which such nodes spread these reads. Even if all gateways fail, the reads of 520 nodes
-/// stay far below the platform's limit of two thousand a second.
+/// Span over which the nodes that are not gateways spread their reads, after
+/// [`NON_GATEWAY_DELAY_MS`]. Even if all gateways fail, the reads of 520 nodes stay far below the
+/// platform's limit of two thousand a second.
 pub const NON_GATEWAY_SPREAD_MS: u64 = 8_000;
 /// Assumed latency of the store until it has been measured.
 const DEFAULT_STORE_LATENCY_MS: u64 = 25;
@@ -44,8 +46,8 @@
 const STORE_DELAY_MAX_MS: u64 = 1_000;
 /// Pauses after failed fetches.
 const RETRY_BACKOFF: Backoff = Backoff::new(50, 10_000);
-/// Number of holders that are stored. More are not needed: a fetch asks one at a time, and a holder
-/// that fails is removed.
+/// Maximum number of peers that are stored as holders of a version. More are not needed: a fetch
+/// asks one at a time, and a holder that fails is removed.
 const HOLDERS_MAX: usize = 32;
 
 /// Where to fetch content from.
@@ -107,9 +109,10 @@
 #[derive(Clone, Copy, Debug)]
 struct FollowerState {
     peer_fetch_delay_ms: u64,
-    /// Whether a peer delivered the last version before the lead or the store did.
+    /// Whether the lead or the store was late with the last version: it reported the version more
+    /// than `peer_fetch_delay_ms` after it was first seen, or not before a peer delivered it.
     source_is_late: bool,
-    /// Version that was last fetched from a peer, and when it was first seen.
+    /// Version that was last fetched from a peer, and when it was first seen, in milliseconds.
     last_fetched: (Version, u64),
 }
 
--- a/src/distribution/floor.rs
+++ b/src/distribution/floor.rs
@@ -33,8 +33,8 @@
 /// reachable peer has had time to answer.
 pub const PARTIAL_ANSWERS_AFTER_MS: u64 = 5_000;
 
-/// The same if versions are [`Followed`](VersionSource::Followed). Shorter, because late answers
-/// contain nothing newer than early ones.
+/// Like [`PARTIAL_ANSWERS_AFTER_MS`], if versions are [`Followed`](VersionSource::Followed).
+/// Shorter, because late answers then contain nothing newer than early ones.
 const FOLLOWED_PARTIAL_ANSWERS_AFTER_MS: u64 = 1_000;
 
 /// How nodes receive versions, which determines which peers have a record of what an address has
--- a/src/distribution/holder.rs
+++ b/src/distribution/holder.rs
@@ -52,7 +52,7 @@
         found: Stamp,
     },
     /// A delta was received, but there is no held version to apply it to.
-    #[snafu(display("no version is held to apply the delta to version {stamp} to"))]
+    #[snafu(display("the delta to version {stamp} cannot be applied: no version is held"))]
     NoParent {
         /// Stamp that was announced for the delta.
         stamp: Stamp,
@@ -154,8 +154,8 @@
         self.floor = self.floor.max(version);
     }
 
-    /// Stores that `stamp` was announced. An announcement only triggers a fetch; the content is
-    /// verified on its own.
+    /// Records that `stamp` was announced. An announcement only triggers a fetch; the fetched
+    /// content is verified before it is held.
     pub fn note_announced(&mut self, stamp: Stamp) {
         let newest = self.announced.map_or(Version::NONE, |known| known.version);
         if stamp.version > newest {
@@ -317,8 +317,8 @@
 }
 
 /// Applies a chain of deltas. The versions of the steps have to increase: a delta that is applied
-/// to another version than its parent can seem to lead to an older one, and the node would then
-/// fetch the same deltas in an endless loop.
+/// to another version than its parent can seem to lead to an older one. If the node kept such a
+/// delta for its peers, [`Holder::steps_from`] would follow the kept deltas in an endless loop.
 fn apply_chain(parent: &Configuration, stamp: Stamp, steps: &[DeltaStep]) -> Result<Configuration> {
     let mut reached = parent.clone();
     for step in steps {
--- a/src/distribution/lead_choice.rs
+++ b/src/distribution/lead_choice.rs
@@ -19,16 +19,18 @@
 const LEAD_SKIP_MS: u64 = 3_000;
 
 /// Failed reads of the store in a row after which a node reports to its followers that it cannot
-/// read the store.
+/// read the store. A single timeout is enough too; see [`LeadChoice::is_store_failing`].
 const STORE_FAILING_THRESHOLD: u32 = 2;
 
 /// Pauses of a lead after failed reads of the store, whose rate limits all nodes share.
 const RETRY_BACKOFF: Backoff = Backoff::new(50, 1_000);
 
-/// For how long after a version another one is expected soon.
+/// Time after the last new version during which versions count as frequent, so that reads of the
+/// store wait for a shorter time.
 const RECENT_VERSION_MS: u64 = 10_000;
 
-/// How often the timeout for the store's answer is doubled at most, once per timeout in a row.
+/// Maximum number of times that the timeout for the store's answer is doubled: once for each
+/// consecutive timeout.
 const TIMEOUT_DOUBLINGS_MAX: u32 = 2;
 
 /// The leads of a data centre, as one of its nodes ranks them.
@@ -211,7 +213,7 @@
     }
 
     /// Whether this node cannot read the store at present, so that its followers have to use
-    /// another lead.
+    /// another lead: its last read timed out, or [`STORE_FAILING_THRESHOLD`] reads in a row failed.
     pub fn is_store_failing(&self) -> bool {
         self.timeouts > 0 || self.failures >= STORE_FAILING_THRESHOLD
     }
--- a/src/membership/discovery.rs
+++ b/src/membership/discovery.rs
@@ -12,13 +12,13 @@
 use crate::core::version::Version;
 use crate::decide::backoff::Backoff;
 
-/// Longest pause between two probes of one dead member. Few nodes probe a member, so this limit is
-/// not needed to bound the traffic; it bounds how long two sides of a healed partition take to find
-/// each other.
+/// Longest pause between two probes of one dead member. It limits how long the two sides of a healed
+/// partition take to find each other. Probes cause little traffic, because only a few nodes probe
+/// each member.
 const PROBE_PAUSE_MAX_MS: u64 = 30_000;
 
 /// How long a dead or departed member is probed frequently. Most of them are back within seconds,
-/// some without knowing any other member.
+/// some with no other member in their view.
 const RECENTLY_GONE_MS: u64 = 30_000;
 /// Pause between two probes of recently gone members, and before the first probe of each.
 const RECENTLY_GONE_PROBE_MS: u64 = 500;
@@ -27,7 +27,7 @@
 const JOIN_BACKOFF: Backoff = Backoff::new(200, 10_000);
 
 impl Membership {
-    /// Sends the own record to members that repeated an outdated claim about this node.
+    /// Sends the own record to members whose answer contained a claim that this node has refuted.
     pub(super) fn refutation_exchanges(&mut self, now_ms: u64) -> Vec<Exchange> {
         let refutations_due = std::mem::take(&mut self.refutations_due);
         refutations_due
@@ -64,9 +64,9 @@
         })
     }
 
-    /// Contacts two seeds at a time while no other member is known to be alive. The first one,
-    /// taken in order of distance, is asked for its whole view; the other one, taken by a hash,
-    /// only receives the own record. Contacting it connects groups that started independently.
+    /// Contacts two seeds at a time while no other member is known to be alive. The first one, taken
+    /// in the order of the list, is asked for its whole view. The second one, taken by a hash, only
+    /// receives the own record; contacting it connects groups that started independently.
     ///
     /// The attempts back off, so that many nodes that start at once do not overload each other with
     /// whole views.
@@ -188,9 +188,9 @@
 }
 
 impl ProbeTarget {
-    /// Whether the member belongs to this group and its pause since the last probe is over. The
-    /// pause equals the time from the member's failure or departure to that probe, so it doubles
-    /// with each probe.
+    /// Whether the member belongs to this group and its pause since the last probe is over. Within
+    /// limits, the pause equals the time from the member's failure or departure to that probe, so it
+    /// doubles with each probe.
     fn is_due(self, now_ms: u64, entry: &Entry, probe_interval_ms: u64) -> bool {
         let gone_for_ms = now_ms.saturating_sub(entry.changed_ms);
         let is_probed = match (self, entry.member.liveness) {
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -32,8 +32,8 @@
         let views_equal = gossip.view_hash == self.view_hash();
         let from = gossip.from;
         let mut answer = self.message_to(from);
-        // A node that restarted without state while the platform is down has no seeds to contact.
-        // It gets the other records from the nodes that send heartbeats to it.
+        // If this node restarted without state while the platform is down, it has no seeds to
+        // contact. It then requests the whole view of each node that sends it a heartbeat.
         answer.want_all = self.is_alone();
         let sent_updates = !answer.updates.is_empty();
         if gossip.want_all {
@@ -47,8 +47,8 @@
             answer.updates.push(self.me.clone());
         }
         answer.updates.extend(self.claim_about(from));
-        // Only a neighbour's views are compared again later. For other senders a difference leads
-        // to nothing.
+        // Views are compared repeatedly only with neighbours. A difference to the view of another
+        // sender has no consequence.
         if let Some(link) = self.links.get_mut(&from) {
             link.record_comparison(now_ms, views_equal, view_changed || sent_updates);
         }
@@ -118,9 +118,9 @@
         self.merge_member(now_ms, suspect, None);
     }
 
-    /// Counts members of another data centre that did not answer. When [`UNRESPONSIVE_PEERS_THRESHOLD`]
-    /// of them failed to answer, one after the other, marks all members of that data centre as
-    /// suspect. Each of them refutes this if any path to it is left.
+    /// Counts members of another data centre that did not answer. When
+    /// [`UNRESPONSIVE_PEERS_THRESHOLD`] of them failed to answer, one after the other, marks all
+    /// members of that data centre as suspect. Each of them refutes this if any path to it is left.
     fn record_unresponsive_peer(&mut self, now_ms: u64, member: &Member) {
         let key = place_key(&member.place);
         let unresponsive_peers = self.unresponsive_peers.entry(key.clone()).or_default();
--- a/src/membership/link.rs
+++ b/src/membership/link.rs
@@ -13,9 +13,10 @@
 /// travel in a few messages instead of 87.
 const BATCH_MS: u64 = 500;
 
-/// Minimum time between two exchanges that carry member records. After a quiet period the first
-/// update is sent at once; the rest of a burst, such as many nodes restarting, is batched.
-/// Otherwise each of hundreds of records would cause an exchange with each neighbour.
+/// Minimum time between an exchange and the next one that is started only for member records or
+/// announcements. After a quiet period the first update is sent at once; the rest of a burst, such
+/// as many nodes restarting, is batched. Otherwise each of hundreds of records would cause an
+/// exchange with each neighbour.
 pub const MIN_UPDATE_INTERVAL_MS: u64 = 50;
 
 /// Minimum time between two requests for a neighbour's whole view. Views seldom differ for longer
@@ -49,11 +50,11 @@
     pub peer_version: Version,
     /// Newest version that was received from it or announced to it.
     pub peer_head: Version,
-    /// Highest own version whose receipt it has acknowledged.
+    /// Highest version held by this node whose announcement the neighbour has acknowledged.
     pub acked_version: Version,
     /// Whether an exchange with it is in flight.
     pub in_flight: bool,
-    /// Own version that the exchange in flight carries.
+    /// Version held by this node that the exchange in flight announces.
     pub sending_version: Version,
     /// Whether the next exchange requests its whole view.
     pub want_all: bool,
@@ -71,7 +72,7 @@
 pub struct Announcement {
     /// Version that this node holds and that neighbours can fetch from it.
     pub held: Version,
-    /// Newest version that this node has received an announcement of.
+    /// Newest version known to this node, whether or not it holds the content.
     pub head: Version,
 }
 
@@ -140,7 +141,8 @@
         now_ms.saturating_sub(self.last_sent_ms) < MIN_UPDATE_INTERVAL_MS
     }
 
-    /// A version that the neighbour can fetch from this node, or a whole view to request.
+    /// Whether there is a new version that the neighbour can fetch from this node, or its whole view
+    /// has to be requested. These do not wait for [`MIN_UPDATE_INTERVAL_MS`].
     fn has_urgent_updates(&self, announcement: Announcement) -> bool {
         self.want_all || self.has_new_version(announcement)
     }
@@ -151,8 +153,8 @@
     }
 
     fn has_updates(&self, announcement: Announcement) -> bool {
-        // Over the billed link a version is announced only if the neighbour can fetch it from this
-        // node.
+        // Traffic between regions is billed, so a version is announced to another region only if the
+        // neighbour can fetch it from this node.
         let new_head = self.kind != NeighbourKind::Gateway && announcement.head > self.peer_head;
         new_head || !self.pending_members.is_empty()
     }
@@ -167,7 +169,7 @@
         !self.in_flight && now_ms >= self.not_before_ms
     }
 
-    /// Records that an exchange carrying the own `version` starts.
+    /// Records that an exchange starts, which announces that this node holds `version`.
     pub fn exchange_started(&mut self, now_ms: u64, version: Version) {
         self.in_flight = true;
         self.sending_version = version;
--- a/src/membership/neighbours.rs
+++ b/src/membership/neighbours.rs
@@ -32,14 +32,15 @@
 /// Role of a neighbour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum NeighbourKind {
-    /// In the same data centre.
+    /// A member of the same data centre, some steps away on its ring.
     Ring,
-    /// In another data centre of the region.
+    /// The other end of a bridge to another data centre of the region.
     Bridge,
-    /// In another region. Every update crosses the regions over this link, once.
+    /// The other end of the active link to another region. Every update between the regions is sent
+    /// over this link, once.
     Gateway,
-    /// In another region. Compares views periodically, and carries member records only when they
-    /// still differ.
+    /// The other end of the standby link to another region. Both ends periodically compare their
+    /// views, and exchange member records only if these still differ.
     Standby,
 }
 
--- a/src/membership/reports.rs
+++ b/src/membership/reports.rs
@@ -16,7 +16,7 @@
 /// so that replaced addresses do not displace live ones.
 const TRACKED_ADDRESSES_MAX: usize = 1_024;
 
-/// Minimum time between two counts of the own data centre.
+/// Minimum time between two counts of the versions that the nodes of the own data centre enforce.
 const COUNT_INTERVAL_MS: u64 = 500;
 
 /// Reports of the own data centre, the highest version per address, and summaries of all data
@@ -116,9 +116,10 @@
         self.summaries.get(key)
     }
 
-    /// Counts the own data centre again, at most once per [`COUNT_INTERVAL_MS`]. Returns its key if
-    /// the count changed. The new summary's sequence is above that of the known one, also if that
-    /// one comes from before this node started.
+    /// Counts again which versions the nodes of the own data centre enforce, at most once per
+    /// [`COUNT_INTERVAL_MS`]. Returns the key of the data centre if the count changed. The new
+    /// summary's sequence is above that of the known one, also if another process has created that
+    /// one before this node started.
     pub fn recount<'a>(
         &mut self,
         now_ms: u64,
@@ -142,7 +143,8 @@
         Some(key)
     }
 
-    /// Counts the own data centre from the reports that this node has.
+    /// Counts which versions the nodes of the own data centre enforce, from the reports that this
+    /// node has.
     pub fn current_summary<'a>(
         &self,
         place: &Place,
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -222,9 +222,9 @@
         !others.any(|m| m.place == *place && m.liveness != Liveness::Left)
     }
 
-    /// Highest own version that two peers have acknowledged, or all where there are fewer. Peers of
-    /// the data centre count, or others if there are none. If the node fails now, these peers still
-    /// have its versions up to this one on record.
+    /// Highest version held by this node that two peers have acknowledged, or all if there are
+    /// fewer. Peers of the data centre count, or others if there are none. If the node fails now,
+    /// these peers still have on record that it was about to enforce this version.
     pub fn acknowledged_version(&self) -> Version {
         self.acknowledged_version
     }
@@ -253,7 +253,7 @@
         node_counts.into_iter().map(summary_of).collect()
     }
 
-    /// Adds further seeds, the nearest first.
+    /// Appends further seeds, the nearest first. Seeds are tried in the order of the list.
     pub fn add_seeds(&mut self, seeds: impl IntoIterator<Item = SocketAddr>) {
         for seed in seeds {
             if seed != self.me.node.0 && seed != self.me.external && !self.seeds.contains(&seed) {
--- a/src/peer/pool.rs
+++ b/src/peer/pool.rs
@@ -1,4 +1,5 @@
-//! The control connections of a node, shared by all callers within the process.
+//! The control connections of a node to its peers, shared by all parts of the process that call
+//! peers.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
--- a/tests/testsuite/simulation.rs
+++ b/tests/testsuite/simulation.rs
@@ -80,7 +80,7 @@
     pub(crate) streams: Vec<Stream>,
     /// Number of nodes at which requests arrive.
     pub(crate) entries: usize,
-    /// Whether requests look for a free slot before they wait in a queue.
+    /// Whether requests probe servers for a free slot before they wait in a queue.
     pub(crate) probes_free_slots: bool,
 }
 
@@ -151,7 +151,7 @@
     attempts: Attempts,
     tried: Vec<NodeId>,
     search: FreeSlotSearch,
-    /// The current attempt only checks for a free slot, and does not wait.
+    /// Whether the current attempt is a free-slot probe, which is refused instead of queued.
     is_free_slot_probe: bool,
     current_attempt: Option<(usize, AttemptState)>,
     ended: bool,
--- a/tests/testsuite/spread_decisions.rs
+++ b/tests/testsuite/spread_decisions.rs
@@ -304,9 +304,9 @@
     assert_eq!(floor.version(), Version(5));
 }
 
-/// A node of a followed configuration restarts while the store is down and all other nodes of its
-/// data centre are down. Peers of other data centres follow the store too, so their versions are as
-/// new as any, and the node need not wait for the dead ones.
+/// A node that follows the store restarts while the store and all other nodes of its data centre are
+/// down. Peers of other data centres follow the store too, so their versions are as new as any, and
+/// the node need not wait for the peers that are down.
 #[test]
 fn a_follower_accepts_any_peer_after_a_second() {
     let mut floor = Floor::new(0, VersionSource::Followed);
@@ -349,10 +349,10 @@
     }
 }
 
-/// Guards against an endless loop of fetches. While a node requests what is newer than version 1,
-/// it receives versions 2 and 3 from another source; then the deltas from 1 to 4 arrive. Applied to
-/// version 3, the first of them leads back to 2. A peer that requests what is newer than 1 would
-/// then be sent along these deltas in a loop, and none of its requests would be answered.
+/// Guards against an endless loop in a node that offers content to its peers. While the node requests
+/// what is newer than version 1, it receives versions 2 and 3 from another source; then the deltas
+/// from 1 to 4 arrive. Applied to version 3, the first of them leads back to 2. When a peer requests
+/// what is newer than 1, the node would follow its kept deltas in a loop and answer no more requests.
 #[test]
 fn chain_with_a_step_to_an_older_version_is_refused() {
     let mut source = Holder::default();
--- a/tests/testsuite/spread_deployment.rs
+++ b/tests/testsuite/spread_deployment.rs
@@ -235,8 +235,9 @@
         }
     }
 
-    /// All nodes of the data centre, two bridges to the region's other data centre, and two gateway
-    /// pairs between regions.
+    /// The nodes that exchange gossip with `index`: all of its data centre, and the other ends of its
+    /// links. There are two bridges between the data centres of a region, and two gateway pairs
+    /// between regions.
     fn neighbours(&self, index: usize) -> Vec<usize> {
         let is_neighbour = |other: &usize| {
             let rank = (index % self.per_data_centre, other % self.per_data_centre);
--- a/tests/testsuite/spread_membership.rs
+++ b/tests/testsuite/spread_membership.rs
@@ -208,8 +208,8 @@
     network.run_until("all views converge", 60_000, TestNetwork::has_converged);
 }
 
-/// Guards against a storm of exchanges after all processes die and restart at the same time with
-/// three seeds each. They must find each other with few exchanges per node.
+/// Guards against a large number of exchanges after all processes die and restart at the same time
+/// with three seeds each. They must find each other with few exchanges per node.
 #[test]
 fn nodes_that_all_restart_at_once_converge() {
     let mut network = converged_network(20);
--- a/tests/testsuite/spread_network.rs
+++ b/tests/testsuite/spread_network.rs
@@ -106,7 +106,7 @@
         self.frozen.insert(position);
     }
 
-    /// Resumes a frozen process, in which all timeouts of the meantime now expire.
+    /// Resumes a frozen process. The exchanges that it had in flight when it was frozen then fail.
     pub(crate) fn resume(&mut self, position: usize) {
         self.frozen.remove(&position);
     }
