--- a/crates/model/src/request.rs
+++ b/crates/model/src/request.rs
@@ -93,7 +93,8 @@
     NotRun,
     /// The verdict that the request may have run.
     MayHaveRun,
-    /// Nothing: its connection to the entry was closed, so it does not know whether the request ran.
+    /// Nothing: its connection to the entry was closed, so the caller cannot tell whether the request
+    /// ran.
     ConnectionLost,
 }
 
--- a/src/distribution/floor.rs
+++ b/src/distribution/floor.rs
@@ -24,8 +24,9 @@
 use crate::core::member::{Distance, NodeId};
 use crate::core::version::Version;
 
-/// Number of peers that must answer, in addition to the rule that all asked peers must. The view of
-/// a node that has just started contains only some of its neighbours.
+/// Minimum number of peers whose answers settle the floor; besides, all asked peers have to answer.
+/// The minimum is needed because the view of a node that has just started contains only some of its
+/// neighbours, and the node asks no others.
 pub const ANSWERS_REQUIRED: usize = 3;
 
 /// Time after which fewer answers settle the floor, if there is at least one. A node that is cut
--- a/tests/testsuite/spread_failures.rs
+++ b/tests/testsuite/spread_failures.rs
@@ -221,12 +221,16 @@
     mesh.network.set_cut(false, |from, to| from + to == 1);
     mesh.start_node(0).await.expect("the node starts");
     let operator = mesh.vms[0].node().addresses.operator;
-    wait_until("it sees nodes with version 1", WAIT_TIMEOUT, || async {
-        let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
-        let body = reply.map(|reply| reply.body).unwrap_or_default();
-        let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
-        status["members"].as_array().is_some_and(|m| m.len() > 2)
-    })
+    wait_until(
+        "its view contains nodes with version 1",
+        WAIT_TIMEOUT,
+        || async {
+            let reply = request(operator, Method::GET, "node", "/status", &[], "").await;
+            let body = reply.map(|reply| reply.body).unwrap_or_default();
+            let status: serde_json::Value = serde_json::from_slice(&body).unwrap_or_default();
+            status["members"].as_array().is_some_and(|m| m.len() > 2)
+        },
+    )
     .await;
     // Longer than the time after which partial answers settle the floor.
     tokio::time::sleep(Duration::from_millis(6_000)).await;
--- a/tests/testsuite/spread_membership.rs
+++ b/tests/testsuite/spread_membership.rs
@@ -161,9 +161,11 @@
 fn regions_that_declared_each_other_dead_merge_again() {
     let mut network = converged_network(8);
     network.set_filter(|from, to, _| from.place.region == to.place.region);
-    network.run_until("each region sees only itself", 120_000, |network| {
-        network.running().all(|node| alive_nodes(node).len() == 24)
-    });
+    network.run_until(
+        "each region considers only its own nodes alive",
+        120_000,
+        |network| network.running().all(|node| alive_nodes(node).len() == 24),
+    );
     network.run_for(600_000);
     network.set_filter(|_, _, _| true);
     let before = network.cross_region_records;
@@ -182,15 +184,19 @@
     let mut network = converged_network(8);
     let is_isolated = |member: &Member| member.place.data_centre.as_str() == "dc-1";
     network.set_filter(move |from, to, _| is_isolated(from) == is_isolated(to));
-    network.run_until("both sides see only themselves", 120_000, |network| {
-        let expected = |node: &Membership| match is_isolated(node.me()) {
-            true => 8,
-            false => 40,
-        };
-        network
-            .running()
-            .all(|node| alive_nodes(node).len() == expected(node))
-    });
+    network.run_until(
+        "both sides consider only their own nodes alive",
+        120_000,
+        |network| {
+            let expected = |node: &Membership| match is_isolated(node.me()) {
+                true => 8,
+                false => 40,
+            };
+            network
+                .running()
+                .all(|node| alive_nodes(node).len() == expected(node))
+        },
+    );
     // Long enough for suspects to be declared dead.
     network.run_for(30_000);
     network.set_filter(|_, _, _| true);
@@ -279,7 +285,7 @@
     leaving.set_backend(None, BackendState::Draining);
     let node = leaving.me().node;
     // All neighbours have just received an update, so the next one would be batched.
-    network.run_until("all nodes see it draining", 1_000, |network| {
+    network.run_until("every view shows it as draining", 1_000, |network| {
         let draining = |n: &Membership| {
             let mut members = n.members();
             members.any(|m| m.node == node && m.backend == BackendState::Draining)
@@ -290,7 +296,7 @@
     network.tick(20);
     network.run_for(3);
     network.leave(20);
-    network.run_until("all nodes see it gone", 1_000, |network| {
+    network.run_until("no view shows it as alive", 1_000, |network| {
         network.running().all(|n| !alive_nodes(n).contains(&node))
     });
 }
