--- a/crates/experiment/src/node.rs
+++ b/crates/experiment/src/node.rs
@@ -1,4 +1,4 @@
-//! The hidden command `node`: one node process, run as the product's own program runs it.
+//! The hidden command `node`: runs one node, as `dragonflywall node` does.
 
 use std::ffi::OsString;
 use std::os::unix::process::parent_id;
@@ -9,7 +9,7 @@
 
 use crate::error::{Error, Result};
 
-const PARENT_CHECK: Duration = Duration::from_secs(1);
+const PARENT_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 pub(crate) fn run(arguments: Vec<OsString>) -> Result {
     let settings =
@@ -19,30 +19,33 @@
             }
         })?;
     logging::init(settings.log_format, settings.log_level);
-    node::runtime().block_on(serve(settings))
+    node::runtime().block_on(run_node(settings))
 }
 
-async fn serve(settings: Settings) -> Result {
+async fn run_node(settings: Settings) -> Result {
     let handle = node::start(settings).await.map_err(|error| Error::Node {
         text: error.to_string(),
     })?;
     println!("{}", handle.addresses_json());
-    let mut terminate = signal(SignalKind::terminate()).expect("SIGTERM can be handled");
-    let mut interrupt = signal(SignalKind::interrupt()).expect("SIGINT can be handled");
+    let mut terminate =
+        signal(SignalKind::terminate()).expect("the SIGTERM handler can be installed");
+    let mut interrupt =
+        signal(SignalKind::interrupt()).expect("the SIGINT handler can be installed");
     tokio::select! {
         _ = terminate.recv() => (),
         _ = interrupt.recv() => (),
-        () = orphaned() => std::process::exit(1),
+        () = parent_exited() => std::process::exit(1),
     }
     handle.drain().await;
     Ok(())
 }
 
-/// Ends when the process that started this one has ended. An experiment that is killed cannot
-/// stop its nodes any more, and hundreds of them would go on for ever.
-async fn orphaned() {
+/// Returns when the parent process has ended, which shows as a new parent id. An experiment that
+/// is killed cannot stop its nodes; without this check hundreds of node processes would keep
+/// running.
+async fn parent_exited() {
     let parent = parent_id();
     while parent_id() == parent {
-        tokio::time::sleep(PARENT_CHECK).await;
+        tokio::time::sleep(PARENT_CHECK_INTERVAL).await;
     }
 }
