--- a/src/proxy/backend/tests.rs
+++ b/src/proxy/backend/tests.rs
@@ -109,7 +109,7 @@
         self.pool.send(address, request(path, id), true).await
     }
 
-    async fn action(&mut self, action: &Action) {
+    async fn apply(&mut self, action: &Action) {
         match action {
             Action::Send { answer_bytes } => self.send_and_check(*answer_bytes).await,
             Action::CancelRequest => {
@@ -199,7 +199,7 @@
         runtime.block_on(async {
             let mut harness = Harness::start().await;
             for action in &actions {
-                harness.action(action).await;
+                harness.apply(action).await;
             }
             harness.finish().await;
         });
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -172,7 +172,7 @@
         started_at: Instant::now(),
         deadline: context
             .deadline
-            .map_or(route_deadline, |inherited| inherited.min(route_deadline)),
+            .map_or(route_deadline, |deadline| deadline.min(route_deadline)),
         depth: context.depth,
     };
     let mut attempts = Attempts::new(&target.treatment, context.budget.retries);
--- a/src/proxy/pipeline.rs
+++ b/src/proxy/pipeline.rs
@@ -146,7 +146,7 @@
     /// Whether hyper's last read found no data.
     read_pending: bool,
     /// Whether hyper has read data since [`Pipeline::poll_read_ahead`] last reported it.
-    library_read: bool,
+    hyper_read: bool,
 }
 
 impl<S: Unpin> Shared<S> {
@@ -197,7 +197,7 @@
                 had_request: false,
                 flushed: true,
                 read_pending: false,
-                library_read: false,
+                hyper_read: false,
             })),
         };
         (pipeline.clone(), WatchedStream(pipeline))
@@ -297,14 +297,14 @@
     ///
     /// hyper detects a closed connection only while its own buffer is empty, so it would miss a
     /// caller that pipelines requests and disconnects. While it checks, it may read one further
-    /// request itself; the `library_read` flag reports that. No wake-up is needed, because hyper
+    /// request itself; the `hyper_read` flag reports that. No wake-up is needed, because hyper
     /// reads in the same task before it polls the response future that calls this function.
     pub(crate) fn poll_read_ahead(&self, context: &mut Context<'_>) -> Poll<bool> {
         let mut shared = self.lock();
         if shared.ended {
             return Poll::Ready(false);
         }
-        if std::mem::take(&mut shared.library_read) {
+        if std::mem::take(&mut shared.hyper_read) {
             return Poll::Ready(true);
         }
         if shared.buffer.len() >= BUFFER_MAX_BYTES {
@@ -354,7 +354,7 @@
         let polled = shared.stream()?.poll_read(context, buffer);
         shared.read_pending = polled.is_pending();
         ready!(polled)?;
-        shared.library_read = true;
+        shared.hyper_read = true;
         let head_max_bytes = shared.head_max_bytes;
         shared
             .requests
--- a/src/proxy/uploads/permits.rs
+++ b/src/proxy/uploads/permits.rs
@@ -114,9 +114,9 @@
     }
 }
 
-/// Creates the semaphore that limits concurrent uploads to `at_a_time`.
-pub(crate) fn new_semaphore(at_a_time: u32) -> Arc<Semaphore> {
-    Arc::new(Semaphore::new(at_a_time as usize))
+/// Creates the semaphore that limits concurrent uploads to `concurrent_max`.
+pub(crate) fn new_semaphore(concurrent_max: u32) -> Arc<Semaphore> {
+    Arc::new(Semaphore::new(concurrent_max as usize))
 }
 
 /// Permits that were granted to entry nodes and whose bodies have not arrived yet.
--- a/tests/testsuite/payment_faults.rs
+++ b/tests/testsuite/payment_faults.rs
@@ -221,10 +221,10 @@
         };
         mesh.vms[position].backend.set_behaviour(behaviour);
     }
-    let operators = vms_of(&mesh, "cobros")
+    let drained_positions = vms_of(&mesh, "cobros")
         .into_iter()
         .filter(|n| mesh.vms[*n].site == 0);
-    for position in operators {
+    for position in drained_positions {
         let operator = mesh.vms[position].node().addresses.operator;
         let drained = request(operator, Method::POST, "node", "/drain", &[], "").await;
         drained.expect("the node responds");
--- a/tests/testsuite/requests_chain.rs
+++ b/tests/testsuite/requests_chain.rs
@@ -7,7 +7,7 @@
 
 use crate::support::{send_request, small_deployment, start_chatarras};
 
-async fn start_with_entries() -> Mesh {
+async fn start_with_nested_calls() -> Mesh {
     let mesh = start_chatarras(small_deployment(&["tablon", "hemeroteca"], 1)).await;
     for vm in &mesh.vms {
         vm.backend.set_behaviour(Behaviour {
@@ -32,7 +32,7 @@
 /// them, although its own treatment would allow minutes.
 #[tokio::test(flavor = "multi_thread")]
 async fn deadlines_shrink_along_a_chain_of_seven() {
-    let mesh = start_with_entries().await;
+    let mesh = start_with_nested_calls().await;
     let entry = mesh.vms[0].node().addresses.caller;
     let path = format!("/prices/zinc?chain={}", chain_parameter(7));
     let reply = send_request(entry, Method::GET, "tablon", &path, "chain-7").await;
@@ -48,7 +48,7 @@
 /// the loop fills every slot.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_loop_of_calls_is_refused() {
-    let mesh = start_with_entries().await;
+    let mesh = start_with_nested_calls().await;
     let entry = mesh.vms[0].node().addresses.caller;
     let path = format!("/prices/zinc?chain={}", chain_parameter(8));
     let reply = send_request(entry, Method::GET, "tablon", &path, "chain-8").await;
@@ -60,7 +60,7 @@
 /// request. None of them may reach a backend server or change the treatment.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_cannot_forge_mesh_headers() {
-    let mesh = start_with_entries().await;
+    let mesh = start_with_nested_calls().await;
     let entry = mesh.vms[0].node().addresses.caller;
     let forged = [
         ("x-dragonflywall-deadline-ms", "9999999"),
