--- a/src/proxy.rs
+++ b/src/proxy.rs
@@ -4,9 +4,9 @@
 //! [`entry`] runs on the node that the caller is connected to. It matches the request to a route,
 //! chooses an endpoint and retries failed attempts. [`gate`] runs on the node beside the backend
 //! server. It admits requests and forwards them. If the chosen endpoint is the entry node's own
-//! backend server, the entry calls the gate directly, without a network connection. Bodies are
-//! streamed in both directions. Every failure carries a verdict that says whether the request may
-//! have run ([`failure::Failure`]).
+//! backend server, the request is passed to the gate by a function call, without a network
+//! connection. Bodies are streamed in both directions. Every failure carries a verdict that says
+//! whether the request may have run ([`failure::Failure`]).
 
 pub(crate) mod backend;
 pub(crate) mod body;
--- a/src/proxy/backend.rs
+++ b/src/proxy/backend.rs
@@ -35,7 +35,7 @@
 
 /// Longest idle time after which a connection is reused for a request that is not idempotent. After
 /// a longer time the backend server, or a device in front of it, may have dropped the connection. A
-/// request that meets a connection reset may have run.
+/// request that fails with a connection reset may have run.
 const IDLE_REUSE_MAX: Duration = Duration::from_millis(100);
 
 /// The same limit for idempotent requests, which are retried after a connection reset.
--- a/src/proxy/backend/tests.rs
+++ b/src/proxy/backend/tests.rs
@@ -1,5 +1,6 @@
-//! Stateful fuzzing of connection reuse: random actions against two backend servers. The test knows
-//! which response belongs to which request.
+//! Stateful fuzzing of connection reuse: random actions against two backend servers. The body of
+//! each response is computed from its request id, so that a response to another request is
+//! detected.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -208,8 +209,8 @@
     result.expect("no sequence of actions mixes up responses");
 }
 
-/// Guards against a payment that is refused because an idle connection, which it must not use,
-/// takes the last place.
+/// Guards against refusing a payment because an idle connection, which the payment must not reuse,
+/// is the only one that the limit allows.
 #[tokio::test]
 async fn an_idle_connection_is_closed_for_a_request_that_must_not_reuse_it() {
     let harness = Harness::start().await;
--- a/src/proxy/caller_connections.rs
+++ b/src/proxy/caller_connections.rs
@@ -34,8 +34,9 @@
         }
     }
 
-    /// Registers a new connection of `caller`. At the limit, an idle connection is closed to make
-    /// room; returns `None` if no connection is idle.
+    /// Registers a new connection of `caller`. At the limit for all callers, any idle connection is
+    /// closed to make room; at the limit for one address, an idle one of `caller`. Returns `None`
+    /// if there is no such connection.
     pub(crate) fn register(&self, caller: IpAddr) -> Option<ConnectionGuard> {
         let mut state = self.lock();
         let Some(accepted) = state.connections.accept(caller) else {
--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -1,5 +1,6 @@
-//! The entry node: routes a caller's request, chooses an endpoint and retries failed attempts as
-//! the route's treatment allows.
+//! The entry node, to which the caller is connected: routes a request, chooses an endpoint and
+//! retries failed attempts. The route's treatment sets the timeout, the number of attempts and
+//! whether the request is idempotent.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -216,8 +217,7 @@
     &route.targets[split::choose_branch(weights, route.next_request_number())]
 }
 
-/// Rejects a body whose declared length exceeds the limit. A body of unknown length is not checked
-/// here.
+/// Rejects a body whose declared length exceeds the limit. A body of unknown length is not limited.
 fn check_body_len(compiled: &CompiledConfiguration, body: &ReplayableBody) -> Result<(), Failure> {
     let limits = compiled.configuration.caller_limits();
     let body_max_bytes = limits.map_or(u64::MAX, |limits| limits.body_max_bytes);
--- a/src/proxy/entry/routed_request.rs
+++ b/src/proxy/entry/routed_request.rs
@@ -100,7 +100,7 @@
         self.depth > 0
     }
 
-    /// When the target latency has passed.
+    /// When the target latency has passed, or the timeout if there is no target latency.
     fn due(&self) -> Instant {
         let target_ms = self.target.treatment.target_latency_ms;
         let target_ms = target_ms.unwrap_or(self.target.treatment.timeout_ms);
@@ -300,7 +300,8 @@
         if let Some(permit) = permit {
             request.headers_mut().insert(headers::TURN, permit);
         }
-        // The request may now wait for a slot, because its body has already used the link.
+        // The request may now wait for a slot: if it were refused, its body would have used the
+        // link in vain.
         let hop = self.hop(hop.retries, true);
         self.send(endpoint, &hop, request).await
     }
--- a/src/proxy/failure.rs
+++ b/src/proxy/failure.rs
@@ -9,8 +9,8 @@
 use crate::core::verdict::Verdict;
 use crate::decide::retry::AttemptFailure;
 
-/// Retry delay where no estimate exists: several times as long as a change takes to reach an
-/// endpoint's gate.
+/// Retry delay where no estimate exists, and the shortest one. Several times as long as a change of
+/// the configuration or of a backend server's state takes to reach an endpoint's gate.
 const RETRY_AFTER_DEFAULT_MS: u64 = 100;
 /// Longest retry delay: estimates beyond half a minute are not reliable.
 const RETRY_AFTER_MAX_MS: u64 = 30_000;
@@ -26,17 +26,20 @@
     NoService,
     /// No route of the service matches.
     NoRoute,
-    /// No known endpoint of the service accepts requests.
+    /// No known endpoint of the service accepts requests, or the node that was chosen has no
+    /// backend server of the service.
     NoEndpoint,
-    /// The endpoint's slots and queue are full.
+    /// The endpoint has no free slot, and its queue is full or the expected wait is too long. Also
+    /// if it grants no upload permit.
     Full,
-    /// The deadline passed, or would pass, before the request got a slot.
+    /// The deadline passed, or would pass, before the request was admitted.
     TooLate,
-    /// The endpoint or this node is draining.
+    /// The endpoint's gate is closed, because its node or its backend server is draining or gone.
     Draining,
     /// No connection to the endpoint could be opened.
     Unreachable,
-    /// The connection was lost after the request had been sent.
+    /// A connection was lost after a part of the request had been sent, or the response was not one
+    /// to this request.
     Lost,
     /// The deadline passed after the request had been sent.
     Deadline,
@@ -44,7 +47,7 @@
     GivenUp,
     /// Too many nested calls above this one.
     TooDeep,
-    /// The caller's request was malformed or its body was interrupted.
+    /// The caller's request names no valid host, or a gate could not read the request's metadata.
     BadRequest,
     /// The head of the caller's request exceeds the limit.
     HeadTooLong,
@@ -106,6 +109,7 @@
         Self::ALL.into_iter().find(|reason| reason.code() == code)
     }
 
+    /// The body of the response, and the reason in log lines.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no configuration is enforced here yet",
@@ -196,8 +200,8 @@
         self
     }
 
-    /// The failure of a request whose upload permit was refused or lost. Only the reservation was
-    /// sent, so the request itself did not run.
+    /// The failure of a request after its reservation of an upload permit has failed. Only the
+    /// reservation was sent, so the request itself did not run.
     pub(crate) fn of_reservation(self) -> Self {
         match self.verdict {
             Verdict::NotRun => self,
--- a/src/proxy/gate.rs
+++ b/src/proxy/gate.rs
@@ -180,7 +180,8 @@
 ) {
     let reason = failure.reason.code();
     metrics::counter!("dragonflywall_gate_failures_total", "reason" => reason).increment(1);
-    // The entry node sends such a request to another gate next.
+    // A request that may not wait is a free-slot probe: after a refusal, its entry node tries
+    // another gate.
     let log_class = match hop.max_wait.is_zero() {
         true => LogClass::Routine,
         false => LogClass::Notable,
@@ -252,7 +253,7 @@
     let profile = node.header_profile;
     let (parts, body) = response.into_parts();
     if !profile.is_response_to(id, &parts) {
-        log::warn!(status = parts.status.as_u16(); "the backend server sent a response to another request");
+        log::warn!(status = parts.status.as_u16(); "the backend server's response does not belong to the request");
         // Dropping the unread body closes the connection.
         return Err(Failure::may_have_run(Reason::Lost));
     }
@@ -266,7 +267,8 @@
     Ok(Response::from_parts(parts, body))
 }
 
-/// Whether the responding instance is not the one that the request named: it responds with 421.
+/// Whether another instance than the one that the request named has responded: it rejects the
+/// request with 421.
 fn is_wrong_instance(names_instance: bool, status: &StatusCode) -> bool {
     names_instance && *status == StatusCode::MISDIRECTED_REQUEST
 }
--- a/src/proxy/headers.rs
+++ b/src/proxy/headers.rs
@@ -9,8 +9,9 @@
 /// Prefix of all headers that nodes exchange. Headers with this prefix are removed from callers'
 /// requests, so that a caller cannot set its own class, deadline or verdict.
 pub(crate) const MESH_PREFIX: &str = "x-dragonflywall-";
-/// On a request between nodes: distinguishes caller requests from control calls on the same
-/// listener. The value is the time of sending, in microseconds since the sender's VM booted.
+/// On a request between nodes: distinguishes requests for a backend server from control calls on
+/// the same listener. The value is the time of sending, in microseconds since the sender's VM
+/// booted.
 pub(crate) const DATA: HeaderName = HeaderName::from_static("x-dragonflywall-data");
 /// On a request between nodes or to a backend server: milliseconds until its deadline.
 pub(crate) const DEADLINE_MS: HeaderName = HeaderName::from_static("x-dragonflywall-deadline-ms");
@@ -24,13 +25,14 @@
 pub(crate) const CLASS: HeaderName = HeaderName::from_static("x-dragonflywall-class");
 /// On a request between nodes: number of nested calls above this request.
 pub(crate) const DEPTH: HeaderName = HeaderName::from_static("x-dragonflywall-depth");
-/// On a request between nodes: retries that the receiver and its nested calls may spend. On a
-/// response: how many of them are unspent.
+/// On a request between nodes: number of retries that the nested calls of this request may spend.
+/// On a response: how many of them are unspent.
 pub(crate) const RETRIES: HeaderName = HeaderName::from_static("x-dragonflywall-retries");
 /// On a request to a backend server: a token that the backend server copies to the calls it makes
 /// while it runs the request.
 pub(crate) const CALL: HeaderName = HeaderName::from_static("x-dragonflywall-call");
-/// On a response between nodes: load of the endpoint, as six numbers separated by spaces.
+/// On a response between nodes: load of the endpoint, as six numbers separated by spaces, in the
+/// order that [`format_load`] writes.
 pub(crate) const LOAD: HeaderName = HeaderName::from_static("x-dragonflywall-load");
 /// On a response between nodes: how long requests for other resources hold a slot, as
 /// comma-separated pairs `RESOURCE MICROSECONDS`.
--- a/src/proxy/health.rs
+++ b/src/proxy/health.rs
@@ -10,8 +10,8 @@
 use crate::core::status::Announcement;
 use crate::proxy::state::ProxyState;
 
-/// Timeout of one health check. The backend server is on the same VM, but the check waits for one
-/// of its slots like any request.
+/// Timeout of one health check. The backend server is on the same VM, but like any request the
+/// check may wait until the backend server has capacity for it.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Result of a health check.
@@ -21,7 +21,8 @@
     Serving(InstanceName),
     /// The backend server is shutting down or failing.
     NotServing,
-    /// The backend server cannot be checked yet, did not respond, or did not identify itself.
+    /// The backend server cannot be checked yet, did not answer the check, or did not identify
+    /// itself.
     Unknown,
 }
 
--- a/src/proxy/hop.rs
+++ b/src/proxy/hop.rs
@@ -10,13 +10,16 @@
 use crate::decide::admission::{Priority, SlotRequest};
 use crate::util::clock;
 
-/// Part of the remaining time, limited to [`QUEUE_MARGIN_MAX`], that a request must not spend in
-/// the queue. The gate's refusal, which proves that the request did not run, must reach the entry
-/// node before the deadline passes there. A passed deadline proves nothing.
+/// A request leaves the queue before its deadline: by the remaining time divided by this number, at
+/// most [`QUEUE_MARGIN_MAX`]. The gate's refusal, which proves that the request did not run, must
+/// reach the entry node before the deadline passes there. Without it, the entry node must report
+/// that the request may have run.
 const QUEUE_MARGIN_DIVISOR: u32 = 8;
+/// Longest time before its deadline at which a request leaves the queue.
 const QUEUE_MARGIN_MAX: Duration = Duration::from_millis(100);
 
-/// Deadline of a request without one, as nodes of other releases may send.
+/// Deadline of a request without one, and default of the times that [`headers::CLASS`] lacks, as
+/// nodes of other releases may send.
 const DEADLINE_DEFAULT_MS: u64 = 10_000;
 
 /// Metadata of one request to a gate.
@@ -33,12 +36,13 @@
     /// Longest time that the request waits for a slot.
     pub(crate) max_wait: Duration,
     pub(crate) received_at: Instant,
-    /// Time from `received_at` until the target latency has passed.
+    /// Time from `received_at` until the target latency has passed, or the timeout if there is no
+    /// target latency.
     pub(crate) due_in: Duration,
     pub(crate) deadline: Instant,
     /// Number of nested calls above this request.
     pub(crate) depth: u32,
-    /// Retries that this request and its nested calls may spend.
+    /// Retries that the nested calls of this request may spend.
     pub(crate) retries: u32,
 }
 
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -27,9 +27,10 @@
 use crate::core::verdict::Verdict;
 use crate::proxy::state::ProxyState;
 
-/// HTTP/2 stream window for request bodies: bytes that a sender may have in flight unread. It is
-/// also how much of an upload an entry node has sent while the upload waits for a slot, and must be
-/// able to send again to another endpoint.
+/// HTTP/2 stream window for request bodies: bytes that a sender may have in flight unread. Between
+/// nodes, a slow link makes the window smaller. A gate does not read a very large upload before it
+/// has a slot. Its entry node has sent at most one window of it until then, and must be able to
+/// send this part again to another endpoint.
 const REQUEST_WINDOW_BYTES: u32 = 65_535;
 /// Send buffer per connection or stream, for callers and nodes that read slowly.
 const SEND_BUFFER_MAX_BYTES: usize = 128 << 10;
--- a/src/proxy/listener/callers.rs
+++ b/src/proxy/listener/callers.rs
@@ -30,7 +30,7 @@
 use crate::proxy::state::ProxyState;
 use crate::proxy::{entry, header_profile};
 
-/// Concurrent requests on one HTTP/2 connection of a caller.
+/// Maximum number of concurrent requests on one HTTP/2 connection of a caller.
 const CALLER_STREAMS_MAX: u32 = 128;
 
 /// Serves callers until `graceful_stop`. Each connection then closes after its current responses.
@@ -45,7 +45,7 @@
     while let Some((stream, caller)) = accept(&listener, &graceful_stop, &hard_stop).await {
         let Some(connection_guard) = caller_connections.register(caller) else {
             if node.log_limiter.may_log(LogClass::Notable) {
-                log::warn!(caller:%; "refused a caller's connection: connection limit reached and no connection is idle");
+                log::warn!(caller:%; "refused a caller's connection: the connection limit is reached and no idle connection can be closed");
             }
             continue;
         };
@@ -60,7 +60,8 @@
             hard_stop.run_until_cancelled(serving).await;
         });
     }
-    // From now on the system refuses new connections, so that callers use another node at once.
+    // From now on the operating system refuses new connections, so that callers use another node at
+    // once.
     drop(listener);
     tasks.close();
     tasks.wait().await;
--- a/src/proxy/listener/peers.rs
+++ b/src/proxy/listener/peers.rs
@@ -28,7 +28,8 @@
 /// Concurrent requests on one connection between nodes. More than the slots and queue of any
 /// endpoint, so that excess requests are refused by the gate instead of delayed by HTTP/2.
 const PEER_STREAMS_MAX: u32 = 1_024;
-/// The sum of all stream windows, so that a stalled upload does not block other uploads.
+/// HTTP/2 connection window: at least the sum of all stream windows, so that a stalled upload does
+/// not block other uploads.
 const PEER_WINDOW_BYTES: u32 = PEER_STREAMS_MAX * REQUEST_WINDOW_BYTES;
 
 /// Serves other nodes until `graceful_stop`. Each connection then closes after its current
@@ -62,7 +63,8 @@
     tasks.wait().await;
 }
 
-/// `window_bytes` is the stream window: how much of a request body is sent before it is read.
+/// Sets the limits of a connection. `window_bytes` is the stream window: how much of a request body
+/// the sender may send before it is read.
 fn builder(window_bytes: u32) -> Builder<TokioExecutor> {
     let mut builder = Builder::new(TokioExecutor::new());
     builder
--- a/src/proxy/log_limiter.rs
+++ b/src/proxy/log_limiter.rs
@@ -1,10 +1,10 @@
 //! Rate limits for log lines about requests. There is one line per decision, with the values that
 //! led to it.
 //!
-//! Entry and gate log the request id, so that the lines of all nodes can be joined. Lines about
-//! successful requests are [`LogClass::Routine`]; lines about requests that are refused, retried or
-//! fail are [`LogClass::Notable`]. Each class has its own rate, so that many successful requests
-//! cannot crowd out the failures. Lines above the rate are dropped and counted.
+//! The entry node and the gate log the request id, so that the lines of all nodes can be joined.
+//! Lines about successful requests are [`LogClass::Routine`]; lines about requests that are
+//! refused, retried or fail are [`LogClass::Notable`]. Each class has its own rate, so that many
+//! successful requests cannot crowd out the failures. Lines above the rate are dropped and counted.
 
 use std::num::NonZeroU32;
 
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -31,7 +31,7 @@
 /// do not block other responses on the connection.
 const CONNECTION_WINDOW_BYTES: u32 = 1_024 * RESPONSE_WINDOW_BYTES;
 
-/// Number of addresses from which entries without an open connection are removed. More than the
+/// Number of stored addresses at which those without an open connection are removed. More than the
 /// endpoints in the subsets of all services that a node calls.
 const ADDRESSES_MAX: usize = 512;
 
--- a/src/proxy/pipeline.rs
+++ b/src/proxy/pipeline.rs
@@ -7,8 +7,9 @@
 //! is already in progress ([`Pipeline::take_early_response`]). Responses keep their order because
 //! hyper still writes them.
 //!
-//! The bytes are parsed with httparse, as in hyper. If the two parse a request differently, it is
-//! started again; therefore only idempotent requests are started early.
+//! The bytes are parsed with httparse, as in hyper. If hyper still parses a request differently,
+//! the request that hyper parsed is run as well; therefore only idempotent requests are started
+//! early.
 
 use std::collections::VecDeque;
 use std::io;
--- a/src/proxy/replay.rs
+++ b/src/proxy/replay.rs
@@ -1,4 +1,5 @@
-//! A caller's request body that can be sent again while all of what was read fits in a buffer.
+//! A caller's request body that can be sent again as long as everything read of it fits in a
+//! buffer.
 
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/src/proxy/slots.rs
+++ b/src/proxy/slots.rs
@@ -19,7 +19,7 @@
 use crate::proxy::state::ProxyState;
 use crate::util::clock;
 
-/// Sends the outcome of its wait to a queued request.
+/// Sends a queued request the outcome of its wait: a slot or a refusal.
 pub(crate) type WaitOutcomeSender = oneshot::Sender<WaitOutcome>;
 
 /// A slot of the backend server. It is released when dropped, after the response has been forwarded
@@ -152,7 +152,8 @@
     let now_us = clock::since_us(node.started);
     let mut admission = node.admission();
     while let Some((sender, outcome)) = admission.end_next_wait(now_us) {
-        // Sending fails only if the request is being dropped; see `QueuedRequest`.
+        // Sending cannot fail: a queued request keeps its receiver until it has left the queue; see
+        // `QueuedRequest`.
         let _ = sender.send(outcome);
     }
 }
--- a/src/proxy/stall.rs
+++ b/src/proxy/stall.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that fails when the peer does not read for too long.
+//! A caller's TCP stream that fails when the caller does not read for too long.
 
 use std::future::Future;
 use std::io;
@@ -50,7 +50,7 @@
         self
     }
 
-    /// Waits until data can be read or the peer has closed the connection.
+    /// Waits until data can be read or the caller has closed the connection.
     pub(crate) async fn readable(&self) -> io::Result<()> {
         self.stream.readable().await
     }
--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -33,7 +33,8 @@
 use crate::node::settings::{ReloadableSettings, Settings};
 use crate::util::clock;
 
-/// Gap between two ticks from which the process counts as having been frozen.
+/// Time between two ticks of [`crate::node::freeze`] from which the process counts as having been
+/// frozen.
 pub(crate) const FREEZE_GAP_MS: u64 = 3_000;
 
 /// Shared by all requests of the node. The node's actors store the enforced configuration and the
@@ -173,7 +174,7 @@
         }
     }
 
-    /// Whether the process has not been frozen since it last refreshed its configuration.
+    /// Whether the process has run without a freeze since it last refreshed its configuration.
     pub(crate) fn is_fresh(&self) -> bool {
         let since_tick_ms = self
             .uptime_ms()
@@ -254,8 +255,9 @@
         slots::notify_queued(self);
     }
 
-    /// Closes the gate after another instance has responded at `backend`'s address, which may have
-    /// been reassigned to another service. The gate opens with the next announcement.
+    /// Stops sending requests to `backend` after another instance has responded at its address,
+    /// which may have been reassigned to another service. The next announcement sets a backend
+    /// server again.
     pub(crate) fn handle_wrong_instance(&self, backend: &LocalBackend) {
         let current = self.backend.load_full();
         if current.as_deref() != Some(backend) {
--- a/src/proxy/uploads.rs
+++ b/src/proxy/uploads.rs
@@ -32,8 +32,8 @@
 /// retry.
 const UNKNOWN_LEN_BUFFER_BYTES: u64 = 64 << 10;
 
-/// Longest time that one body occupies a permit, so that a slow sender does not block other bodies.
-/// At 7 Mbit/s, 800 KB arrive in this time.
+/// Longest time that a body occupies a permit while the gate buffers it, so that a slow sender does
+/// not block other bodies. At 7 Mbit/s, 800 KB arrive in this time.
 const PERMIT_HOLD_MAX: Duration = Duration::from_secs(1);
 
 /// Where the body of a request comes from.
@@ -59,8 +59,8 @@
 /// body is returned unread.
 ///
 /// The entry node still buffers what is read here, so that a request that gets no slot can be sent
-/// whole to another endpoint. A body that is too long for the entry's buffer is therefore not read
-/// before its request has a slot; it keeps its permit until it has been read.
+/// whole to another endpoint. A body that is too long for the entry node's buffer is therefore
+/// not read before its request has a slot; it keeps its permit until it has been read.
 pub(crate) async fn receive(
     node: &Arc<ProxyState>,
     hop: &Hop,
--- a/tests/testsuite/payment_faults.rs
+++ b/tests/testsuite/payment_faults.rs
@@ -1,7 +1,7 @@
 //! Payments under faults, checked against the backend servers' own records.
 //!
-//! Whatever fails: each payment runs at most once, a payment reported as `not-run` is in no record,
-//! and every response belongs to its request.
+//! Whatever fails, each payment must run at most once, a payment reported as `not-run` must be in
+//! no backend server's record, and every response must belong to its request.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -212,8 +212,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn payments_survive_cut_links() {
     let mesh = start().await;
-    // Slows each payment down, so that the near endpoints alone are not enough and both data
-    // centres get payments.
+    // Slows each payment down, so that some are in progress when the link is cut.
     for position in vms_of(&mesh, "cobros") {
         let behaviour = Behaviour {
             default_work_time: Duration::from_millis(5),
@@ -221,6 +220,7 @@
         };
         mesh.vms[position].backend.set_behaviour(behaviour);
     }
+    // Drains the endpoints of the first data centre, so that its callers' payments use the link.
     let drained_positions = vms_of(&mesh, "cobros")
         .into_iter()
         .filter(|n| mesh.vms[*n].site == 0);
--- a/tests/testsuite/requests_answers.rs
+++ b/tests/testsuite/requests_answers.rs
@@ -99,8 +99,8 @@
     assert_eq!(run_counts(&mesh, "cobros", "status-2"), [(ran_at, 1)]);
 }
 
-/// Every backend server of the service is gone. The caller learns at once that its payment did not
-/// run and when to retry.
+/// Every backend server of the service has been killed. The caller must get a response that says
+/// that its payment did not run and when to retry.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_payment_that_reaches_no_endpoint_gets_not_run() {
     let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
@@ -117,8 +117,9 @@
     assert!(run_counts(&mesh, "cobros", "pay-3").is_empty());
 }
 
-/// Guards against work for a disconnected caller. The caller disconnects while its request runs on
-/// another node; the backend server must see that and stop, and its slot must become free.
+/// Guards against work for a disconnected caller, which would keep a slot in use. The caller
+/// disconnects while its request runs on another node; the request must be cancelled at the backend
+/// server.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_disconnect_cancels_the_request_at_the_backend_server() {
     let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
@@ -130,7 +131,7 @@
     let _ = pending.await;
     let backend = &mesh.vms[position].backend;
     wait_until(
-        "the backend server sees the cancellation",
+        "the backend server detects the cancellation",
         WAIT_TIMEOUT,
         || async { backend.record().cancelled == 1 },
     )
@@ -213,8 +214,8 @@
     );
 }
 
-/// The backend server freezes after it has received a request, and the deadline passes. The request
-/// may have run, so it is not retried elsewhere.
+/// A frozen backend server accepts a request and does not respond before the deadline. The request
+/// may have run, so the caller must not get `not-run`.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_deadline_after_sending_gets_may_have_run() {
     let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
--- a/tests/testsuite/requests_chain.rs
+++ b/tests/testsuite/requests_chain.rs
@@ -7,6 +7,7 @@
 
 use crate::support::{send_request, small_deployment, start_chatarras};
 
+/// Starts a mesh whose backend servers send nested calls through their own nodes.
 async fn start_with_nested_calls() -> Mesh {
     let mesh = start_chatarras(small_deployment(&["tablon", "hemeroteca"], 1)).await;
     for vm in &mesh.vms {
--- a/tests/testsuite/requests_drain.rs
+++ b/tests/testsuite/requests_drain.rs
@@ -148,9 +148,9 @@
     NEXT.fetch_add(1, Ordering::Relaxed)
 }
 
-/// A node gets SIGTERM under load. On its VM runs a payment of 5 s; a caller is in the middle of an
-/// upload through it that then runs for 10 s. Everything must complete without a visible failure,
-/// and the process must exit with 0.
+/// A node gets SIGTERM under load. Its backend server runs a payment of 5 s, and a caller has sent
+/// half of an upload through it, which then runs for 10 s elsewhere. Both must complete, other
+/// payments must not fail, and the process must exit with 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_terminated_node_finishes_its_requests() {
     let mut mesh = start_chatarras(small_deployment(&["tablon", "cobros", "bascula"], 1)).await;
@@ -158,14 +158,14 @@
     let victim = vms_of(&mesh, "cobros")[0];
     let long_entry = mesh.vms[vms_of(&mesh, "tablon")[0]].node().addresses.caller;
     let victim_entry = mesh.vms[victim].node().addresses.caller;
-    // Only a payment that runs on the victim is of use, so send payments until one does.
+    // Payments may run on any endpoint: send them until one runs on the victim.
     let mut long = None;
     for n in 0..200 {
         let id = format!("long-{n}");
         let request_id = id.clone();
         let pending = tokio::spawn(async move {
-            // Longer than all fixed waits of a drain together: it only completes if the drain waits
-            // for it.
+            // Longer than all fixed waits of a drain together: the payment completes only if the
+            // drain waits for it.
             let path = "/payments?work_ms=5000";
             send_request(long_entry, Method::POST, "cobros", path, &request_id).await
         });
--- a/tests/testsuite/requests_imposter.rs
+++ b/tests/testsuite/requests_imposter.rs
@@ -10,9 +10,9 @@
 };
 
 /// A VM is replaced and its address is reassigned to another program that speaks HTTP/2, before the
-/// mesh has detected that the node is gone. A payment is sent there and gets a response. Because
-/// nobody can know whether that program ran it, the caller must not get `not-run`, and the payment
-/// must not be sent to a second endpoint.
+/// mesh has detected that the node is gone. A payment is sent there and gets a response, which
+/// does not show whether that program ran the payment. The caller must therefore not get `not-run`,
+/// and the payment must not be sent to a second endpoint.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_response_from_a_foreign_server_gets_may_have_run() {
     let mut mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
--- a/tests/testsuite/requests_streams.rs
+++ b/tests/testsuite/requests_streams.rs
@@ -18,7 +18,8 @@
 /// memory.
 const READERS: usize = 16;
 const ANSWER_BYTES: usize = 8 << 20;
-/// Far below the size of all unread responses (128 MiB), but above the windows of their streams.
+/// Limit on the growth of a node's resident memory: far below the size of all unread responses
+/// (128 MiB), but above the windows of their streams.
 const GROWTH_MAX_BYTES: u64 = 16 << 20;
 
 fn resident_bytes(mesh: &Mesh, position: usize) -> u64 {
@@ -191,9 +192,8 @@
 
 /// Number of connections that callers keep open.
 const IDLE_CONNECTIONS: usize = 800;
-/// Limit on the node's memory growth per connection. hyper alone uses 16 KB of buffers for a
-/// connection that it serves, and a connection took 30 KB in all before idle ones were taken from
-/// hyper.
+/// Limit on the node's memory growth per idle connection. hyper alone uses 16 KB of buffers for a
+/// connection that it serves. While hyper also kept idle connections, each took 30 KB in all.
 const IDLE_CONNECTION_MAX_BYTES: u64 = 12 << 10;
 
 /// Many callers keep their connections open, as client libraries do, and rarely send requests. The
--- a/tests/testsuite/users_requests.rs
+++ b/tests/testsuite/users_requests.rs
@@ -54,8 +54,8 @@
         let path = format!("/stock/{number}?bytes={bytes}&answer={mode}");
         let id = format!("twice-{number}");
         let reply = send(&mesh, &CallerRequest::get(&path, &id)).await;
-        // A request that received a duplicate in place of its response may have run, so its retries
-        // are limited.
+        // A request that received a duplicate in place of its response may have run. Its retries
+        // are limited, so it may fail.
         if reply.status != StatusCode::BAD_GATEWAY {
             assert_own_response(&reply, &id, bytes);
             served += 1;
@@ -195,8 +195,8 @@
     assert!(users_mesh_runs(&mesh, "meant-for-the-last").is_empty());
 }
 
-/// A caller disconnects while its request runs. The backend server must learn this and stop
-/// working.
+/// A caller disconnects while its request runs. The request must be cancelled at the backend
+/// server.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_disconnect_cancels_the_work() {
     let mesh = start_serving_users_mesh(Plan::new(&SERVICES)).await;
@@ -223,8 +223,9 @@
     }
 }
 
-/// The backend server receives the remaining time of the caller and the service that calls,
-/// whatever the caller claimed, and the response is sent at the deadline.
+/// The backend server must receive the caller's remaining time and the service on whose VM the
+/// request entered the mesh, regardless of the headers that the caller sent. The caller must get a
+/// response at its deadline.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_backend_server_receives_remaining_time_and_calling_service() {
     let mesh = start_serving_users_mesh(small()).await;
