--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -98,8 +98,8 @@
 }
 
 fn request_id(node: &ProxyState, parts: &Parts) -> HeaderValue {
-    let caller_id = parts.headers.get(&node.header_profile.request_id).cloned();
-    caller_id.unwrap_or_else(|| headers::to_value(&format!("{:016x}", rand::random::<u64>())))
+    let received_id = parts.headers.get(&node.header_profile.request_id).cloned();
+    received_id.unwrap_or_else(|| headers::to_value(&format!("{:016x}", rand::random::<u64>())))
 }
 
 /// Limits that apply to a request: its own, or those inherited from the request that made it.
--- a/src/proxy/headers.rs
+++ b/src/proxy/headers.rs
@@ -144,8 +144,8 @@
 /// Parses the value that [`format_service_times`] writes.
 pub(crate) fn parse_service_times(headers: &HeaderMap) -> Vec<(ResourceName, u64)> {
     let times = get_str(headers, &HELD).unwrap_or("").split(',');
-    let times = times.filter_map(|time| {
-        let (resource, service_time_us) = time.split_once(' ')?;
+    let times = times.filter_map(|pair| {
+        let (resource, service_time_us) = pair.split_once(' ')?;
         let service_time_us = service_time_us
             .parse()
             .ok()
--- a/tests/testsuite/requests_drain.rs
+++ b/tests/testsuite/requests_drain.rs
@@ -225,8 +225,8 @@
     drop(exited);
     let failures = collect_failures(callers, &stop).await;
     assert!(failures.is_empty(), "{failures:?}");
-    let last_begun = mesh.vms[victim].backend.record().last_run_start;
-    let lag = last_begun.map(|at| at.saturating_duration_since(terminated_at));
+    let last_run_start = mesh.vms[victim].backend.record().last_run_start;
+    let lag = last_run_start.map(|at| at.saturating_duration_since(terminated_at));
     println!("last new request {lag:?} after the signal");
 }
 
--- a/tests/testsuite/requests_pipeline.rs
+++ b/tests/testsuite/requests_pipeline.rs
@@ -12,7 +12,7 @@
 };
 
 /// Head of a request for prices, without a body.
-fn read_request(id: &str, work_ms: u64) -> String {
+fn price_request(id: &str, work_ms: u64) -> String {
     format!(
         "GET /prices/copper?answer_bytes=10&work_ms={work_ms} HTTP/1.1\r\n\
          host: tablon\r\nx-request-id: {id}\r\n\r\n"
@@ -65,9 +65,9 @@
     }
     let entry = mesh.vms[target].node().addresses.caller;
     let requests = [
-        read_request("slow", 500),
-        read_request("second", 250),
-        read_request("third", 250),
+        price_request("slow", 500),
+        price_request("second", 250),
+        price_request("third", 250),
     ]
     .concat();
     let mut stream = send(entry, &requests).await;
@@ -88,10 +88,10 @@
 async fn a_read_pipelined_during_another_starts_at_once() {
     let mesh = start_chatarras(small_deployment(&["tablon"], 1)).await;
     let entry = mesh.vms[0].node().addresses.caller;
-    let mut stream = send(entry, &read_request("slow", 500)).await;
+    let mut stream = send(entry, &price_request("slow", 500)).await;
     wait_until_running(&mesh, "tablon", "slow").await;
     let sent = stream
-        .write_all(read_request("behind", 250).as_bytes())
+        .write_all(price_request("behind", 250).as_bytes())
         .await;
     sent.expect("the node reads the request");
     wait_until_running(&mesh, "tablon", "behind").await;
@@ -109,7 +109,7 @@
 async fn a_payment_behind_an_unanswered_read_does_not_run() {
     let mesh = start_chatarras(small_deployment(&["tablon", "cobros"], 1)).await;
     let entry = mesh.vms[0].node().addresses.caller;
-    let requests = [read_request("long", 700), payment_request("pay-behind")].concat();
+    let requests = [price_request("long", 700), payment_request("pay-behind")].concat();
     let stream = send(entry, &requests).await;
     wait_until("the read runs", WAIT_TIMEOUT, || async {
         !run_counts(&mesh, "tablon", "long").is_empty()
--- a/tests/testsuite/users_requests.rs
+++ b/tests/testsuite/users_requests.rs
@@ -422,7 +422,7 @@
     mesh.wait_enforced(2).await;
     let ledger = mesh.vms_of(SERVICES[0])[0];
     let operator = mesh.vms[ledger].node().addresses.operator;
-    let waiting = async |count: u64| {
+    let wait_until_queued = async |count: u64| {
         wait_until("requests are queued", WAIT_TIMEOUT, || async {
             let text = fetch_metrics(operator).await;
             let has_line = |line: String| text.lines().any(|known| known == line);
@@ -441,12 +441,12 @@
         }
     };
     let others = async {
-        waiting(0).await;
+        wait_until_queued(0).await;
         tokio::join!(
             read("keeper-1", "/stock/2"),
             read("keeper-2", "/stock/3"),
             async {
-                waiting(2).await;
+                wait_until_queued(2).await;
                 let path = "/book/1?call=mesh.example/stock/7";
                 send(&mesh, &CallerRequest::post(path, "booking")).await
             },
