--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -73,6 +73,7 @@
     })
 }
 
+/// The connections of this node to the gates of other nodes, by address.
 #[derive(Debug)]
 pub(crate) struct PeerConnections {
     dial_options: DialOptions,
--- a/tests/testsuite/requests_drain.rs
+++ b/tests/testsuite/requests_drain.rs
@@ -227,7 +227,7 @@
     assert!(failures.is_empty(), "{failures:?}");
     let last_run_start = mesh.vms[victim].backend.record().last_run_start;
     let lag = last_run_start.map(|at| at.saturating_duration_since(terminated_at));
-    println!("last new request {lag:?} after the signal");
+    println!("the last new request started {lag:?} after the signal");
 }
 
 /// A data centre without a backend server of `cobros` is cut off from all others. It must still
--- a/tests/testsuite/requests_streams.rs
+++ b/tests/testsuite/requests_streams.rs
@@ -96,7 +96,10 @@
     for (position, before) in [entry, gate].into_iter().zip(before) {
         let grown = resident_bytes(&mesh, position).saturating_sub(before);
         println!("slow readers: VM {position} grew by {} KiB", grown >> 10);
-        assert!(grown < GROWTH_MAX_BYTES, "grew by {grown} bytes");
+        assert!(
+            grown < GROWTH_MAX_BYTES,
+            "the memory of the node on VM {position} grew by {grown} bytes"
+        );
     }
     wait_until("the slots are free again", WAIT_TIMEOUT, || async {
         slots_in_use(&mesh).await == 0
@@ -230,7 +233,7 @@
     println!("idle connections: {bytes_per_connection} bytes each");
     assert!(
         bytes_per_connection < IDLE_CONNECTION_MAX_BYTES,
-        "{bytes_per_connection} bytes for each connection"
+        "an idle connection takes {bytes_per_connection} bytes"
     );
     // The connections must still be served.
     for stream in &mut streams {
--- a/tests/testsuite/requests_untrusted.rs
+++ b/tests/testsuite/requests_untrusted.rs
@@ -9,8 +9,8 @@
 
 use crate::support::{WAIT_TIMEOUT, small_deployment, start_chatarras};
 
-/// Sends raw bytes. Returns everything that the node sends until it closes the connection or sends
-/// nothing more for a while.
+/// Sends raw bytes. Returns everything that the node sends within 1.5 s or until it closes the
+/// connection.
 async fn exchange_raw(entry: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(entry)
         .await
@@ -48,7 +48,7 @@
         let read = stream.read_buf(&mut response).await;
         assert!(
             read.is_ok_and(|count| count > 0),
-            "connection ended after {response:?}"
+            "the connection ended after {response:?}"
         );
     }
 }
@@ -138,7 +138,10 @@
             .expect("the node reads the request");
         let mut response = Vec::new();
         let closed = tokio::time::timeout(WAIT_TIMEOUT, stream.read_to_end(&mut response)).await;
-        assert!(closed.is_ok(), "still open after {start:?}");
+        assert!(
+            closed.is_ok(),
+            "the connection is still open after {start:?}"
+        );
     }
 
     // The caller has its four connections. For a fifth, the one that has been idle longest is
