--- a/src/proxy/state.rs
+++ b/src/proxy/state.rs
@@ -33,8 +33,8 @@
 use crate::node::settings::{ReloadableSettings, Settings};
 use crate::util::clock;
 
-/// Time between two ticks of [`crate::node::freeze`] from which the process counts as having been
-/// frozen.
+/// Time between two ticks of the node's freeze detection from which the process counts as having
+/// been frozen.
 pub(crate) const FREEZE_GAP_MS: u64 = 3_000;
 
 /// Shared by all requests of the node. The node's actors store the enforced configuration and the
