--- a/src/proxy/entry.rs
+++ b/src/proxy/entry.rs
@@ -1,5 +1,6 @@
-//! The entry node: routes a caller's request, chooses an endpoint and retries failed attempts as
-//! the route's treatment allows.
+//! The entry node, to which the caller is connected: routes a request, chooses an endpoint and
+//! retries failed attempts. The route's treatment sets the timeout, the number of attempts and
+//! whether the request is idempotent.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -97,8 +98,8 @@
 }
 
 fn request_id(node: &ProxyState, parts: &Parts) -> HeaderValue {
-    let caller_id = parts.headers.get(&node.header_profile.request_id).cloned();
-    caller_id.unwrap_or_else(|| headers::to_value(&format!("{:016x}", rand::random::<u64>())))
+    let received_id = parts.headers.get(&node.header_profile.request_id).cloned();
+    received_id.unwrap_or_else(|| headers::to_value(&format!("{:016x}", rand::random::<u64>())))
 }
 
 /// Limits that apply to a request: its own, or those inherited from the request that made it.
@@ -172,7 +173,7 @@
         started_at: Instant::now(),
         deadline: context
             .deadline
-            .map_or(route_deadline, |inherited| inherited.min(route_deadline)),
+            .map_or(route_deadline, |deadline| deadline.min(route_deadline)),
         depth: context.depth,
     };
     let mut attempts = Attempts::new(&target.treatment, context.budget.retries);
@@ -216,8 +217,7 @@
     &route.targets[split::choose_target_index(weights, route.next_request_number())]
 }
 
-/// Rejects a body whose declared length exceeds the limit. A body of unknown length is not checked
-/// here.
+/// Rejects a body whose declared length exceeds the limit. A body of unknown length is not limited.
 fn check_body_len(compiled: &CompiledConfiguration, body: &ReplayableBody) -> Result<(), Failure> {
     let limits = compiled.configuration.caller_limits();
     let body_max_bytes = limits.map_or(u64::MAX, |limits| limits.body_max_bytes);
