--- a/crates/experiment/src/capacity/roles.rs
+++ b/crates/experiment/src/capacity/roles.rs
@@ -43,9 +43,9 @@
 }
 
 fn proxy_row(requests: &requests::DeploymentResults) -> Vec<String> {
-    let per_node = requirements::CALLS_PER_S / requirements::NODES;
+    let node_calls_per_s = requirements::CALLS_PER_S / requirements::NODES;
     let cost = &requests.cost;
-    let core_percent = per_node * (cost.entry_fit.slope + cost.gate_fit.slope) / 1e4;
+    let core_percent = node_calls_per_s * (cost.entry_fit.slope + cost.gate_fit.slope) / 1e4;
     let added_p99_ms = requests
         .added_latency
         .iter()
@@ -56,7 +56,7 @@
         "calls in flight; kept connections to callers, gates and its backend server".to_owned(),
         format!(
             "{} calls/s as entry and as many as gate",
-            format_number(per_node)
+            format_number(node_calls_per_s)
         ),
         format!(
             "{} % of a core; adds {} ms for 99 in 100 ({} % of {} ms)",
@@ -94,7 +94,7 @@
 
 fn carrier_row(slopes: &Slopes, results: &Results) -> Option<Vec<String>> {
     let holder = results.holder.last()?;
-    let per_day = requirements::CHANGES_PER_DAY;
+    let changes_per_day = requirements::CHANGES_PER_DAY;
     let processor_ms = estimate(&slopes.processor_ms_per_change);
     Some(row([
         "node as carrier".to_owned(),
@@ -105,15 +105,16 @@
         format!(
             "{} bytes for each change, {} changes a day: {} bytes/s",
             format_number(estimate(&slopes.node_bytes_per_change)),
-            per_day,
+            changes_per_day,
             format_number(
-                estimate(&slopes.node_bytes_per_change) * per_day / requirements::SECONDS_PER_DAY
+                estimate(&slopes.node_bytes_per_change) * changes_per_day
+                    / requirements::SECONDS_PER_DAY
             )
         ),
         format!(
             "{} ms for each change: {} % of a core; {} µs of it to verify, compile and swap",
             format_number(processor_ms),
-            format_number(processor_ms * per_day / requirements::SECONDS_PER_DAY / 10.0),
+            format_number(processor_ms * changes_per_day / requirements::SECONDS_PER_DAY / 10.0),
             format_number(holder.apply_delta_us)
         ),
         format!("{} KB", format_number(holder.memory_kb)),
@@ -184,12 +185,12 @@
         .holder
         .last()
         .map_or(0.0, |holder| holder.snapshot_bytes as f64);
-    let per_day = (delta_bytes + snapshot_bytes) * requirements::CHANGES_PER_DAY;
+    let bytes_per_day = (delta_bytes + snapshot_bytes) * requirements::CHANGES_PER_DAY;
     row([
         "object store".to_owned(),
         format!(
             "{} bytes a day, two objects for each change",
-            format_number(per_day)
+            format_number(bytes_per_day)
         ),
         format!(
             "within the {} reads for each change",
--- a/crates/experiment/src/demo.rs
+++ b/crates/experiment/src/demo.rs
@@ -212,11 +212,11 @@
     let entry = mesh.vms.iter().find(|vm| vm.service != call.service);
     let entry = entry.expect("an example has at least two services");
     let path = format!("{}?work_ms={SLOW_WORK_MS}", call.path);
-    let begin = Instant::now();
+    let started = Instant::now();
     let reply = send_call(entry.node().addresses.caller, call, &path, id).await?;
     Ok(TimedReply {
         reply,
-        took: begin.elapsed(),
+        took: started.elapsed(),
     })
 }
 
--- a/crates/experiment/src/observed_mesh.rs
+++ b/crates/experiment/src/observed_mesh.rs
@@ -377,14 +377,17 @@
 /// Parses a time stamp such as `2026-01-31T22:44:57.172051+02:00`. Returns the time of day in UTC.
 fn time_of_day_us(timestamp: &str) -> Option<u64> {
     let (_, time) = timestamp.split_once('T')?;
-    let zone_start = time.find(['+', '-', 'Z', '['])?;
-    let (clock, zone) = time.split_at(zone_start);
+    let offset_start = time.find(['+', '-', 'Z', '['])?;
+    let (clock, utc_offset) = time.split_at(offset_start);
     let local_us = clock_seconds(clock)? * 1e6;
-    let offset_us = match zone.get(1..6).and_then(|zone| zone.split_once(':')) {
+    let offset_us = match utc_offset
+        .get(1..6)
+        .and_then(|offset| offset.split_once(':'))
+    {
         Some((hours, minutes)) => {
             let abs_offset_s =
                 hours.parse::<f64>().ok()? * 3600.0 + minutes.parse::<f64>().ok()? * 60.0;
-            if zone.starts_with('-') {
+            if utc_offset.starts_with('-') {
                 -abs_offset_s
             } else {
                 abs_offset_s
--- a/crates/experiment/src/requests/latency.rs
+++ b/crates/experiment/src/requests/latency.rs
@@ -18,7 +18,7 @@
 /// Latencies of direct calls to a backend server and of calls through the mesh in one run.
 #[derive(Debug)]
 pub(crate) struct AddedLatency {
-    pub(crate) per_s: f64,
+    pub(crate) calls_per_s: f64,
     pub(crate) direct_p50_ms: f64,
     pub(crate) direct_p99_ms: f64,
     pub(crate) mesh_p50_ms: f64,
@@ -50,7 +50,7 @@
         let [direct, mesh] =
             measure_direct_and_mesh(deployment, per_s, Duration::from_secs(seconds)).await;
         results.push(AddedLatency {
-            per_s: per_s / 2.0,
+            calls_per_s: per_s / 2.0,
             direct_p50_ms: direct.latency_ms(0.5),
             direct_p99_ms: direct.latency_ms(0.99),
             mesh_p50_ms: mesh.latency_ms(0.5),
@@ -148,11 +148,11 @@
     Ok(CallCost {
         entry_fit: LinearFit::through(&entry_points).ok_or_else(no_fit)?,
         gate_fit: LinearFit::through(&gate_points).ok_or_else(no_fit)?,
-        saturated_per_s: mesh.per_s,
+        saturated_per_s: mesh.calls_per_s,
         entry_us: mesh.processor_us[0],
         gate_us: mesh.processor_us[1..].iter().sum(),
         direct_us: direct.processor_us[0],
-        direct_per_s: direct.per_s,
+        direct_per_s: direct.calls_per_s,
     })
 }
 
@@ -199,7 +199,7 @@
     let spent: Vec<f64> = before
         .iter()
         .zip(&after)
-        .map(|(b, added)| added - b)
+        .map(|(before, after)| after - before)
         .collect();
     (
         summary.answered as f64,
@@ -209,7 +209,7 @@
 }
 
 struct Saturated {
-    per_s: f64,
+    calls_per_s: f64,
     /// CPU time of each process for one call, in microseconds.
     processor_us: Vec<f64>,
 }
@@ -249,7 +249,7 @@
     let after = processor_seconds(processes);
     let per_call = |(before, after): (&f64, &f64)| 1e6 * (after - before) / answered.max(1) as f64;
     Saturated {
-        per_s: answered as f64 / seconds,
+        calls_per_s: answered as f64 / seconds,
         processor_us: before.iter().zip(&after).map(per_call).collect(),
     }
 }
@@ -258,7 +258,7 @@
     let row = |name: &str, added: &AddedLatency| {
         vec![
             name.to_owned(),
-            format_number(added.per_s),
+            format_number(added.calls_per_s),
             format_number(added.direct_p50_ms),
             format_number(added.mesh_p50_ms),
             format_number(added.mesh_p50_ms - added.direct_p50_ms),
--- a/crates/testkit/src/network.rs
+++ b/crates/testkit/src/network.rs
@@ -170,7 +170,7 @@
         self.bytes()
             .into_iter()
             .filter(crosses_regions)
-            .map(|(_, n)| n)
+            .map(|(_, bytes)| bytes)
             .sum()
     }
 
--- a/crates/testkit/src/users/backend.rs
+++ b/crates/testkit/src/users/backend.rs
@@ -87,10 +87,10 @@
     ];
 
     fn from_query_value(query_value: &str) -> Self {
-        let known = Self::ALL
+        let mode = Self::ALL
             .into_iter()
-            .find(|known| known.query_value() == query_value);
-        known.unwrap_or_default()
+            .find(|mode| mode.query_value() == query_value);
+        mode.unwrap_or_default()
     }
 }
 
@@ -107,7 +107,7 @@
     pub overload_action: OverloadAction,
     /// If set, a connection that was idle for longer than this is treated as lost: the backend server
     /// doesn't close it, but resets it when the next bytes arrive.
-    pub forgets_idle_after: Option<Duration>,
+    pub resets_idle_after: Option<Duration>,
 }
 
 impl Default for Behaviour {
@@ -117,7 +117,7 @@
             queue_len: 16,
             default_work_time: Duration::ZERO,
             overload_action: OverloadAction::Refuse,
-            forgets_idle_after: None,
+            resets_idle_after: None,
         }
     }
 }
--- a/crates/testkit/src/users/backend/connection.rs
+++ b/crates/testkit/src/users/backend/connection.rs
@@ -76,7 +76,7 @@
         Query(query.map_or("", |(_, query)| query))
     }
 
-    fn number(&self, name: &str) -> Option<u64> {
+    fn query_number(&self, name: &str) -> Option<u64> {
         self.query().get(name).parse().ok()
     }
 }
@@ -127,8 +127,8 @@
         }
         let arrived_at = Instant::now();
         self.shared.record().last_arrival = Some(arrived_at);
-        if let Some(refused) = self.reject_misaddressed(&head).await? {
-            return Ok(refused);
+        if let Some(next) = self.reject_misaddressed(&head).await? {
+            return Ok(next);
         }
         let response_mode = ResponseMode::from_query_value(head.query().get("answer"));
         if response_mode == ResponseMode::EarlyFailure {
@@ -233,7 +233,7 @@
 
     /// Runs the request to its end; returns an error if the client disconnects first.
     async fn run(&mut self, head: &RequestHead) -> io::Result<()> {
-        let work = head.number("work_ms").map(Duration::from_millis);
+        let work = head.query_number("work_ms").map(Duration::from_millis);
         let work = work.unwrap_or(self.shared.behaviour().default_work_time);
         let call = head.query().get("call").to_owned();
         let shared = Arc::clone(&self.shared);
@@ -255,7 +255,7 @@
         head: &RequestHead,
         response_mode: ResponseMode,
     ) -> io::Result<NextStep> {
-        let bytes = head.number("bytes").unwrap_or(64);
+        let bytes = head.query_number("bytes").unwrap_or(64);
         let body = generated_body(&head.id, bytes);
         let seal = format!(
             "X-Dfw-Response-Seal: {}\r\n",
@@ -336,8 +336,8 @@
             if !self.read_more().await? {
                 return Ok(None);
             }
-            let forgets_after = self.shared.behaviour().forgets_idle_after;
-            if forgets_after.is_some_and(|after| idle_since.elapsed() > after) {
+            let resets_after = self.shared.behaviour().resets_idle_after;
+            if resets_after.is_some_and(|after| idle_since.elapsed() > after) {
                 self.stream.set_zero_linger()?;
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
--- a/crates/testkit/src/users/mesh.rs
+++ b/crates/testkit/src/users/mesh.rs
@@ -242,7 +242,7 @@
     pub fn settings_text(&self, position: usize) -> String {
         let vm = &self.vms[position];
         let any_port = SocketAddr::new(vm.ip, 0);
-        let (zone, region) = vm.data_centre;
+        let (data_centre, region) = vm.data_centre;
         let bounds = [
             "grace=6s",
             "drain=2500ms",
@@ -250,7 +250,7 @@
             "budgetExtra=60",
         ];
         format!(
-            "nodeId = \"sidecar-{zone}-{site}\"\nip = \"{ip}\"\nzone = \"{zone}\"\n\
+            "nodeId = \"sidecar-{data_centre}-{site}\"\nip = \"{ip}\"\nzone = \"{data_centre}\"\n\
              region = \"{region}\"\nseeds = []\nheartbeat = \"300ms\"\nbounds = {bounds:?}\n\
              appAddr = \"{app}\"\nservice = \"{service}\"\n\
              [listen]\ninbound = \"{any_port}\"\noutbound = \"{any_port}\"\n\
--- a/crates/testkit/src/users/store/rows.rs
+++ b/crates/testkit/src/users/store/rows.rs
@@ -161,11 +161,11 @@
 
     /// Returns those of the named rows that exist, with their current values.
     fn current_rows(&self, rows: &[WireRow]) -> Vec<WireRow> {
-        let known = rows.iter().filter_map(|row| {
+        let existing = rows.iter().filter_map(|row| {
             let name = row.name();
             self.rows.get(&name).map(|stored| to_wire(&name, stored))
         });
-        known.collect()
+        existing.collect()
     }
 
     pub(super) fn page(&self, range: &RowRange<'_>) -> Page {
--- a/tests/testsuite/users_requests.rs
+++ b/tests/testsuite/users_requests.rs
@@ -303,7 +303,7 @@
 async fn request_over_dropped_connections(new_request: for<'a> fn(&'a str) -> CallerRequest<'a>) {
     let mut plan = small();
     plan.behaviour = Behaviour {
-        forgets_idle_after: Some(Duration::from_millis(200)),
+        resets_idle_after: Some(Duration::from_millis(200)),
         ..Behaviour::default()
     };
     let mesh = start_serving_users_mesh(plan).await;
