--- a/crates/experiment/src/all.rs
+++ b/crates/experiment/src/all.rs
@@ -18,7 +18,8 @@
     let report = Report::new(&options.docs)?;
     let slopes = slopes::measure(scale)?;
     slopes::write(&report, &slopes, scale)?;
-    // A failure is returned after the other benchmarks have run and their pages are written.
+    // A failure of this benchmark is returned at the end, so that the others still run and their pages
+    // are written.
     let requests = measure_requests(&report, scale).await;
     let sizes = convergence::measure(&convergence::Plan::of(scale)).await?;
     convergence::write(&report, &sizes, scale)?;
--- a/crates/experiment/src/baseline.rs
+++ b/crates/experiment/src/baseline.rs
@@ -1,8 +1,8 @@
 //! Baseline for the convergence benchmark: every proxy polls the store for the whole configuration.
 //!
 //! The pollers are tasks of this program. Each belongs to a data centre and connects to the store
-//! through the same simulated network as the nodes, which counts bytes and limits the rate. Like a
-//! node, a poller verifies the configuration that it reads.
+//! through a simulated network like that of the nodes, which counts bytes and limits the bandwidth
+//! between regions. Like a node, a poller verifies the configuration that it reads.
 
 use std::time::{Duration, Instant};
 
--- a/crates/experiment/src/capacity/events.rs
+++ b/crates/experiment/src/capacity/events.rs
@@ -5,8 +5,8 @@
 use crate::report::{Table, format_number};
 use crate::requirements;
 
-/// Announcements that other members receive when one VM restarts: its backend server is gone, then
-/// back, then serving.
+/// Announcements that other members receive when one VM restarts: its backend server is gone, has
+/// started again, and is serving.
 const ANNOUNCEMENTS_PER_RESTART: f64 = 3.0;
 
 struct Event {
@@ -75,9 +75,9 @@
     bytes * per_day / requirements::SECONDS_PER_DAY
 }
 
-/// Estimates the cost of an event in which nodes restart. What the restarted nodes fetch is their
-/// share of the cost of a full restart of the mesh. Every node also receives the announcements of
-/// each restarted backend server.
+/// Estimates the cost of an event in which nodes restart. The cost of what these nodes fetch is the
+/// cost of a full restart of the mesh, multiplied by their share of all nodes. Every node also
+/// receives the announcements of each restarted backend server.
 fn restart_row(slopes: &Slopes, event: &Event) -> Vec<String> {
     let share = event.nodes / requirements::NODES;
     let estimate = |slope: &super::Slope| slope.at_design_size().value;
--- a/crates/experiment/src/convergence.rs
+++ b/crates/experiment/src/convergence.rs
@@ -37,8 +37,8 @@
     pub(crate) size_groups: Vec<Vec<usize>>,
     pub(crate) publications: usize,
     pub(crate) baseline_changes: usize,
-    /// From the start of the mesh to the first sample. By then the traffic of joining has ended: a
-    /// node registers a second time within 15 s of its start.
+    /// From the start of the mesh to the first sample. At full scale it is long enough for the traffic
+    /// of joining to end: a node registers a second time within 15 s of its start.
     pub(crate) settle_time: Duration,
     /// From the time when all restarted nodes enforce the configuration to the last sample. The
     /// traffic of this time is part of the result.
@@ -287,7 +287,7 @@
     })
 }
 
-/// Publishes `publications` versions, each of which changes the timeout in one team's record.
+/// Publishes `publications` versions, each of which changes the timeout of one team's reads.
 async fn publish_repeatedly(
     observed: &mut ObservedMesh,
     publications: usize,
--- a/crates/experiment/src/demo.rs
+++ b/crates/experiment/src/demo.rs
@@ -22,8 +22,8 @@
 /// Limits the whole run, so that a fault ends it with an error instead of blocking it.
 const RUN_TIMEOUT: Duration = Duration::from_secs(100);
 const ANSWER_BYTES: u64 = 2_000;
-/// Work of the slow call. It lies between the old and the new timeout of both examples, so that the
-/// call fails before the edit and succeeds after it.
+/// Time that the backend server works on the slow call. It lies between the old and the new timeout of
+/// both examples, so that the call fails before the edit and succeeds after it.
 const SLOW_WORK_MS: u64 = 2_000;
 
 /// Runs the demo of the deployment that the arguments name, by default `chatarras`.
--- a/crates/experiment/src/observed_mesh.rs
+++ b/crates/experiment/src/observed_mesh.rs
@@ -355,9 +355,9 @@
     }
 }
 
-/// Microseconds from `start_us` to the next such time of day. A node may enforce a version shortly
-/// before the answer to the commit arrives here, which is `start_us`: such an earlier time of day
-/// gives 0, not almost a day.
+/// Microseconds from `start_us` (Unix time) until the clock next shows `time_of_day_us`. A node may
+/// enforce a version shortly before the answer to the commit arrives here, which is `start_us`. A
+/// time of day shortly before `start_us` therefore gives 0 rather than almost a day.
 fn elapsed_us(start_us: u64, time_of_day_us: u64) -> u64 {
     let after = (time_of_day_us + US_PER_DAY - start_us % US_PER_DAY) % US_PER_DAY;
     if after > US_PER_DAY / 2 { 0 } else { after }
--- a/crates/experiment/src/publication.rs
+++ b/crates/experiment/src/publication.rs
@@ -39,8 +39,9 @@
     files.iter().map(parse_file).collect()
 }
 
-/// Publishes `records` and then sends hints about the new version to nodes, first to those of
-/// `region`, the operator's own. Fails if the published version is not `expected_version`.
+/// Publishes `records` and then sends hints about the new version to a few nodes of `region`, which is
+/// the operator's region. If `region` is `None`, they go to the region that answers first. Fails if
+/// the published version is not `expected_version`.
 pub(crate) async fn publish_and_hint(
     store: &HttpStore,
     operator: &str,
--- a/crates/experiment/src/requests/latency.rs
+++ b/crates/experiment/src/requests/latency.rs
@@ -18,17 +18,21 @@
 /// Latencies of direct calls to a backend server and of calls through the mesh in one run.
 #[derive(Debug)]
 pub(crate) struct AddedLatency {
+    /// Direct calls a second; as many go through the mesh.
     pub(crate) calls_per_s: f64,
     pub(crate) direct_p50_ms: f64,
     pub(crate) direct_p99_ms: f64,
     pub(crate) mesh_p50_ms: f64,
     pub(crate) mesh_p99_ms: f64,
+    /// Answered calls through the mesh.
     pub(crate) answered_calls: u64,
+    /// Other calls through the mesh: refused, timed out or failed.
     pub(crate) unanswered_calls: u64,
 }
 
 impl AddedLatency {
-    /// Difference between the 99th percentiles of calls through the mesh and of direct calls.
+    /// Latency that the mesh adds for 99 of 100 calls: the difference between the 99th percentiles of
+    /// calls through the mesh and of direct calls.
     pub(crate) fn p99_ms(&self) -> f64 {
         self.mesh_p99_ms - self.direct_p99_ms
     }
@@ -108,7 +112,7 @@
     pub(crate) entry_fit: LinearFit,
     /// The same for all gate nodes of the service together.
     pub(crate) gate_fit: LinearFit,
-    /// Calls a second at saturation.
+    /// Calls a second through the mesh at saturation; see [`saturate`].
     pub(crate) saturated_per_s: f64,
     /// CPU time of a call at the entry node at saturation, in microseconds.
     pub(crate) entry_us: f64,
@@ -214,8 +218,8 @@
     processor_us: Vec<f64>,
 }
 
-/// Runs a closed loop for `duration`, with one caller fewer than a backend server has slots. Each
-/// caller sends its next call as soon as the previous one has ended.
+/// Sends calls to `address` in a closed loop for `duration`, with one caller fewer than a backend
+/// server has slots. Each caller sends its next call as soon as the previous one has ended.
 async fn saturate(
     deployment: &RunningDeployment,
     address: std::net::SocketAddr,
--- a/crates/experiment/src/slopes/membership.rs
+++ b/crates/experiment/src/slopes/membership.rs
@@ -48,7 +48,8 @@
     measured
 }
 
-/// Returns a member that differs by `number`, in one of 6 data centres of 2 regions.
+/// Returns a member whose address, data centre and service depend on `number`. There are 6 data
+/// centres in 2 regions.
 fn numbered_member(number: usize) -> Member {
     let data_centres = requirements::DATA_CENTRES as usize;
     let data_centre = number % data_centres;
--- a/crates/testkit/src/backend.rs
+++ b/crates/testkit/src/backend.rs
@@ -38,9 +38,11 @@
     pub slots: u32,
     /// Time that a request takes if its query has no `work_ms`.
     pub default_work_time: Duration,
-    /// For this long after the start, every request takes this much longer.
+    /// Length of the cold phase after the start. While it lasts, each request takes longer by the same
+    /// time.
     pub cold_start: Duration,
-    /// Whether `GET /health` returns 200 rather than 503, regardless of how requests fare.
+    /// Whether `GET /health` returns 200 rather than 503. It does not depend on the results of
+    /// other requests.
     pub reports_healthy: bool,
     /// While true, requests are accepted but not processed, health checks included.
     pub frozen: bool,
@@ -293,7 +295,8 @@
     query_text(query, name)?.parse().ok()
 }
 
-/// Sends the first call of `chain` through the node on the same VM, as part of request `id`.
+/// Sends the first call of `chain` through the node on the same VM. The call has the id of the request
+/// that caused it and the token with which the node recognises it as a nested call.
 async fn call_chain(
     caller_listener: Option<SocketAddr>,
     chain: &str,
--- a/crates/testkit/src/bin/testkit-link.rs
+++ b/crates/testkit/src/bin/testkit-link.rs
@@ -1,7 +1,7 @@
 //! Runs a link between two regions as a program, for meshes that are started by hand.
 //!
 //! The link forwards TCP connections from LISTEN to TARGET with a one-way delay and a bandwidth
-//! limit. It reads commands from standard input, one a line: `cut` stops the traffic, `heal` lets it
+//! limit. It reads commands from standard input, one per line: `cut` stops the traffic, `heal` lets it
 //! pass again, and `bytes` prints the number of bytes forwarded so far.
 //!
 //! `testkit-link [LISTEN] [TARGET] [DELAY_MS] [MBIT_PER_S]`
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -5,11 +5,10 @@
 //! - [`network`]: the links between data centres, which can be cut, delayed, throttled and metered.
 //! - [`process`]: starts a node as a process.
 //! - [`mesh`]: starts a whole deployment.
-//! - [`users`]: the same parts for the platform on which the users run their VMs; it has a protocol
-//!   of its own.
+//! - [`users`]: stand-ins for the platform on which the users run their VMs, which has its own protocol.
 //!
-//! Everything listens on loopback addresses. Data centre N has the address 127.x.N+1.1, where x is
-//! the number of the [`network::Network`].
+//! Everything listens on loopback addresses. Data centre N, counted from 0, has the address
+//! 127.x.N+1.1, where x differs between [`network::Network`]s.
 
 pub mod backend;
 pub mod http;
--- a/crates/testkit/src/mesh.rs
+++ b/crates/testkit/src/mesh.rs
@@ -272,7 +272,7 @@
         };
         add_flag("caller-listen", any_port.to_string());
         add_flag("operator-listen", any_port.to_string());
-        // If all traffic goes through the forwarder, other nodes know only the forwarder's address, and
+        // If all traffic goes through the forwarder, other nodes have only the forwarder's address, and
         // the node may listen on any port. Its previous port may be the local port of another node's
         // connection by now, and the node would exit with "address in use". With hundreds of nodes that
         // restart at once, this happens to some.
--- a/crates/testkit/src/network.rs
+++ b/crates/testkit/src/network.rs
@@ -1,8 +1,8 @@
 //! A simulated network between sites: TCP forwarders that delay, throttle, cut and meter traffic.
 //!
 //! A [`Forwarder`] accepts connections on behalf of one listener. It derives the client's [`Site`] from
-//! the source address: processes of site N connect from 127.x.N+1.1, where x is the number of the
-//! [`Network`]. The network has one [`LinkPolicy`] for each ordered pair of sites. All connections
+//! the source address: processes of site N connect from 127.x.N+1.1, where x differs between
+//! [`Network`]s. The network has one [`LinkPolicy`] for each ordered pair of sites. All connections
 //! from one region to another share one bandwidth limit, as they would share the physical link.
 
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
 /// more than delay times bandwidth of a link, so that this limit doesn't reduce the throughput.
 const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 
-/// Treatment of the traffic from one site to another.
+/// Delay and state of the link from one site to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkPolicy {
     /// One-way delay.
@@ -138,8 +138,8 @@
             .send_modify(|generation| *generation += 1);
     }
 
-    /// Cuts or restores the links, in both directions, between the pairs of sites that `is_affected`
-    /// selects in either order.
+    /// Cuts or restores, in both directions, the links between two sites for which `is_affected` returns
+    /// true in either order.
     pub fn set_cut(&self, cut: bool, is_affected: impl Fn(Site, Site) -> bool) {
         for (from, to) in self.site_pairs() {
             if is_affected(from, to) || is_affected(to, from) {
@@ -312,6 +312,7 @@
             forwarder_bytes,
         } = self;
         network.wait_until_healed(from, to).await;
+        // Opening a connection takes one round trip.
         tokio::time::sleep(network.policy(from, to).delay * 2).await;
         let Ok(server) = connect_from(target, network.site_ip(from)).await else {
             return;
--- a/crates/testkit/src/platform.rs
+++ b/crates/testkit/src/platform.rs
@@ -31,12 +31,12 @@
 pub struct Faults {
     /// Responds with 503 to every request except `/faults`.
     pub down: bool,
-    /// Delay of every response in milliseconds.
+    /// Delay before each request except `/faults` is processed, in milliseconds.
     pub delay_ms: u64,
-    /// For this many transactions, the connection is closed after the transaction was applied and
-    /// before the response.
+    /// For this many transactions, the connection is closed after the transaction is processed and
+    /// before the response is sent.
     pub lose_answers: u32,
-    /// For this many transactions, the connection is closed before the transaction is applied.
+    /// For this many transactions, the connection is closed before the transaction is processed.
     pub lose_requests: u32,
     /// Responds with 503 to transactions; other requests succeed.
     pub refuse_transactions: bool,
--- a/crates/testkit/src/users.rs
+++ b/crates/testkit/src/users.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the platform on which the users run their VMs. They implement that platform's published
-//! protocol.
+//! Stand-ins for the platform on which the users run their VMs. They implement the published protocol of
+//! that platform.
 //!
 //! - [`store`]: the platform's store.
 //! - [`backend`]: a backend server that announces itself to the node on its VM.
--- a/crates/testkit/src/users/backend.rs
+++ b/crates/testkit/src/users/backend.rs
@@ -24,7 +24,8 @@
 pub use self::announcer::AnnouncedState;
 pub use self::connection::response_seal;
 
-/// Treatment of requests that arrive while all slots are in use and the queue is full.
+/// What happens to a request that gets no slot, because the queue is full or because the deadline of the
+/// request passes while it waits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum OverloadAction {
     /// Responds with 503 and the header `X-Dfw-Not-Executed`, which says that the request did not run.
@@ -103,7 +104,7 @@
     pub queue_len: u32,
     /// Time that a request takes if its query has no `work_ms`.
     pub default_work_time: Duration,
-    /// Treatment of requests that neither get a slot nor fit into the queue.
+    /// What happens to requests that get no slot.
     pub overload_action: OverloadAction,
     /// If set, a connection that was idle for longer than this is treated as lost: the backend server
     /// doesn't close it, but resets it when the next bytes arrive.
@@ -147,7 +148,7 @@
     pub runs: BTreeMap<String, Vec<Run>>,
     /// Connections accepted.
     pub connections: u64,
-    /// Requests rejected with 503 because slots and queue were full.
+    /// Requests rejected with 503 because they got no slot; see [`OverloadAction::Refuse`].
     pub refused: u64,
     /// Requests rejected with 421 because they name another instance.
     pub misdirected: u64,
@@ -254,13 +255,14 @@
         &self.shared.identity
     }
 
-    /// Makes its tasks close all connections and the listener; doesn't wait for them.
+    /// Closes all connections and the listener, as a crash would. The tasks that close them may still run
+    /// when this returns.
     pub fn crash(&self) {
         self.stop.cancel();
     }
 
-    /// Replaces the behaviour from now on. Only the announced number of slots changes, not the number that
-    /// is used.
+    /// Replaces the behaviour from now on, except for the number of requests that run concurrently: a
+    /// changed [`Behaviour::slots`] is announced, but has no other effect.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         *lock(&self.shared.behaviour) = behaviour;
     }
--- a/crates/testkit/src/users/backend/connection.rs
+++ b/crates/testkit/src/users/backend/connection.rs
@@ -338,6 +338,7 @@
             }
             let resets_after = self.shared.behaviour().resets_idle_after;
             if resets_after.is_some_and(|after| idle_since.elapsed() > after) {
+                // Without lingering, closing the connection sends a reset.
                 self.stream.set_zero_linger()?;
                 return Err(io::ErrorKind::ConnectionReset.into());
             }
--- a/crates/testkit/src/users/mesh.rs
+++ b/crates/testkit/src/users/mesh.rs
@@ -347,8 +347,8 @@
         status["enforced"]["version"].as_u64().unwrap_or(0)
     }
 
-    /// Waits until all nodes of a data centre except one get the configuration from another node, and
-    /// returns the position of that one: the lead, which reads the store.
+    /// Waits until exactly one node of a data centre follows no other node, and returns its position.
+    /// That node is the lead: it reads the store, and the others get the configuration from it.
     pub async fn wait_lead(&self, data_centre: &str) -> usize {
         let vms = self.vms.iter().enumerate();
         let local_positions: Vec<usize> = vms
@@ -360,7 +360,7 @@
         while readers.len() != 1 {
             assert!(
                 tokio::time::Instant::now() < deadline,
-                "VMs that read the store themselves: {readers:?}"
+                "timed out waiting for a single lead; VMs whose node follows none: {readers:?}"
             );
             tokio::time::sleep(Duration::from_millis(20)).await;
             readers.clear();
--- a/crates/testkit/src/users/store.rs
+++ b/crates/testkit/src/users/store.rs
@@ -3,7 +3,7 @@
 //!
 //! All data is kept in memory. Requests above the rate limits get status 429. Tests can make the store
 //! reject the requests of all clients or of some, delay responses, lose them, apply a transaction
-//! later, and drop the history of changes. "Caller" means a client of the store here.
+//! later, and drop the history of changes. In this module, a caller is a client of the store.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -53,7 +53,7 @@
     /// No fault.
     #[default]
     None,
-    /// The transaction is applied, but the connection is closed without a response.
+    /// The transaction is processed, but the connection is closed without a response.
     AnswerLost,
     /// The connection is closed without a response. The transaction is applied after this delay, if its
     /// conditions hold then.
