--- a/src/ops/command/publish.rs
+++ b/src/ops/command/publish.rs
@@ -33,7 +33,7 @@
 
 pub use error::Error;
 
-/// Result of this module.
+/// A result whose error is [`Error`] by default.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// Maximum length of a publication's id in bytes.
@@ -202,7 +202,7 @@
     let row = table.row(&key).await;
     let row = row
         .context(accepted::PlatformSnafu {
-            what: format!("publication `{publish_id}`"),
+            item: format!("publication `{publish_id}`"),
         })
         .context(ReadSnafu)?;
     let Some(row) = row else {
