--- a/crates/experiment/src/error.rs
+++ b/crates/experiment/src/error.rs
@@ -19,7 +19,7 @@
     #[snafu(display("the mesh did not start: {text}"))]
     Start { text: String },
     /// A version of the configuration could not be published.
-    #[snafu(display("publishing version {version}"))]
+    #[snafu(display("cannot publish version {version}"))]
     Publish {
         version: u64,
         #[snafu(source(from(dragonflywall::ops::command::publish::Error, Box::new)))]
@@ -29,13 +29,13 @@
     #[snafu(display("{text}"))]
     Unexpected { text: String },
     /// The page that is to be updated could not be read.
-    #[snafu(display("reading {path}"))]
+    #[snafu(display("cannot read {path}"))]
     Read {
         path: String,
         source: std::io::Error,
     },
     /// A result file or its directory could not be written.
-    #[snafu(display("writing {path}"))]
+    #[snafu(display("cannot write {path}"))]
     Write {
         path: String,
         source: std::io::Error,
--- a/crates/experiment/src/observed_mesh.rs
+++ b/crates/experiment/src/observed_mesh.rs
@@ -302,7 +302,7 @@
             let Ok(Some(line)) = line else {
                 return Err(Error::Unexpected {
                     text: format!(
-                        "{} of {nodes} nodes enforce version {} after {} s",
+                        "only {} of {nodes} nodes enforce version {} after {} s",
                         times.len(),
                         self.version,
                         ENFORCE_TIMEOUT.as_secs()
--- a/crates/experiment/src/report.rs
+++ b/crates/experiment/src/report.rs
@@ -104,7 +104,7 @@
     pub(crate) fn write_plot(&self, file: &str, axes: Axes, series: &[Series]) -> Result {
         let path = self.directory.join(file);
         draw_plot(&path, axes, series).map_err(|error| Error::Unexpected {
-            text: format!("drawing {file}: {error}"),
+            text: format!("cannot draw {file}: {error}"),
         })?;
         println!("Wrote {file}");
         Ok(())
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -82,7 +82,7 @@
             .stdout(Stdio::piped())
             .kill_on_drop(true)
             .spawn()
-            .map_err(|error| format!("{}: {error}", program.display()))?;
+            .map_err(|error| format!("cannot start {}: {error}", program.display()))?;
         let stdout = child.stdout.take().expect("stdout is piped");
         let (sender, addresses) = oneshot::channel();
         tokio::spawn(read_output(stdout, sender, log_lines));
