--- a/crates/testkit/src/rate_limit.rs
+++ b/crates/testkit/src/rate_limit.rs
@@ -4,7 +4,8 @@
 
 /// A token bucket that holds the tokens of one second.
 ///
-/// A caller that was idle for a second or longer may therefore spend a whole second's rate at once.
+/// All callers share it. At the start, and after a second without calls, it is full and admits the calls of
+/// a whole second at once.
 #[derive(Debug)]
 pub(crate) struct RateLimiter {
     rate_per_s: f64,
