--- a/tests/testsuite/requests_streams.rs
+++ b/tests/testsuite/requests_streams.rs
@@ -18,7 +18,8 @@
 /// memory.
 const READERS: usize = 16;
 const ANSWER_BYTES: usize = 8 << 20;
-/// Far below the size of all unread responses (128 MiB), but above the windows of their streams.
+/// Limit on the growth of a node's resident memory: far below the size of all unread responses
+/// (128 MiB), but above the windows of their streams.
 const GROWTH_MAX_BYTES: u64 = 16 << 20;
 
 fn resident_bytes(mesh: &Mesh, position: usize) -> u64 {
@@ -95,7 +96,10 @@
     for (position, before) in [entry, gate].into_iter().zip(before) {
         let grown = resident_bytes(&mesh, position).saturating_sub(before);
         println!("slow readers: VM {position} grew by {} KiB", grown >> 10);
-        assert!(grown < GROWTH_MAX_BYTES, "grew by {grown} bytes");
+        assert!(
+            grown < GROWTH_MAX_BYTES,
+            "the memory of the node on VM {position} grew by {grown} bytes"
+        );
     }
     wait_until("the slots are free again", WAIT_TIMEOUT, || async {
         slots_in_use(&mesh).await == 0
@@ -191,9 +195,8 @@
 
 /// Number of connections that callers keep open.
 const IDLE_CONNECTIONS: usize = 800;
-/// Limit on the node's memory growth per connection. hyper alone uses 16 KB of buffers for a
-/// connection that it serves, and a connection took 30 KB in all before idle ones were taken from
-/// hyper.
+/// Limit on the node's memory growth per idle connection. hyper alone uses 16 KB of buffers for a
+/// connection that it serves. While hyper also kept idle connections, each took 30 KB in all.
 const IDLE_CONNECTION_MAX_BYTES: u64 = 12 << 10;
 
 /// Many callers keep their connections open, as client libraries do, and rarely send requests. The
@@ -230,7 +233,7 @@
     println!("idle connections: {bytes_per_connection} bytes each");
     assert!(
         bytes_per_connection < IDLE_CONNECTION_MAX_BYTES,
-        "{bytes_per_connection} bytes for each connection"
+        "an idle connection takes {bytes_per_connection} bytes"
     );
     // The connections must still be served.
     for stream in &mut streams {
