--- a/crates/experiment/src/demo.rs
+++ b/crates/experiment/src/demo.rs
@@ -22,8 +22,8 @@
 /// Limits the whole run, so that a fault ends it with an error instead of blocking it.
 const RUN_TIMEOUT: Duration = Duration::from_secs(100);
 const ANSWER_BYTES: u64 = 2_000;
-/// Work of the slow call. It lies between the old and the new timeout of both examples, so that the
-/// call fails before the edit and succeeds after it.
+/// Time that the backend server works on the slow call. It lies between the old and the new timeout of
+/// both examples, so that the call fails before the edit and succeeds after it.
 const SLOW_WORK_MS: u64 = 2_000;
 
 /// Runs the demo of the deployment that the arguments name, by default `chatarras`.
@@ -212,11 +212,11 @@
     let entry = mesh.vms.iter().find(|vm| vm.service != call.service);
     let entry = entry.expect("an example has at least two services");
     let path = format!("{}?work_ms={SLOW_WORK_MS}", call.path);
-    let begin = Instant::now();
+    let started = Instant::now();
     let reply = send_call(entry.node().addresses.caller, call, &path, id).await?;
     Ok(TimedReply {
         reply,
-        took: begin.elapsed(),
+        took: started.elapsed(),
     })
 }
 
--- a/crates/experiment/src/observed_mesh.rs
+++ b/crates/experiment/src/observed_mesh.rs
@@ -302,7 +302,7 @@
             let Ok(Some(line)) = line else {
                 return Err(Error::Unexpected {
                     text: format!(
-                        "{} of {nodes} nodes enforce version {} after {} s",
+                        "only {} of {nodes} nodes enforce version {} after {} s",
                         times.len(),
                         self.version,
                         ENFORCE_TIMEOUT.as_secs()
@@ -355,9 +355,9 @@
     }
 }
 
-/// Microseconds from `start_us` to the next such time of day. A node may enforce a version shortly
-/// before the answer to the commit arrives here, which is `start_us`: such an earlier time of day
-/// gives 0, not almost a day.
+/// Microseconds from `start_us` (Unix time) until the clock next shows `time_of_day_us`. A node may
+/// enforce a version shortly before the answer to the commit arrives here, which is `start_us`. A
+/// time of day shortly before `start_us` therefore gives 0 rather than almost a day.
 fn elapsed_us(start_us: u64, time_of_day_us: u64) -> u64 {
     let after = (time_of_day_us + US_PER_DAY - start_us % US_PER_DAY) % US_PER_DAY;
     if after > US_PER_DAY / 2 { 0 } else { after }
@@ -377,14 +377,17 @@
 /// Parses a time stamp such as `2026-01-31T22:44:57.172051+02:00`. Returns the time of day in UTC.
 fn time_of_day_us(timestamp: &str) -> Option<u64> {
     let (_, time) = timestamp.split_once('T')?;
-    let zone_start = time.find(['+', '-', 'Z', '['])?;
-    let (clock, zone) = time.split_at(zone_start);
+    let offset_start = time.find(['+', '-', 'Z', '['])?;
+    let (clock, utc_offset) = time.split_at(offset_start);
     let local_us = clock_seconds(clock)? * 1e6;
-    let offset_us = match zone.get(1..6).and_then(|zone| zone.split_once(':')) {
+    let offset_us = match utc_offset
+        .get(1..6)
+        .and_then(|offset| offset.split_once(':'))
+    {
         Some((hours, minutes)) => {
             let abs_offset_s =
                 hours.parse::<f64>().ok()? * 3600.0 + minutes.parse::<f64>().ok()? * 60.0;
-            if zone.starts_with('-') {
+            if utc_offset.starts_with('-') {
                 -abs_offset_s
             } else {
                 abs_offset_s
--- a/crates/testkit/src/users/mesh.rs
+++ b/crates/testkit/src/users/mesh.rs
@@ -242,7 +242,7 @@
     pub fn settings_text(&self, position: usize) -> String {
         let vm = &self.vms[position];
         let any_port = SocketAddr::new(vm.ip, 0);
-        let (zone, region) = vm.data_centre;
+        let (data_centre, region) = vm.data_centre;
         let bounds = [
             "grace=6s",
             "drain=2500ms",
@@ -250,7 +250,7 @@
             "budgetExtra=60",
         ];
         format!(
-            "nodeId = \"sidecar-{zone}-{site}\"\nip = \"{ip}\"\nzone = \"{zone}\"\n\
+            "nodeId = \"sidecar-{data_centre}-{site}\"\nip = \"{ip}\"\nzone = \"{data_centre}\"\n\
              region = \"{region}\"\nseeds = []\nheartbeat = \"300ms\"\nbounds = {bounds:?}\n\
              appAddr = \"{app}\"\nservice = \"{service}\"\n\
              [listen]\ninbound = \"{any_port}\"\noutbound = \"{any_port}\"\n\
@@ -347,8 +347,8 @@
         status["enforced"]["version"].as_u64().unwrap_or(0)
     }
 
-    /// Waits until all nodes of a data centre except one get the configuration from another node, and
-    /// returns the position of that one: the lead, which reads the store.
+    /// Waits until exactly one node of a data centre follows no other node, and returns its position.
+    /// That node is the lead: it reads the store, and the others get the configuration from it.
     pub async fn wait_lead(&self, data_centre: &str) -> usize {
         let vms = self.vms.iter().enumerate();
         let local_positions: Vec<usize> = vms
@@ -360,7 +360,7 @@
         while readers.len() != 1 {
             assert!(
                 tokio::time::Instant::now() < deadline,
-                "VMs that read the store themselves: {readers:?}"
+                "timed out waiting for a single lead; VMs whose node follows none: {readers:?}"
             );
             tokio::time::sleep(Duration::from_millis(20)).await;
             readers.clear();
