--- a/crates/experiment/src/all.rs
+++ b/crates/experiment/src/all.rs
@@ -21,7 +21,7 @@
     // A failure of this benchmark is returned at the end, so that the others still run and their pages
     // are written.
     let requests = measure_requests(&report, scale).await;
-    let sizes = convergence::measure(&convergence::Plan::of(scale)).await?;
+    let sizes = convergence::measure(&convergence::Plan::for_scale(scale)).await?;
     convergence::write(&report, &sizes, scale)?;
     let convergence_result = sizes.ensure_all_measured();
     let (requests, requests_result) = match requests {
--- a/crates/experiment/src/baseline.rs
+++ b/crates/experiment/src/baseline.rs
@@ -95,7 +95,7 @@
 /// Key of the object that holds the current configuration. It does not depend on the content, so
 /// that each version overwrites the previous one.
 fn object_key() -> Digest {
-    Digest::of(b"the whole configuration")
+    Digest::compute(b"the whole configuration")
 }
 
 /// Stores the configuration as one object: a line with its stamp (version and digest), then the
--- a/crates/experiment/src/capacity.rs
+++ b/crates/experiment/src/capacity.rs
@@ -80,7 +80,7 @@
                 .iter()
                 .map(|size| (size.nodes as f64, cost(size)))
                 .collect();
-            let fit = LinearFit::through(&points).ok_or_else(|| Error::Unexpected {
+            let fit = LinearFit::least_squares(&points).ok_or_else(|| Error::Unexpected {
                 text: format!("fewer than two sizes to fit a line to: {label}"),
             })?;
             Ok::<_, Error>(Slope { label, fit, limit })
--- a/crates/experiment/src/convergence.rs
+++ b/crates/experiment/src/convergence.rs
@@ -50,7 +50,7 @@
 }
 
 impl Plan {
-    pub(crate) fn of(scale: Scale) -> Self {
+    pub(crate) fn for_scale(scale: Scale) -> Self {
         match scale {
             Scale::Quick => Self {
                 size_groups: vec![vec![8, 16]],
@@ -151,7 +151,7 @@
 pub(crate) async fn run(arguments: Vec<OsString>) -> Result {
     let options = Options::parse(arguments)?;
     let report = Report::new(&options.docs)?;
-    let mut plan = Plan::of(options.scale);
+    let mut plan = Plan::for_scale(options.scale);
     if let Some(nodes) = options.nodes {
         plan.size_groups = vec![vec![nodes]];
     }
--- a/crates/experiment/src/fit.rs
+++ b/crates/experiment/src/fit.rs
@@ -24,7 +24,7 @@
 
 impl LinearFit {
     /// Fits a line to `points` of (x, y). Returns `None` if they have fewer than two different x.
-    pub(crate) fn through(points: &[(f64, f64)]) -> Option<Self> {
+    pub(crate) fn least_squares(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
--- a/crates/experiment/src/requests/connections.rs
+++ b/crates/experiment/src/requests/connections.rs
@@ -33,7 +33,7 @@
         let memory = process_stats::memory(process).unwrap_or_default();
         points.push((count as f64, memory.anonymous_kb as f64));
     }
-    LinearFit::through(&points).ok_or_else(|| Error::Unexpected {
+    LinearFit::least_squares(&points).ok_or_else(|| Error::Unexpected {
         text: "no line can be fitted to the measured connection counts".to_owned(),
     })
 }
--- a/crates/experiment/src/requests/latency.rs
+++ b/crates/experiment/src/requests/latency.rs
@@ -150,8 +150,8 @@
     let nodes = process_ids(deployment);
     let mesh = saturate(deployment, entry_address, duration, &nodes).await;
     Ok(CallCost {
-        entry_fit: LinearFit::through(&entry_points).ok_or_else(no_fit)?,
-        gate_fit: LinearFit::through(&gate_points).ok_or_else(no_fit)?,
+        entry_fit: LinearFit::least_squares(&entry_points).ok_or_else(no_fit)?,
+        gate_fit: LinearFit::least_squares(&gate_points).ok_or_else(no_fit)?,
         saturated_per_s: mesh.calls_per_s,
         entry_us: mesh.processor_us[0],
         gate_us: mesh.processor_us[1..].iter().sum(),
--- a/src/core/configuration.rs
+++ b/src/core/configuration.rs
@@ -223,7 +223,7 @@
     pub fn stamp(&self) -> Stamp {
         Stamp {
             version: self.version,
-            digest: Digest::of(&self.to_canonical()),
+            digest: Digest::compute(&self.to_canonical()),
         }
     }
 
--- a/src/core/token.rs
+++ b/src/core/token.rs
@@ -45,7 +45,7 @@
     }
 
     /// The secret to send with a request, if one is set.
-    pub fn outgoing(&self) -> Option<&str> {
+    pub fn secret_to_send(&self) -> Option<&str> {
         self.secrets.first().map(String::as_str)
     }
 
--- a/src/core/version.rs
+++ b/src/core/version.rs
@@ -44,7 +44,7 @@
     pub const NONE: Self = Self([0; 32]);
 
     /// Computes the digest of `bytes`.
-    pub fn of(bytes: &[u8]) -> Self {
+    pub fn compute(bytes: &[u8]) -> Self {
         Self(*blake3::hash(bytes).as_bytes())
     }
 
--- a/src/decide/admission.rs
+++ b/src/decide/admission.rs
@@ -153,7 +153,7 @@
 
 /// One in this many slots is reserved for interactive requests, so that a short request does not
 /// wait for a long one to end. With fewer slots than this there is no reserve.
-const BULK_RESERVE_DIVISOR: u32 = 4;
+const SLOTS_PER_RESERVED_SLOT: u32 = 4;
 
 /// How long after the last interactive request the reserve stays in force, in microseconds. Later
 /// on, a service that has only bulk requests uses all of its slots for them.
@@ -209,7 +209,7 @@
 
 /// A slowdown is detected only while at least one in this many slots is in use. A single long
 /// request does not show that the backend server is slow.
-const SLOWDOWN_RUNNING_DIVISOR: u32 = 2;
+const SLOWDOWN_SLOTS_PER_RUNNING_REQUEST_MAX: u32 = 2;
 /// Ratio of the mean age of running requests to the mean service time above which the backend
 /// server counts as slowed down. Service times are roughly exponential, so the two are about equal
 /// in a steady state; a few long requests among nine running ones easily double the mean age.
@@ -412,7 +412,7 @@
     /// then entry nodes would rely on outdated service times.
     fn slowdown_age_us(&self, now_us: u64) -> u64 {
         let running = self.in_use();
-        if running == 0 || running * SLOWDOWN_RUNNING_DIVISOR < self.limits.slots {
+        if running == 0 || running * SLOWDOWN_SLOTS_PER_RUNNING_REQUEST_MAX < self.limits.slots {
             return 0;
         }
         let age_us = now_us.saturating_sub(self.slot_start_sum_us / u64::from(running));
@@ -547,7 +547,7 @@
                 .last_request_us
                 .is_some_and(requested_recently)
         {
-            slots - slots / BULK_RESERVE_DIVISOR
+            slots - slots / SLOTS_PER_RESERVED_SLOT
         } else {
             slots
         }
--- a/src/decide/announcements.rs
+++ b/src/decide/announcements.rs
@@ -42,7 +42,7 @@
 
 /// The latest announcement of the latest start, with its order.
 #[derive(Clone, Debug)]
-struct Current {
+struct LatestAnnouncement {
     start: BackendStart,
     sequence: u64,
     announcement: Announcement,
@@ -51,7 +51,7 @@
 /// Announcements that a node has received from its own backend server.
 #[derive(Clone, Debug, Default)]
 pub struct Announcements {
-    current: Option<Current>,
+    current: Option<LatestAnnouncement>,
     /// Starts of backend servers that have left, the latest last.
     departed: VecDeque<BackendStart>,
     /// Whether a ready announcement still has to be confirmed by the backend server.
@@ -112,7 +112,7 @@
         if outcome == AnnouncementOutcome::Outdated {
             return outcome;
         }
-        let previous = self.current.replace(Current {
+        let previous = self.current.replace(LatestAnnouncement {
             start,
             sequence,
             announcement: announcement.clone(),
@@ -126,7 +126,7 @@
     /// Decides on an unconfirmed ready announcement that replaced `previous`.
     fn apply_unconfirmed(
         &mut self,
-        previous: Option<&Current>,
+        previous: Option<&LatestAnnouncement>,
         sequence: u64,
     ) -> AnnouncementOutcome {
         let current = self.current.as_ref();
@@ -183,7 +183,7 @@
     }
 }
 
-impl Current {
+impl LatestAnnouncement {
     fn classify(
         &self,
         start: &BackendStart,
--- a/src/decide/connections.rs
+++ b/src/decide/connections.rs
@@ -46,7 +46,7 @@
 
 /// A connection that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Accepted {
+pub struct AcceptedConnection {
     /// The new connection.
     pub connection: ConnectionKey,
     /// The idle connection that has to be closed for it, if any.
@@ -89,7 +89,7 @@
     }
 
     /// Adds a connection of `caller`; returns `None` if it must be refused.
-    pub fn accept(&mut self, caller: IpAddr) -> Option<Accepted> {
+    pub fn accept(&mut self, caller: IpAddr) -> Option<AcceptedConnection> {
         let closed = match self.has_room(caller) {
             true => None,
             false => Some(self.connection_to_close(caller)?),
@@ -102,7 +102,7 @@
             caller,
             idle_sequence: None,
         });
-        Some(Accepted { connection, closed })
+        Some(AcceptedConnection { connection, closed })
     }
 
     /// Records that the connection waits for the next request.
--- a/src/decide/load_balancing.rs
+++ b/src/decide/load_balancing.rs
@@ -37,8 +37,8 @@
 
 /// Assumed length of a response for a resource without measurements, in bytes: that of a short list.
 const INITIAL_RESPONSE_BYTES: f64 = 2_000.0;
-/// Weight of the newest sample in the mean response length, as a divisor.
-const RESPONSE_BYTES_DIVISOR: f64 = 16.0;
+/// Inverse of the weight of the newest sample in the mean response length.
+const RESPONSE_BYTES_INVERSE_SAMPLE_WEIGHT: f64 = 16.0;
 /// Number of resources whose response length is measured: above the number that a node requests under
 /// load.
 const RESPONSE_RESOURCES_MAX: usize = 256;
@@ -342,7 +342,7 @@
     pub fn record_response_size(&mut self, resource: &ResourceName, bytes: u64) {
         let bytes = bytes as f64;
         if let Some(mean) = self.response_bytes.get_mut(resource) {
-            *mean += (bytes - *mean) / RESPONSE_BYTES_DIVISOR;
+            *mean += (bytes - *mean) / RESPONSE_BYTES_INVERSE_SAMPLE_WEIGHT;
         } else if self.response_bytes.len() < RESPONSE_RESOURCES_MAX {
             self.response_bytes.insert(resource.clone(), bytes);
         }
--- a/src/decide/load_balancing/endpoint_stats.rs
+++ b/src/decide/load_balancing/endpoint_stats.rs
@@ -32,8 +32,8 @@
 /// gossip has spread that state.
 const DRAINING_AVOIDED_US: u64 = 5_000_000;
 
-/// Weight of the newest sample in the failure rate, as a divisor.
-const FAILURE_RATE_DIVISOR: f64 = 16.0;
+/// Inverse of the weight of the newest sample in the failure rate.
+const FAILURE_RATE_INVERSE_SAMPLE_WEIGHT: f64 = 16.0;
 /// Time constant of the exponential decay of the failure rate, in microseconds: to about a third in this
 /// time. The decay makes sure that a recovered endpoint is tried again.
 const FAILURE_RATE_DECAY_US: f64 = 5_000_000.0;
@@ -208,7 +208,7 @@
     fn record_result(&mut self, now_us: u64, failed: bool) {
         let rate = self.failure_rate(now_us);
         let sample = if failed { 1.0 } else { 0.0 };
-        self.failure_rate = rate + (sample - rate) / FAILURE_RATE_DIVISOR;
+        self.failure_rate = rate + (sample - rate) / FAILURE_RATE_INVERSE_SAMPLE_WEIGHT;
         self.failure_rate_updated_us = now_us;
     }
 
--- a/src/decide/max_wait.rs
+++ b/src/decide/max_wait.rs
@@ -5,9 +5,9 @@
 use crate::core::configuration::Treatment;
 use crate::core::mechanism::{Mechanism, MechanismSwitches};
 
-/// Part of its target latency that a request may wait for a slot, as a divisor. With a longer queue
-/// every response would be late, and no more requests would be served.
-const MAX_WAIT_DIVISOR: u32 = 3;
+/// Ratio of the target latency of a request to its maximum wait for a slot. With a longer queue every
+/// response would be late, and no more requests would be served.
+const TARGET_LATENCY_TO_MAX_WAIT_RATIO: u32 = 3;
 
 /// Returns the maximum wait of a caller's request: a part of the target latency if its team has
 /// configured one, else the timeout.
@@ -15,7 +15,9 @@
     let target_ms = treatment.target_latency_ms;
     match target_ms.filter(|_| switches.is_enabled(Mechanism::QueueWaitLimit)) {
         None => timeout(treatment),
-        Some(target_ms) => Duration::from_millis(u64::from(target_ms)) / MAX_WAIT_DIVISOR,
+        Some(target_ms) => {
+            Duration::from_millis(u64::from(target_ms)) / TARGET_LATENCY_TO_MAX_WAIT_RATIO
+        }
     }
 }
 
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -110,7 +110,7 @@
     }
 }
 
-/// Token bucket for the retries of one entry node to one service. Each first attempt earns part of a
+/// Token bucket for the retries of one entry node to one service. Each first attempt adds part of a
 /// token, so that retries stay in proportion to requests and do not keep a failing service
 /// overloaded. The reserve lets an entry node with few requests retry at all.
 #[derive(Clone, Copy, Debug)]
@@ -199,7 +199,7 @@
 }
 
 impl ServiceTokens {
-    /// Changes the policy of all services. Tokens that were already earned stay.
+    /// Changes the policy of all services. Tokens that are already in a bucket stay.
     pub fn set_policy(&mut self, policy: RetryPolicy) {
         self.policy = policy;
         for tokens in self.by_service.values_mut() {
@@ -233,8 +233,8 @@
         }
     }
 
-    /// Adds what one first attempt earns.
-    pub fn earn(&mut self) {
+    /// Adds the part of a token that the policy grants for one first attempt.
+    pub fn deposit(&mut self) {
         let max_hundredths = self.policy.reserve * TOKEN_HUNDREDTHS;
         self.hundredths = max_hundredths.min(self.hundredths + self.policy.percent);
     }
--- a/src/decide/service_times.rs
+++ b/src/decide/service_times.rs
@@ -8,16 +8,17 @@
 
 use crate::core::names::ResourceName;
 
-/// Weight of the newest sample in a running mean, as a divisor. The standard deviation of service
+/// Inverse of the weight of the newest sample in a running mean. The standard deviation of service
 /// times is about their mean, so a mean over this many samples deviates by about a tenth. At 150
 /// requests per second it follows a change within a second.
-const MEAN_DIVISOR: u64 = 64;
+const RUNNING_MEAN_INVERSE_SAMPLE_WEIGHT: u64 = 64;
 
 /// Number of resources with a mean of their own: above the number that one service has under load.
 /// Further resources count in the overall mean alone.
 const RESOURCES_MAX: usize = 64;
 
-/// Exponentially weighted mean; the plain mean for the first [`MEAN_DIVISOR`] samples.
+/// Exponentially weighted mean; the plain mean for the first
+/// [`RUNNING_MEAN_INVERSE_SAMPLE_WEIGHT`] samples.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunningMean {
     value_us: u64,
@@ -32,7 +33,7 @@
 
     /// Adds a sample, in microseconds.
     pub(crate) fn add(&mut self, sample_us: u64) {
-        self.samples = (self.samples + 1).min(MEAN_DIVISOR);
+        self.samples = (self.samples + 1).min(RUNNING_MEAN_INVERSE_SAMPLE_WEIGHT);
         let previous = self.value_us.cast_signed();
         let step = (sample_us.cast_signed() - previous) / self.samples.cast_signed();
         self.value_us = self.value_us.saturating_add_signed(step);
--- a/src/distribution/fetch.rs
+++ b/src/distribution/fetch.rs
@@ -89,7 +89,7 @@
 /// Decides which fetches to make. Times are arguments, in milliseconds of any monotonic clock.
 #[derive(Debug)]
 pub struct Fetcher {
-    me: NodeId,
+    local_node: NodeId,
     gateway_rank: Option<usize>,
     head: Stamp,
     /// Versions above the held one. Waits count from the first of them, so that newer versions do
@@ -118,9 +118,9 @@
 
 impl Fetcher {
     /// Creates a fetcher without any known version.
-    pub fn new(me: NodeId) -> Self {
+    pub fn new(local_node: NodeId) -> Self {
         Self {
-            me,
+            local_node,
             gateway_rank: None,
             head: Stamp::NONE,
             first_seen: FirstSeen::default(),
@@ -137,7 +137,7 @@
     /// Creates a fetcher for a node that follows a lead or the store. It asks peers for a version
     /// that has been missing for `peer_fetch_delay_ms`, or at once while the lead or store is
     /// slower than that. It never fetches from the store.
-    pub fn for_follower(me: NodeId, peer_fetch_delay_ms: u64) -> Self {
+    pub fn for_follower(local_node: NodeId, peer_fetch_delay_ms: u64) -> Self {
         let follower = FollowerState {
             peer_fetch_delay_ms,
             source_is_late: false,
@@ -145,7 +145,7 @@
         };
         Self {
             follower: Some(follower),
-            ..Self::new(me)
+            ..Self::new(local_node)
         }
     }
 
@@ -277,7 +277,7 @@
                 distance == Distance::Mesh
             }
         };
-        let random = node_hash(self.me, &now_ms.to_string());
+        let random = node_hash(self.local_node, &now_ms.to_string());
         self.not_before_ms = now_ms + jittered_ms(RETRY_BACKOFF.delay_ms(self.failures), random);
         self.failures += 1;
     }
@@ -307,7 +307,7 @@
         // The hash differs by node, so that nodes with the same few holders do not all ask the same
         // one.
         let best = in_region.min_by_key(|(stamp, peer)| {
-            let salt = self.me.to_string();
+            let salt = self.local_node.to_string();
             let newest_first = std::cmp::Reverse(stamp.version);
             (newest_first, peer.distance, node_hash(peer.node, &salt))
         });
@@ -336,7 +336,9 @@
     fn cross_region_delay_ms(&self) -> u64 {
         match self.gateway_rank {
             Some(rank) => rank as u64 * RANK_DELAY_MS,
-            None => NON_GATEWAY_DELAY_MS + node_hash(self.me, "others") % NON_GATEWAY_SPREAD_MS,
+            None => {
+                NON_GATEWAY_DELAY_MS + node_hash(self.local_node, "others") % NON_GATEWAY_SPREAD_MS
+            }
         }
     }
 
--- a/src/membership/discovery.rs
+++ b/src/membership/discovery.rs
@@ -43,18 +43,18 @@
         now_ms: u64,
     ) -> Option<Exchange> {
         let mut gossip = Gossip {
-            from: self.me.node,
+            from: self.local_member.node,
             view_hash: self.view_hash(),
             version: self.held.version,
             announce: Some(self.head).filter(|head| head.version > Version::NONE),
-            updates: vec![self.me.clone()],
+            updates: vec![self.local_member.clone()],
             reports: Vec::new(),
             summaries: Vec::new(),
             want_all: self.is_alone(),
         };
         gossip
             .updates
-            .extend(to.and_then(|node| self.claim_about(node)));
+            .extend(to.and_then(|node| self.record_to_refute(node)));
         Some(Exchange {
             // `None`, so that a failed exchange does not mark any member as suspect.
             to: None,
@@ -78,7 +78,7 @@
         self.next_join_ms = now_ms + self.jittered(pause_ms, now_ms);
         let next_seed = self.join_attempts as usize % self.seeds.len();
         self.join_attempts += 1;
-        let random_seed = node_hash(self.me.node, &self.join_attempts.to_string());
+        let random_seed = node_hash(self.local_member.node, &self.join_attempts.to_string());
         let random_seed = random_seed as usize % self.seeds.len();
         let mut exchanges = Vec::new();
         exchanges.extend(self.one_off_exchange(None, self.seeds[next_seed], now_ms));
@@ -152,15 +152,15 @@
         let Some(dead) = self.roster.get(node) else {
             return false;
         };
-        if dead.place == self.me.place {
-            let watchers = neighbours::watchers(&self.me, self.members());
-            return watchers.contains(&self.me.node);
+        if dead.place == self.local_member.place {
+            let watchers = neighbours::watchers(&self.local_member, self.members());
+            return watchers.contains(&self.local_member.node);
         }
         let has_live_member = self
             .roster
             .members()
             .any(|other| other.place == dead.place && other.liveness < Liveness::Dead);
-        !has_live_member && neighbours::is_bridge_to(&self.me, dead, self.members())
+        !has_live_member && neighbours::is_bridge_to(&self.local_member, dead, self.members())
     }
 
     fn next_unknown_seed(&mut self) -> Option<SocketAddr> {
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -40,13 +40,13 @@
             answer.updates = self.members().cloned().collect();
             answer.summaries = self.reports.summaries().cloned().collect();
             let sender = self.roster.get(from);
-            if sender.is_some_and(|sender| sender.place == self.me.place) {
+            if sender.is_some_and(|sender| sender.place == self.local_member.place) {
                 answer.reports = self.reports.reports().copied().collect();
             }
         } else if !self.links.contains_key(&from) || refuted {
-            answer.updates.push(self.me.clone());
+            answer.updates.push(self.local_member.clone());
         }
-        answer.updates.extend(self.claim_about(from));
+        answer.updates.extend(self.record_to_refute(from));
         // Views are compared repeatedly only with neighbours. A difference to the view of another
         // sender has no consequence.
         if let Some(link) = self.links.get_mut(&from) {
@@ -105,7 +105,7 @@
         if member.liveness == Liveness::Alive {
             self.suspect(now_ms, member.clone());
         }
-        if member.liveness < Liveness::Dead && member.place != self.me.place {
+        if member.liveness < Liveness::Dead && member.place != self.local_member.place {
             self.record_unresponsive_peer(now_ms, &member);
         }
     }
@@ -246,7 +246,7 @@
         }
         gossip.want_all = link.want_all;
         link.exchange_started(now_ms, gossip.version);
-        gossip.updates.extend(self.claim_about(node));
+        gossip.updates.extend(self.record_to_refute(node));
         Some(Exchange {
             to: Some(node),
             address,
@@ -258,7 +258,7 @@
     /// Creates a message that carries all pending updates for `to` if it is a neighbour.
     fn message_to(&mut self, to: NodeId) -> Gossip {
         let mut gossip = Gossip {
-            from: self.me.node,
+            from: self.local_member.node,
             view_hash: self.view_hash(),
             version: self.held.version,
             announce: Some(self.head).filter(|head| head.version > Version::NONE),
@@ -280,8 +280,8 @@
         let reports = std::mem::take(&mut link.pending_reports);
         let summaries = std::mem::take(&mut link.pending_summaries);
         for node in members {
-            let member = match node == self.me.node {
-                true => Some(&self.me),
+            let member = match node == self.local_member.node {
+                true => Some(&self.local_member),
                 false => self.roster.get(node),
             };
             // A suspicion stays inside the region; only its outcome, dead or refuted, is sent to
@@ -298,7 +298,7 @@
 
     /// The record of `node` if this node considers it suspect, dead or gone. It is sent to `node`,
     /// so that `node` can refute it.
-    pub(super) fn claim_about(&self, node: NodeId) -> Option<Member> {
+    pub(super) fn record_to_refute(&self, node: NodeId) -> Option<Member> {
         let member = self.roster.get(node)?;
         (member.liveness != Liveness::Alive).then(|| member.clone())
     }
--- a/src/membership/merge.rs
+++ b/src/membership/merge.rs
@@ -12,7 +12,7 @@
     /// Merges a message. Returns whether it contained a claim that this node had to refute by
     /// raising its sequence number.
     pub(super) fn merge_message(&mut self, now_ms: u64, gossip: &Gossip) -> bool {
-        let sequence = self.me.sequence;
+        let sequence = self.local_member.sequence;
         let from = Some(gossip.from);
         self.reports.record_version(gossip.from, gossip.version);
         self.set_head(gossip.announce.unwrap_or(Stamp::NONE));
@@ -32,7 +32,7 @@
         for summary in &gossip.summaries {
             self.merge_summary(summary, from);
         }
-        self.me.sequence != sequence
+        self.local_member.sequence != sequence
     }
 
     pub(super) fn merge_member(
@@ -41,7 +41,7 @@
         member: Member,
         received_from: Option<NodeId>,
     ) {
-        if member.node == self.me.node {
+        if member.node == self.local_member.node {
             self.refute(&member);
             return;
         }
@@ -72,23 +72,23 @@
     /// nodes have stored for its address. The claim contains that incarnation; the node then takes
     /// one above it, which supersedes the records of the earlier process.
     fn refute(&mut self, claim: &Member) {
-        if claim.precedence() <= self.me.precedence() {
+        if claim.precedence() <= self.local_member.precedence() {
             return;
         }
-        if claim.incarnation_us > self.me.incarnation_us {
-            self.me.incarnation_us = claim.incarnation_us + 1;
+        if claim.incarnation_us > self.local_member.incarnation_us {
+            self.local_member.incarnation_us = claim.incarnation_us + 1;
             self.merge_report(self.own_report(), None);
         } else {
-            self.me.sequence = self.me.sequence.max(claim.sequence);
+            self.local_member.sequence = self.local_member.sequence.max(claim.sequence);
         }
         self.raise_sequence();
     }
 
     pub(super) fn raise_sequence(&mut self) {
-        self.me.sequence += 1;
+        self.local_member.sequence += 1;
         self.generation += 1;
         for link in self.links.values_mut() {
-            link.pending_members.insert(self.me.node);
+            link.pending_members.insert(self.local_member.node);
         }
     }
 
--- a/src/membership/neighbours.rs
+++ b/src/membership/neighbours.rs
@@ -44,70 +44,78 @@
     Standby,
 }
 
-/// Chooses the neighbours of `me`, with which it starts exchanges.
+/// Chooses the neighbours of `local_member`, with which it starts exchanges.
 pub fn choose<'a>(
-    me: &Member,
+    local_member: &Member,
     members: impl Iterator<Item = &'a Member>,
 ) -> BTreeMap<NodeId, NeighbourKind> {
     let present: Vec<&Member> = members.filter(|member| is_present(member)).collect();
     let mut chosen = BTreeMap::new();
-    chosen.extend(bridge_neighbours(me, &present));
-    chosen.extend(gateway_neighbours(me, &present));
+    chosen.extend(bridge_neighbours(local_member, &present));
+    chosen.extend(gateway_neighbours(local_member, &present));
     chosen.extend(
-        ring_neighbours(me, &present)
+        ring_neighbours(local_member, &present)
             .into_iter()
             .map(|node| (node, NeighbourKind::Ring)),
     );
-    chosen.remove(&me.node);
+    chosen.remove(&local_member.node);
     chosen
 }
 
-/// The members of `me`'s region that connect it with other regions and read the store, highest
-/// ranked first.
-pub fn gateways<'a>(me: &Member, members: impl Iterator<Item = &'a Member>) -> Vec<NodeId> {
+/// The members of `local_member`'s region that connect it with other regions and read the store,
+/// highest ranked first.
+pub fn gateways<'a>(
+    local_member: &Member,
+    members: impl Iterator<Item = &'a Member>,
+) -> Vec<NodeId> {
     let region = members
-        .filter(|member| is_present(member) && member.place.region == me.place.region)
+        .filter(|member| is_present(member) && member.place.region == local_member.place.region)
         .collect();
     ranked(region, "gateway", GATEWAYS)
 }
 
-/// The members of `me`'s data centre that poll the head row of the store, highest ranked first. The
-/// first of them also counts which versions the nodes of the data centre enforce.
-pub fn watchers<'a>(me: &Member, members: impl Iterator<Item = &'a Member>) -> Vec<NodeId> {
+/// The members of `local_member`'s data centre that poll the head row of the store, highest ranked
+/// first. The first of them also counts which versions the nodes of the data centre enforce.
+pub fn watchers<'a>(
+    local_member: &Member,
+    members: impl Iterator<Item = &'a Member>,
+) -> Vec<NodeId> {
     let near = members
-        .filter(|member| is_present(member) && member.place == me.place)
+        .filter(|member| is_present(member) && member.place == local_member.place)
         .collect();
     ranked(near, "watcher", BRIDGES)
 }
 
-/// The members of `me`'s data centre, possibly including `me`, that read the store for the others:
-/// the first one while it can, otherwise the next. Suspect members are left out, because nodes that
-/// follow a failed lead would receive no versions until it is declared dead.
-pub fn leads<'a>(me: &Member, members: impl Iterator<Item = &'a Member>) -> Vec<NodeId> {
+/// The members of `local_member`'s data centre, possibly including `local_member`, that read the store
+/// for the others: the first one while it can, otherwise the next. Suspect members are left out,
+/// because nodes that follow a failed lead would receive no versions until it is declared dead.
+pub fn leads<'a>(local_member: &Member, members: impl Iterator<Item = &'a Member>) -> Vec<NodeId> {
     let near = members
-        .filter(|member| member.liveness == Liveness::Alive && member.place == me.place)
+        .filter(|member| member.liveness == Liveness::Alive && member.place == local_member.place)
         .collect();
     ranked(near, "watcher", LEADS)
 }
 
-/// Whether `me` is an end of the links to `far`'s data centre, even if no member is alive there.
+/// Whether `local_member` is an end of the links to `remote_member`'s data centre, even if no member
+/// is alive there.
 pub fn is_bridge_to<'a>(
-    me: &Member,
-    far: &Member,
+    local_member: &Member,
+    remote_member: &Member,
     members: impl Iterator<Item = &'a Member>,
 ) -> bool {
-    match me.place.distance_to(&far.place) {
+    match local_member.place.distance_to(&remote_member.place) {
         Distance::DataCentre => false,
         Distance::Region => {
             let near = members
-                .filter(|member| is_present(member) && member.place == me.place)
+                .filter(|member| is_present(member) && member.place == local_member.place)
                 .collect();
-            ranked(near, far.place.data_centre.as_str(), BRIDGES).contains(&me.node)
+            ranked(near, remote_member.place.data_centre.as_str(), BRIDGES)
+                .contains(&local_member.node)
         }
-        Distance::Mesh => gateways(me, members)
+        Distance::Mesh => gateways(local_member, members)
             .iter()
             .take(BRIDGES)
-            .any(|node| *node == me.node),
+            .any(|node| *node == local_member.node),
     }
 }
 
@@ -115,10 +123,10 @@
     matches!(member.liveness, Liveness::Alive | Liveness::Suspect)
 }
 
-fn ring_neighbours(me: &Member, present: &[&Member]) -> Vec<NodeId> {
+fn ring_neighbours(local_member: &Member, present: &[&Member]) -> Vec<NodeId> {
     let mut others: Vec<(u64, NodeId)> = present
         .iter()
-        .filter(|member| member.place == me.place && member.node != me.node)
+        .filter(|member| member.place == local_member.place && member.node != local_member.node)
         .map(|member| (node_hash(member.node, "ring"), member.node))
         .collect();
     if others.is_empty() {
@@ -126,7 +134,9 @@
     }
     others.sort_unstable();
     let count = others.len();
-    let start = others.partition_point(|entry| *entry <= (node_hash(me.node, "ring"), me.node));
+    let start = others.partition_point(|entry| {
+        *entry <= (node_hash(local_member.node, "ring"), local_member.node)
+    });
     let mut chosen = Vec::with_capacity(2 * RING_DISTANCES.len());
     for distance in RING_DISTANCES {
         if distance > 1 && 2 * distance > count + 1 {
@@ -138,20 +148,20 @@
     chosen
 }
 
-fn bridge_neighbours(me: &Member, present: &[&Member]) -> Vec<(NodeId, NeighbourKind)> {
+fn bridge_neighbours(local_member: &Member, present: &[&Member]) -> Vec<(NodeId, NeighbourKind)> {
     let mut by_place: BTreeMap<&str, Vec<&Member>> = BTreeMap::new();
     for member in present {
-        if member.place.region == me.place.region {
+        if member.place.region == local_member.place.region {
             let place = by_place.entry(member.place.data_centre.as_str());
             place.or_default().push(member);
         }
     }
-    let here = me.place.data_centre.as_str();
+    let here = local_member.place.data_centre.as_str();
     let near = by_place.remove(here).unwrap_or_default();
     let mut chosen = Vec::new();
     for (name, far) in by_place {
         let near_end = ranked(near.clone(), name, BRIDGES);
-        let Some(rank) = near_end.iter().position(|node| *node == me.node) else {
+        let Some(rank) = near_end.iter().position(|node| *node == local_member.node) else {
             continue;
         };
         let far_end = ranked(alive_or_all(far), here, BRIDGES);
@@ -160,14 +170,18 @@
     chosen
 }
 
-fn gateway_neighbours(me: &Member, present: &[&Member]) -> Vec<(NodeId, NeighbourKind)> {
-    let near = gateways(me, present.iter().copied());
-    let Some(rank) = near.iter().take(BRIDGES).position(|node| *node == me.node) else {
+fn gateway_neighbours(local_member: &Member, present: &[&Member]) -> Vec<(NodeId, NeighbourKind)> {
+    let near = gateways(local_member, present.iter().copied());
+    let Some(rank) = near
+        .iter()
+        .take(BRIDGES)
+        .position(|node| *node == local_member.node)
+    else {
         return Vec::new();
     };
     let mut by_region: BTreeMap<&str, Vec<&Member>> = BTreeMap::new();
     for member in present {
-        if member.place.region != me.place.region {
+        if member.place.region != local_member.place.region {
             let region = by_region.entry(member.place.region.as_str());
             region.or_default().push(member);
         }
--- a/src/membership/roster.rs
+++ b/src/membership/roster.rs
@@ -101,11 +101,11 @@
         });
     }
 
-    /// Hash over the present members including `me`, independent of their order. Tombstones are
-    /// left out, because nodes drop them at different times. Suspicions are left out, because they
-    /// are not sent to other regions.
-    pub fn hash(&self, me: &Member) -> u64 {
-        self.hash ^ member_hash(me)
+    /// Hash over the present members including `local_member`, independent of their order. Tombstones
+    /// are left out, because nodes drop them at different times. Suspicions are left out, because
+    /// they are not sent to other regions.
+    pub fn hash(&self, local_member: &Member) -> u64 {
+        self.hash ^ member_hash(local_member)
     }
 }
 
--- a/src/membership/view.rs
+++ b/src/membership/view.rs
@@ -64,7 +64,7 @@
 /// One node's view of the mesh. Times are arguments, in milliseconds of any monotonic clock.
 #[derive(Debug)]
 pub struct Membership {
-    pub(super) me: Member,
+    pub(super) local_member: Member,
     pub(super) seeds: Vec<SocketAddr>,
     pub(super) roster: Roster,
     pub(super) reports: Reports,
@@ -98,9 +98,9 @@
 
 impl Membership {
     /// Creates a view that contains only the own node, and the seeds to contact.
-    pub fn new(me: Member, seeds: Vec<SocketAddr>, timing: Timing) -> Self {
+    pub fn new(local_member: Member, seeds: Vec<SocketAddr>, timing: Timing) -> Self {
         let mut membership = Self {
-            me,
+            local_member,
             seeds: Vec::new(),
             roster: Roster::default(),
             reports: Reports::default(),
@@ -126,20 +126,20 @@
         // All nodes are configured with the same few seeds, so each node tries them in a different
         // order.
         let mut seeds = seeds;
-        let salt = membership.me.node.to_string();
+        let salt = membership.local_member.node.to_string();
         seeds.sort_by_cached_key(|seed| node_hash(NodeId(*seed), &salt));
         membership.add_seeds(seeds);
         membership
     }
 
     /// The node's own record.
-    pub fn me(&self) -> &Member {
-        &self.me
+    pub fn local_member(&self) -> &Member {
+        &self.local_member
     }
 
     /// All members in the view, including the own node.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        std::iter::once(&self.me).chain(self.roster.members())
+        std::iter::once(&self.local_member).chain(self.roster.members())
     }
 
     /// Copies of all known members, with the version that each is known to enforce.
@@ -164,13 +164,13 @@
     /// Address at which this node connects to a member.
     pub fn address_of(&self, node: NodeId) -> Option<SocketAddr> {
         let member = self.roster.get(node)?;
-        Some(member.dial_address(&self.me.place))
+        Some(member.dial_address(&self.local_member.place))
     }
 
     /// Distance from this node to a member.
     pub fn distance_to(&self, node: NodeId) -> Option<Distance> {
         let member = self.roster.get(node)?;
-        Some(self.me.place.distance_to(&member.place))
+        Some(self.local_member.place.distance_to(&member.place))
     }
 
     /// Position of this node among the [`neighbours::gateways`] of its region.
@@ -185,12 +185,12 @@
 
     /// The nodes of the data centre that read the store for the others; see [`neighbours::leads`].
     pub fn leads(&self) -> Vec<NodeId> {
-        neighbours::leads(&self.me, self.members())
+        neighbours::leads(&self.local_member, self.members())
     }
 
     /// Whether no node of another data centre is known to be alive.
     pub fn is_only_data_centre(&self) -> bool {
-        let place = &self.me.place;
+        let place = &self.local_member.place;
         let mut others = self.roster.members();
         !others.any(|m| m.place != *place && m.liveness == Liveness::Alive)
     }
@@ -217,7 +217,7 @@
 
     /// Whether no other node of the data centre is known that could return: all others have left.
     pub fn is_only_node_of_data_centre(&self) -> bool {
-        let place = &self.me.place;
+        let place = &self.local_member.place;
         let mut others = self.roster.members();
         !others.any(|m| m.place == *place && m.liveness != Liveness::Left)
     }
@@ -236,7 +236,7 @@
             let place = node_counts.entry(place_key(&member.place));
             place.or_insert((&member.place, 0)).1 += 1;
         }
-        let own_key = place_key(&self.me.place);
+        let own_key = place_key(&self.local_member.place);
         let summary_of = |(key, (place, nodes)): (String, (&Place, usize))| {
             let own = (key == own_key).then(|| self.current_summary());
             let summary = own.or_else(|| self.reports.summary(&key).cloned());
@@ -256,7 +256,10 @@
     /// Appends further seeds, the nearest first. Seeds are tried in the order of the list.
     pub fn add_seeds(&mut self, seeds: impl IntoIterator<Item = SocketAddr>) {
         for seed in seeds {
-            if seed != self.me.node.0 && seed != self.me.external && !self.seeds.contains(&seed) {
+            if seed != self.local_member.node.0
+                && seed != self.local_member.external
+                && !self.seeds.contains(&seed)
+            {
                 self.seeds.push(seed);
             }
         }
@@ -264,11 +267,11 @@
 
     /// Changes the service and state of the backend server in the own record.
     pub fn set_backend(&mut self, service: Option<ServiceName>, state: BackendState) {
-        if self.me.service == service && self.me.backend == state {
+        if self.local_member.service == service && self.local_member.backend == state {
             return;
         }
-        self.me.service = service;
-        self.me.backend = state;
+        self.local_member.service = service;
+        self.local_member.backend = state;
         self.raise_sequence();
     }
 
@@ -296,16 +299,16 @@
 
     pub(super) fn own_report(&self) -> Report {
         Report {
-            node: self.me.node,
-            incarnation_us: self.me.incarnation_us,
+            node: self.local_member.node,
+            incarnation_us: self.local_member.incarnation_us,
             version: self.enforced,
         }
     }
 
     /// Marks the own record as left. This is the last record of the process.
     pub fn leave(&mut self) {
-        self.me.liveness = Liveness::Left;
-        self.me.backend = BackendState::Gone;
+        self.local_member.liveness = Liveness::Left;
+        self.local_member.backend = BackendState::Gone;
         self.raise_sequence();
         // Updates are not batched any more, because no later message will carry them.
         self.links.values_mut().for_each(Link::skip_batching);
@@ -343,8 +346,8 @@
         if self.watcher_rank != Some(0) {
             return;
         }
-        let place = self.me.place.clone();
-        let live_members = std::iter::once(&self.me)
+        let place = self.local_member.place.clone();
+        let live_members = std::iter::once(&self.local_member)
             .chain(self.roster.members())
             .filter(|m| m.place == place && m.liveness < Liveness::Dead);
         if let Some(key) = self.reports.recount(now_ms, &place, live_members) {
@@ -353,7 +356,7 @@
     }
 
     fn current_summary(&self) -> Summary {
-        let place = &self.me.place;
+        let place = &self.local_member.place;
         let live_members = self.members();
         let live_members =
             live_members.filter(|m| m.place == *place && m.liveness < Liveness::Dead);
@@ -364,10 +367,14 @@
         if !std::mem::take(&mut self.neighbours_stale) {
             return;
         }
-        let chosen = neighbours::choose(&self.me, self.members());
-        let own_rank = |nodes: Vec<NodeId>| nodes.iter().position(|node| *node == self.me.node);
-        self.gateway_rank = own_rank(neighbours::gateways(&self.me, self.members()));
-        self.watcher_rank = own_rank(neighbours::watchers(&self.me, self.members()));
+        let chosen = neighbours::choose(&self.local_member, self.members());
+        let own_rank = |nodes: Vec<NodeId>| {
+            nodes
+                .iter()
+                .position(|node| *node == self.local_member.node)
+        };
+        self.gateway_rank = own_rank(neighbours::gateways(&self.local_member, self.members()));
+        self.watcher_rank = own_rank(neighbours::watchers(&self.local_member, self.members()));
         self.links
             .retain(|node, link| chosen.get(node) == Some(&link.kind));
         let ring_neighbours = chosen
@@ -392,7 +399,10 @@
 
     /// A pause between half and all of `pause_ms` that differs by node and by `moment`.
     pub(super) fn jittered(&self, pause_ms: u64, moment: u64) -> u64 {
-        jittered_ms(pause_ms, node_hash(self.me.node, &moment.to_string()))
+        jittered_ms(
+            pause_ms,
+            node_hash(self.local_member.node, &moment.to_string()),
+        )
     }
 
     fn expire(&mut self, now_ms: u64) {
@@ -418,6 +428,6 @@
     }
 
     pub(super) fn view_hash(&self) -> u64 {
-        self.roster.hash(&self.me)
+        self.roster.hash(&self.local_member)
     }
 }
--- a/src/node/configuration/head.rs
+++ b/src/node/configuration/head.rs
@@ -24,7 +24,7 @@
 /// Duration of a read from a store in the same region that is not overloaded. If reads take longer, the pauses grow
 /// in proportion, up to [`MAX_POLL_FACTOR`] times: the link between regions is billed by volume, an overloaded
 /// platform needs fewer reads, and the region nearest the platform reads a new version in time anyway.
-const NEAR_READ_MS: u64 = 5;
+const NORMAL_STORE_READ_MS: u64 = 5;
 /// Largest factor by which a slow store lengthens the pauses.
 const MAX_POLL_FACTOR: u64 = 8;
 
@@ -43,7 +43,7 @@
             (_, Some(0)) => (WATCHER_POLL_MS, max_poll_ms),
             _ => (MEMBER_POLL_MS, MEMBER_POLL_MS),
         };
-        let factor = self.fetcher.store_latency_ms() / NEAR_READ_MS;
+        let factor = self.fetcher.store_latency_ms() / NORMAL_STORE_READ_MS;
         let pause_ms = pause_ms * factor.clamp(1, MAX_POLL_FACTOR);
         let pause_ms = pause_ms.min(max_pause_ms);
         rand::random_range(pause_ms / 2..=pause_ms)
--- a/src/node/follower.rs
+++ b/src/node/follower.rs
@@ -24,7 +24,7 @@
 use crate::decide::backoff::jittered_ms;
 use crate::distribution::fetch::Peer;
 use crate::distribution::lead_choice::{LeadChoice, Leads, NextRead, StoreFailure};
-use crate::store::{Error, Feed, FeedUpdate, Position};
+use crate::store::{Error, Feed, FeedPosition, FeedUpdate};
 use crate::util::clock;
 
 /// Age from which a position is dropped and the newest configuration is read instead. A read from an old position
@@ -59,7 +59,7 @@
     configuration: ActorRef<ConfigurationMsg>,
     lead_choice: LeadChoice,
     /// Position in the history of the store up to which this node has read, and when it was reached.
-    position: Option<(Position, Instant)>,
+    position: Option<(FeedPosition, Instant)>,
 }
 
 impl<F: Feed> Follower<F> {
--- a/src/ops/command/publish.rs
+++ b/src/ops/command/publish.rs
@@ -264,7 +264,7 @@
 ) -> Result<ChangeSet> {
     let PublicationKind::Rollback { to } = options.kind else {
         require_teams(&options.removals, &[expected])?;
-        return Ok(ChangeSet::of_records(&options.records, &options.removals));
+        return Ok(ChangeSet::from_records(&options.records, &options.removals));
     };
     let head = accepted::head(platform).await.context(ReadSnafu)?;
     let head = head.stamp.version;
--- a/src/ops/command/publish/attempts.rs
+++ b/src/ops/command/publish/attempts.rs
@@ -208,8 +208,8 @@
         let snapshot = child.to_snapshot();
         let delta = Delta::between(base, child);
         let delta_bytes = delta.to_bytes(base);
-        let snapshot_object = Digest::of(&snapshot);
-        let delta_object = Digest::of(&delta_bytes);
+        let snapshot_object = Digest::compute(&snapshot);
+        let delta_object = Digest::compute(&delta_bytes);
         // Both are stored concurrently: in a shorter attempt it is less likely that another
         // publication is accepted first.
         let stored = tokio::try_join!(
--- a/src/ops/command/publish/plan.rs
+++ b/src/ops/command/publish/plan.rs
@@ -28,7 +28,7 @@
 
 impl ChangeSet {
     /// Replaces the records of some teams and deletes those of others.
-    pub fn of_records(records: &[TeamRecord], removals: &[TeamName]) -> Self {
+    pub fn from_records(records: &[TeamRecord], removals: &[TeamName]) -> Self {
         let changed = records
             .iter()
             .map(|record| (record.team.clone(), Some(record.clone())));
@@ -165,7 +165,7 @@
 
 /// Digest of the requested change. It detects that an id is reused for another change.
 pub fn request_digest(kind: PublicationKind, change: &impl Serialize) -> Digest {
-    Digest::of(to_json(&(kind, change)).as_bytes())
+    Digest::compute(to_json(&(kind, change)).as_bytes())
 }
 
 fn to_json(value: &impl Serialize) -> String {
--- a/src/ops/operator_client.rs
+++ b/src/ops/operator_client.rs
@@ -109,7 +109,7 @@
     tokio::spawn(connection);
     let mut request = Request::builder().method(method).uri(path);
     request = request.header(hyper::header::HOST, address.to_string());
-    if let Some(token) = node.token.outgoing() {
+    if let Some(token) = node.token.secret_to_send() {
         request = request.header(TOKEN_HEADER, token);
     }
     let request = request
--- a/src/ops/query/check.rs
+++ b/src/ops/query/check.rs
@@ -123,7 +123,7 @@
 
 fn reference_findings(file: &CheckedFile, set: &Configuration) -> Vec<Finding> {
     let mut findings = Vec::new();
-    let owners = owners(set);
+    let owners = teams_by_service(set);
     let team = &file.record.team;
     for (service, line) in &file.lines.services {
         let other = owners[service].iter().find(|owner| **owner != team);
@@ -138,7 +138,9 @@
     }
     for (service, resources) in &file.record.calls {
         let line = file.lines.calls[service];
-        let missing = resources.iter().map(|name| missing(set, service, name));
+        let missing = resources
+            .iter()
+            .map(|name| missing_reference(set, service, name));
         findings.extend(
             missing
                 .flatten()
@@ -148,7 +150,7 @@
     for (service, record) in &file.record.services {
         for (route, line) in record.routes.iter().zip(&file.lines.routes[service]) {
             let target = &route.target;
-            let missing = missing(set, &target.service, &target.resource);
+            let missing = missing_reference(set, &target.service, &target.resource);
             findings.extend(missing.map(|reference| reference.into_finding(*line)));
         }
     }
@@ -156,7 +158,7 @@
     findings
 }
 
-fn owners(set: &Configuration) -> BTreeMap<&ServiceName, Vec<&TeamName>> {
+fn teams_by_service(set: &Configuration) -> BTreeMap<&ServiceName, Vec<&TeamName>> {
     let mut owners: BTreeMap<_, Vec<_>> = BTreeMap::new();
     for (team, record) in &set.teams {
         for service in record.services.keys() {
@@ -181,7 +183,7 @@
     }
 }
 
-fn missing(
+fn missing_reference(
     set: &Configuration,
     service: &ServiceName,
     name: &ResourceName,
--- a/src/ops/query/diff.rs
+++ b/src/ops/query/diff.rs
@@ -55,7 +55,7 @@
     let from = head.stamp.version;
     let base = accepted::configuration(platform, from).await;
     let base = base.context(ReadSnafu)?;
-    let child = ChangeSet::of_records(records, removals).child_of(&base);
+    let child = ChangeSet::from_records(records, removals).child_of(&base);
     Ok(Diff {
         from,
         to: None,
--- a/src/peer/client.rs
+++ b/src/peer/client.rs
@@ -87,7 +87,7 @@
 
 impl TokenInterceptor {
     fn new(token: &MeshToken) -> Self {
-        let token = token.outgoing().and_then(|token| token.parse().ok());
+        let token = token.secret_to_send().and_then(|token| token.parse().ok());
         Self { token }
     }
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -23,8 +23,8 @@
 use crate::core::configuration::Configuration;
 use crate::store::transport::Transport;
 use crate::store::{
-    self, Condition, Error, Feed, FeedUpdate, Outcome, Position, Result, Row, Table, Transaction,
-    decode_json, unexpected_status,
+    self, Condition, Error, Feed, FeedPosition, FeedUpdate, Outcome, Result, Row, Table,
+    Transaction, decode_json, unexpected_status,
 };
 
 /// The table that contains dragonflywall's own rows.
@@ -215,7 +215,7 @@
 
     async fn newest_after(
         &self,
-        position: Position,
+        position: FeedPosition,
         max_wait: Duration,
         answer_timeout: Duration,
     ) -> Result<FeedUpdate> {
@@ -233,7 +233,7 @@
         |row: &&WireRow| row.key == CONFIGURATION_KEY && row.part.is_empty() && !row.deleted;
     let newest = response.rows.iter().rfind(is_configuration);
     Ok(FeedUpdate {
-        position: Position(response.ver),
+        position: FeedPosition(response.ver),
         configuration: newest.and_then(decode_configuration),
         len_bytes: response.len_bytes,
     })
--- a/src/proxy/entry/routed_request.rs
+++ b/src/proxy/entry/routed_request.rs
@@ -54,7 +54,10 @@
         body: &ReplayableBody,
         attempts: &mut Attempts,
     ) -> Result<Response<Body>, Failure> {
-        self.node.retry_tokens().for_service(self.service()).earn();
+        self.node
+            .retry_tokens()
+            .for_service(self.service())
+            .deposit();
         let mut tried: Vec<NodeId> = Vec::new();
         let mut search = FreeSlotSearch::new(self.node.mechanisms());
         let mut verdict = Verdict::NotRun;
@@ -292,13 +295,16 @@
         let mut reservation = self.build_request(body::empty());
         let headers = reservation.headers_mut();
         headers.remove(header::CONTENT_LENGTH);
-        headers.insert(headers::RESERVE, HeaderValue::from(self.body_bytes));
+        headers.insert(
+            headers::UPLOAD_PERMIT_REQUEST,
+            HeaderValue::from(self.body_bytes),
+        );
         let granted = self.send(endpoint, &hop, reservation).await;
-        let granted = granted.map_err(Failure::of_reservation)?;
-        let permit = granted.headers().get(headers::TURN).cloned();
+        let granted = granted.map_err(Failure::into_request_failure)?;
+        let permit = granted.headers().get(headers::UPLOAD_PERMIT).cloned();
         let mut request = self.build_request(body.next_attempt());
         if let Some(permit) = permit {
-            request.headers_mut().insert(headers::TURN, permit);
+            request.headers_mut().insert(headers::UPLOAD_PERMIT, permit);
         }
         // The request may now wait for a slot: if it were refused, its body would have used the
         // link in vain.
--- a/src/proxy/failure.rs
+++ b/src/proxy/failure.rs
@@ -202,7 +202,7 @@
 
     /// The failure of a request after its reservation of an upload permit has failed. Only the
     /// reservation was sent, so the request itself did not run.
-    pub(crate) fn of_reservation(self) -> Self {
+    pub(crate) fn into_request_failure(self) -> Self {
         match self.verdict {
             Verdict::NotRun => self,
             Verdict::MayHaveRun | Verdict::Answered => Self::not_run(Reason::Unreachable),
--- a/src/proxy/gate.rs
+++ b/src/proxy/gate.rs
@@ -47,7 +47,9 @@
     let load = headers::format_load(&node.load(&hop));
     response.headers_mut().insert(headers::LOAD, load);
     let service_times = node.other_service_times(&hop);
-    response.headers_mut().insert(headers::HELD, service_times);
+    response
+        .headers_mut()
+        .insert(headers::SERVICE_TIMES, service_times);
     response
 }
 
@@ -56,11 +58,14 @@
     hop: &Hop,
     request: Request<Body>,
 ) -> Result<Response<Body>, Failure> {
-    if request.headers().contains_key(headers::RESERVE) {
+    if request
+        .headers()
+        .contains_key(headers::UPLOAD_PERMIT_REQUEST)
+    {
         return reserve(node, hop).await;
     }
-    let permit =
-        headers::get_u64(request.headers(), &headers::TURN).map(permits::PermitKey::from_number);
+    let permit = headers::get_u64(request.headers(), &headers::UPLOAD_PERMIT)
+        .map(permits::PermitKey::from_number);
     run(node, hop, request, uploads::BodySource::Peer(permit)).await
 }
 
@@ -74,7 +79,9 @@
     let permit = uploads::reserve(node, hop).await?;
     let mut response = Response::new(body::empty());
     let permit = HeaderValue::from(permit.number());
-    response.headers_mut().insert(headers::TURN, permit);
+    response
+        .headers_mut()
+        .insert(headers::UPLOAD_PERMIT, permit);
     Ok(response)
 }
 
--- a/src/proxy/header_profile.rs
+++ b/src/proxy/header_profile.rs
@@ -51,7 +51,7 @@
     request_id: headers::REQUEST_ID,
     deadline_ms: headers::DEADLINE_MS,
     callers_set_deadline: false,
-    call_token: Some(headers::CALL),
+    call_token: Some(headers::CALL_TOKEN),
     calls_extend_request_id: false,
     caller_service: None,
     expected_instance: None,
--- a/src/proxy/headers.rs
+++ b/src/proxy/headers.rs
@@ -30,19 +30,20 @@
 pub(crate) const RETRIES: HeaderName = HeaderName::from_static("x-dragonflywall-retries");
 /// On a request to a backend server: a token that the backend server copies to the calls it makes
 /// while it runs the request.
-pub(crate) const CALL: HeaderName = HeaderName::from_static("x-dragonflywall-call");
+pub(crate) const CALL_TOKEN: HeaderName = HeaderName::from_static("x-dragonflywall-call");
 /// On a response between nodes: load of the endpoint, as six numbers separated by spaces, in the
 /// order that [`format_load`] writes.
 pub(crate) const LOAD: HeaderName = HeaderName::from_static("x-dragonflywall-load");
 /// On a response between nodes: how long requests for other resources hold a slot, as
 /// comma-separated pairs `RESOURCE MICROSECONDS`.
-pub(crate) const HELD: HeaderName = HeaderName::from_static("x-dragonflywall-held");
+pub(crate) const SERVICE_TIMES: HeaderName = HeaderName::from_static("x-dragonflywall-held");
 /// On a request between nodes: requests an upload permit for a large body, which the entry node has
 /// not sent yet. The value is the length of the body in bytes.
-pub(crate) const RESERVE: HeaderName = HeaderName::from_static("x-dragonflywall-reserve");
+pub(crate) const UPLOAD_PERMIT_REQUEST: HeaderName =
+    HeaderName::from_static("x-dragonflywall-reserve");
 /// On a response between nodes: the upload permit that the gate grants. The entry node returns it
 /// with the body.
-pub(crate) const TURN: HeaderName = HeaderName::from_static("x-dragonflywall-turn");
+pub(crate) const UPLOAD_PERMIT: HeaderName = HeaderName::from_static("x-dragonflywall-turn");
 /// On a failure response: whether the request may have run.
 pub(crate) const VERDICT: HeaderName = HeaderName::from_static("x-dragonflywall-verdict");
 /// On a failure response: code of the reason.
@@ -132,7 +133,7 @@
     })
 }
 
-/// Formats how long requests for each resource hold a slot, as the value of [`HELD`].
+/// Formats how long requests for each resource hold a slot, as the value of [`SERVICE_TIMES`].
 pub(crate) fn format_service_times(times: &[(&ResourceName, u64)]) -> HeaderValue {
     let times = times.iter();
     let times: Vec<String> = times
@@ -143,7 +144,7 @@
 
 /// Parses the value that [`format_service_times`] writes.
 pub(crate) fn parse_service_times(headers: &HeaderMap) -> Vec<(ResourceName, u64)> {
-    let times = get_str(headers, &HELD).unwrap_or("").split(',');
+    let times = get_str(headers, &SERVICE_TIMES).unwrap_or("").split(',');
     let times = times.filter_map(|pair| {
         let (resource, service_time_us) = pair.split_once(' ')?;
         let service_time_us = service_time_us
--- a/src/proxy/hop.rs
+++ b/src/proxy/hop.rs
@@ -14,7 +14,7 @@
 /// most [`QUEUE_MARGIN_MAX`]. The gate's refusal, which proves that the request did not run, must
 /// reach the entry node before the deadline passes there. Without it, the entry node must report
 /// that the request may have run.
-const QUEUE_MARGIN_DIVISOR: u32 = 8;
+const REMAINING_TIME_TO_QUEUE_MARGIN_RATIO: u32 = 8;
 /// Longest time before its deadline at which a request leaves the queue.
 const QUEUE_MARGIN_MAX: Duration = Duration::from_millis(100);
 
@@ -93,7 +93,7 @@
         let due_in = self.due().saturating_duration_since(Instant::now());
         headers::to_value(&format!(
             "{} {} {} {} {}",
-            class_word(self.class),
+            class_name(self.class),
             self.rank,
             self.max_wait.as_millis(),
             due_in.as_millis(),
@@ -138,7 +138,7 @@
     pub(crate) fn queue_deadline(&self) -> Instant {
         let now = Instant::now();
         let remaining = self.deadline.saturating_duration_since(now);
-        now + remaining - (remaining / QUEUE_MARGIN_DIVISOR).min(QUEUE_MARGIN_MAX)
+        now + remaining - (remaining / REMAINING_TIME_TO_QUEUE_MARGIN_RATIO).min(QUEUE_MARGIN_MAX)
     }
 
     /// Milliseconds until the deadline, as a header value.
@@ -154,7 +154,7 @@
 /// Marks an idempotent request in [`headers::CLASS`].
 const IDEMPOTENT: &str = "idempotent";
 
-fn class_word(class: Class) -> &'static str {
+fn class_name(class: Class) -> &'static str {
     match class {
         Class::Interactive => "interactive",
         Class::Bulk => "bulk",
--- a/src/proxy/peers.rs
+++ b/src/proxy/peers.rs
@@ -162,7 +162,11 @@
             .handshake(TokioIo::new(stream))
             .await?;
         tokio::spawn(connection);
-        let token = self.dial_options.token.outgoing().map(headers::to_value);
+        let token = self
+            .dial_options
+            .token
+            .secret_to_send()
+            .map(headers::to_value);
         Ok(PeerSender { requests, token })
     }
 }
--- a/src/proxy/running_requests.rs
+++ b/src/proxy/running_requests.rs
@@ -2,10 +2,10 @@
 //! them.
 //!
 //! The gate sends a token with each request to the backend server (header
-//! [`headers::CALL`](super::headers::CALL)). The backend server copies the token to the calls that
-//! it makes through its own node while it runs the request. Deadline, depth and retry budget of
-//! such a call come from the running request that the token identifies, not from headers that a
-//! caller could forge. The token contains a random secret, so it cannot be guessed.
+//! [`headers::CALL_TOKEN`](super::headers::CALL_TOKEN)). The backend server copies the token to the
+//! calls that it makes through its own node while it runs the request. Deadline, depth and retry
+//! budget of such a call come from the running request that the token identifies, not from headers
+//! that a caller could forge. The token contains a random secret, so it cannot be guessed.
 //!
 //! Backend servers on the users' platform copy no token. There the id of a call starts with the id
 //! of the running request. Such an id is accepted only while that request runs on the local backend
--- a/src/proxy/uploads/permits.rs
+++ b/src/proxy/uploads/permits.rs
@@ -18,7 +18,7 @@
 }
 
 impl PermitKey {
-    /// The number that represents the key in [`TURN`](crate::proxy::headers::TURN).
+    /// The number that represents the key in [`UPLOAD_PERMIT`](crate::proxy::headers::UPLOAD_PERMIT).
     pub(crate) fn number(self) -> u64 {
         self.data().as_ffi()
     }
--- a/src/store.rs
+++ b/src/store.rs
@@ -152,13 +152,13 @@
 
 /// A position in the history of a [`Feed`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Position(pub u64);
+pub struct FeedPosition(pub u64);
 
 /// The result of reading a [`Feed`].
 #[derive(Debug)]
 pub struct FeedUpdate {
     /// The position to continue reading from.
-    pub position: Position,
+    pub position: FeedPosition,
     /// The newest configuration; `None` if it is unchanged since the requested position, absent, or
     /// cannot be decoded.
     pub configuration: Option<Configuration>,
@@ -178,7 +178,7 @@
     /// reported as `None`.
     fn newest_after(
         &self,
-        position: Position,
+        position: FeedPosition,
         max_wait: Duration,
         answer_timeout: Duration,
     ) -> impl Future<Output = Result<FeedUpdate>> + Send;
--- a/tests/testsuite/decide_retry.rs
+++ b/tests/testsuite/decide_retry.rs
@@ -50,7 +50,7 @@
     let tokens = tokens.for_service(&ServiceName::new("tablon"));
     let mut retries = 0;
     for _ in 0..1_000 {
-        tokens.earn();
+        tokens.deposit();
         let mut attempts = Attempts::new(&treatment(true), RETRIES_PER_TREE);
         while attempts.take_retry(AttemptFailure::NotRun, tokens) {
             retries += 1;
@@ -73,7 +73,7 @@
         let service = ServiceName::new(format!("level-{depth}"));
         let tokens = tokens.for_service(&service);
         for _ in 0..100 {
-            tokens.earn();
+            tokens.deposit();
         }
         if !attempts.take_retry(AttemptFailure::MayHaveRun, tokens) {
             return made;
--- a/tests/testsuite/fuzz_membership.rs
+++ b/tests/testsuite/fuzz_membership.rs
@@ -168,10 +168,10 @@
         let others = view.members().filter(|member| member.node != node(ME));
         let others: BTreeMap<NodeId, Member> = others.map(|m| (m.node, m.clone())).collect();
         assert_eq!(others, expected.members);
-        assert_eq!(view.me().liveness, Liveness::Alive);
+        assert_eq!(view.local_member().liveness, Liveness::Alive);
         if let Some(claim) = &expected.claim {
             assert!(
-                view.me().precedence() >= claim.precedence(),
+                view.local_member().precedence() >= claim.precedence(),
                 "{claim:?} is not refuted"
             );
         }
--- a/tests/testsuite/simulation.rs
+++ b/tests/testsuite/simulation.rs
@@ -329,7 +329,7 @@
         });
         self.outcomes.entry(stream.class).or_default().calls += 1;
         let entry = self.calls[call].entry;
-        self.entries[entry].tokens.for_service(&service()).earn();
+        self.entries[entry].tokens.for_service(&service()).deposit();
         self.attempt(call);
         let uniform: f64 = self.arrival_rng.random_range(0.000_001..1.0);
         let gap_us = (-uniform.ln() * SECOND as f64 / stream.requests_per_s as f64) as u64;
--- a/tests/testsuite/spread_decisions.rs
+++ b/tests/testsuite/spread_decisions.rs
@@ -205,7 +205,7 @@
 
 /// Names that do not compress, so that a snapshot is larger than a few deltas.
 fn incompressible_name(number: u64) -> String {
-    let digest = Digest::of(&number.to_be_bytes());
+    let digest = Digest::compute(&number.to_be_bytes());
     format!("team-{digest}")
 }
 
--- a/tests/testsuite/spread_membership.rs
+++ b/tests/testsuite/spread_membership.rs
@@ -126,7 +126,9 @@
     network.set_filter(|_, _, _| true);
     network.freeze(5);
     network.run_until("the paused node is declared dead", 60_000, |network| {
-        let others = network.running().filter(|n| n.me().node != paused);
+        let others = network
+            .running()
+            .filter(|n| n.local_member().node != paused);
         others
             .into_iter()
             .all(|node| !alive_nodes(node).contains(&paused))
@@ -188,7 +190,7 @@
         "both sides consider only their own nodes alive",
         120_000,
         |network| {
-            let expected = |node: &Membership| match is_isolated(node.me()) {
+            let expected = |node: &Membership| match is_isolated(node.local_member()) {
                 true => 8,
                 false => 40,
             };
@@ -267,12 +269,11 @@
         node.acknowledged_version() == Version(5)
     });
     let isolated = network.records[0].clone();
-    let mut near = network.running().filter(|n| n.me().place == isolated.place);
-    assert!(
-        near.any(
-            |n| n.me().node != isolated.node && n.highest_reported(isolated.node) == Version(5)
-        )
-    );
+    let mut near = network
+        .running()
+        .filter(|n| n.local_member().place == isolated.place);
+    assert!(near.any(|n| n.local_member().node != isolated.node
+        && n.highest_reported(isolated.node) == Version(5)));
 }
 
 /// Guards against a leave message that is delayed by batching. A node that has just sent an update
@@ -283,7 +284,7 @@
     network.run_for(20_000);
     let leaving = network.node(20);
     leaving.set_backend(None, BackendState::Draining);
-    let node = leaving.me().node;
+    let node = leaving.local_member().node;
     // All neighbours have just received an update, so the next one would be batched.
     network.run_until("every view shows it as draining", 1_000, |network| {
         let draining = |n: &Membership| {
@@ -309,7 +310,7 @@
     let mut network = converged_network(4);
     network.run_for(20_000);
     let node = network.node(0);
-    let me = node.me().node;
+    let me = node.local_member().node;
     let ring: Vec<_> = node
         .neighbours()
         .filter(|(_, k)| *k == NeighbourKind::Ring)
--- a/tests/testsuite/spread_network.rs
+++ b/tests/testsuite/spread_network.rs
@@ -47,7 +47,7 @@
 pub(crate) fn stamp(version: u64) -> Stamp {
     Stamp {
         version: Version(version),
-        digest: Digest::of(&version.to_be_bytes()),
+        digest: Digest::compute(&version.to_be_bytes()),
     }
 }
 
@@ -167,7 +167,10 @@
 
     /// Whether every running node considers exactly the running nodes alive.
     pub(crate) fn has_converged(&self) -> bool {
-        let running: BTreeSet<NodeId> = self.running().map(|node| node.me().node).collect();
+        let running: BTreeSet<NodeId> = self
+            .running()
+            .map(|node| node.local_member().node)
+            .collect();
         self.running().all(|node| alive_nodes(node) == running)
     }
 
--- a/tests/testsuite/users_store.rs
+++ b/tests/testsuite/users_store.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dragonflywall::platform::store::PlatformStore;
-use dragonflywall::store::{Condition, Error, Feed, Outcome, Position, Table, Transaction};
+use dragonflywall::store::{Condition, Error, Feed, FeedPosition, Outcome, Table, Transaction};
 use testkit::http::wait_until;
 use testkit::users::configuration::json_text;
 use testkit::users::store::{CallFault, Store, WriteFault};
@@ -178,7 +178,7 @@
     let waiting = tokio::spawn(async move {
         let hour = Duration::from_secs(3_600);
         client
-            .newest_after(Position(0), hour, RESPONSE_TIMEOUT)
+            .newest_after(FeedPosition(0), hour, RESPONSE_TIMEOUT)
             .await
     });
     let text = json_text(5, &users_routes(), &SERVICES);
